--- a/src/main/java/willowdoor/BackendIndex.java
+++ b/src/main/java/willowdoor/BackendIndex.java
@@ -17,21 +17,26 @@
 import willowdoor.GatewayApi.Phase;
 
 /**
- * What discovery tells of all backends, in columns of a few dozen bytes for each, and the orders that choices
- * are made in. A backend is known by its slot, a small number that is free for another once it is removed. A
- * change costs the logarithm of the list. Nothing is decided here.
+ * What discovery tells of all backends, in columns of a few dozen bytes for each, and the orders
+ * that choices are made in. A backend is known by its slot, a small number that is free for another
+ * once it is removed. A change costs the logarithm of the list. Nothing is decided here.
  */
 class BackendIndex implements Listing {
 
   static final int NONE = SortedSlots.NONE;
   private static final SortedSlots EMPTY = new SortedSlots(slot -> 0);
+
   /** Sizes beyond these are junk, which would pass for nearly all or none of the fleet. */
   private static final double LEAST_SIZE = 1e-6;
+
   private static final double MOST_SIZE = 1e9;
+
   /** The columns grow by this part of their length: little is left unused. */
   private static final int GROWTH = 32;
+
   /** The low bits of an entry in the column of groups are its phase. */
   private static final int PHASE_BITS = 2;
+
   private static final int PHASE_MASK = (1 << PHASE_BITS) - 1;
   private static final Phase[] PHASES = Phase.values();
 
@@ -41,19 +46,33 @@
   private final DoubleArrayList starts = new DoubleArrayList();
   private final IntArrayList groupsAndPhases = new IntArrayList();
   private final IntArrayList free = new IntArrayList();
-  /** The slots of backends that drain or are gone, by identifier; the others are found in their order. */
+
+  /**
+   * The slots of backends that drain or are gone, by identifier; the others are found in their
+   * order.
+   */
   private final Long2IntOpenHashMap notServing = new Long2IntOpenHashMap();
+
   private final SortedSlots serving = new SortedSlots(this::id);
+
   /** By the time of their start, which is positive, so that its bits have the same order. */
-  private final SortedSlots starting = new SortedSlots(slot -> Double.doubleToLongBits(startedMs(slot)));
+  private final SortedSlots starting =
+      new SortedSlots(slot -> Double.doubleToLongBits(startedMs(slot)));
+
   private SortedSlots ranked;
   private long gateway;
   private final Map<String, Zone> zones = new HashMap<>();
   private final List<Cell> cells = new ArrayList<>();
+
   /** Exact, so that it does not drift however many changes there are. */
   private BigDecimal total = BigDecimal.ZERO;
-  /** While some that have left remain: those that have not, and the first slot still to be looked at. */
+
+  /**
+   * While some that have left remain: those that have not, and the first slot still to be looked
+   * at.
+   */
   private BitSet kept;
+
   private int swept;
   private double meanSize = 1;
   private boolean meanKnown = true;
@@ -62,6 +81,7 @@
   private final class Zone {
     final String name;
     final SortedSlots serving = new SortedSlots(BackendIndex.this::id);
+
     /** The numbers of its cells in the list of all, by the numbers that they have here. */
     final Int2IntOpenHashMap groups = new Int2IntOpenHashMap();
 
@@ -75,6 +95,7 @@
   private static final class Cell {
     final Zone zone;
     final int inZone;
+
     /** Null until it is asked for: few cells are, and there may be tens of thousands. */
     SortedSlots serving;
 
@@ -199,8 +220,10 @@
 
   /** Whether a backend is among the first so many in the gateway's own order. */
   boolean isAmong(int first, int slot) {
-    return first > 0 && phase(slot) == Phase.SERVING
-        && GatewayState.rank(id(slot), gateway) <= GatewayState.rank(id(ranked.get(first - 1)), gateway);
+    return first > 0
+        && phase(slot) == Phase.SERVING
+        && GatewayState.rank(id(slot), gateway)
+            <= GatewayState.rank(id(ranked.get(first - 1)), gateway);
   }
 
   /** The mean size of those that serve; 1 where none does. */
@@ -252,7 +275,9 @@
     return known;
   }
 
-  /** Makes room for a backend that is not known yet; it counts as removed until it is {@link #set}. */
+  /**
+   * Makes room for a backend that is not known yet; it counts as removed until it is {@link #set}.
+   */
   int add(long id, int group) {
     int slot = free.isEmpty() ? appendSlot() : free.popInt();
     ids.set(slot, id);
@@ -287,7 +312,8 @@
   }
 
   /** Takes what is told of a backend now; coldMs is for how long it then counts as starting. */
-  void set(int slot, int group, Phase phase, double size, double startedMs, double coldMs, double now) {
+  void set(
+      int slot, int group, Phase phase, double size, double startedMs, double coldMs, double now) {
     if (kept != null) {
       kept.set(slot);
     }
@@ -317,15 +343,17 @@
   }
 
   /**
-   * All backends but those whose slots are named, and those that are told from now on, have left: they do not
-   * serve any more, and {@link #sweep} removes them.
+   * All backends but those whose slots are named, and those that are told from now on, have left:
+   * they do not serve any more, and {@link #sweep} removes them.
    */
   void keepOnly(BitSet named) {
     kept = named;
     swept = 0;
   }
 
-  /** Removes up to so many of those that have left, and hands over their slots; true if any remain. */
+  /**
+   * Removes up to so many of those that have left, and hands over their slots; true if any remain.
+   */
   boolean sweep(int most, IntConsumer removed) {
     int count = 0;
     while (kept != null && count < most) {
--- a/src/main/java/willowdoor/BenchLink.java
+++ b/src/main/java/willowdoor/BenchLink.java
@@ -41,13 +41,30 @@
 import willowdoor.GatewayApi.WakeAt;
 import willowdoor.GatewayApi.Woken;
 
-/** Turns the bench's wire into events of {@link GatewayApi} and the actions back into the wire; no more. */
+/**
+ * Turns the bench's wire into events of {@link GatewayApi} and the actions back into the wire; no
+ * more.
+ */
 final class BenchLink {
 
-  private static final Map<String, Status> STATUSES = Map.of("OK", Status.OK, "INTERNAL", Status.ERROR,
-      "RESOURCE_EXHAUSTED", Status.REJECTED, "DEADLINE_EXCEEDED", Status.TIMED_OUT,
-      "UNAVAILABLE", Status.UNREACHABLE, "ABORTED", Status.RESET, "CANCELLED", Status.CANCELLED,
-      "TOO_LATE", Status.NOT_SENT);
+  private static final Map<String, Status> STATUSES =
+      Map.of(
+          "OK",
+          Status.OK,
+          "INTERNAL",
+          Status.ERROR,
+          "RESOURCE_EXHAUSTED",
+          Status.REJECTED,
+          "DEADLINE_EXCEEDED",
+          Status.TIMED_OUT,
+          "UNAVAILABLE",
+          Status.UNREACHABLE,
+          "ABORTED",
+          Status.RESET,
+          "CANCELLED",
+          Status.CANCELLED,
+          "TOO_LATE",
+          Status.NOT_SENT);
 
   private final JsonParser in;
   private final JsonGenerator out;
@@ -56,7 +73,10 @@
 
   private record Door(QuotaPolicy policy, Settings settings) {
     RequestClass type(String name) {
-      return settings.classes().stream().filter(c -> c.name().equals(name)).findFirst().orElse(null);
+      return settings.classes().stream()
+          .filter(c -> c.name().equals(name))
+          .findFirst()
+          .orElse(null);
     }
   }
 
@@ -95,7 +115,8 @@
     }
   }
 
-  private boolean deliver(int door, String name, Map<String, Object> message, double now) throws IOException {
+  private boolean deliver(int door, String name, Map<String, Object> message, double now)
+      throws IOException {
     try {
       for (Action action : actions(door, name, message, now)) {
         write(door, action);
@@ -128,23 +149,42 @@
 
   private Event event(String name, Map<String, Object> m, Door at) {
     return switch (name) {
-      case "Discovery" -> new Roster(switch (text(m, "Form")) {
-        case "changes" -> RosterForm.CHANGES;
-        case "all" -> RosterForm.COMPLETE;
-        case "remembered" -> RosterForm.REMEMBERED;
-        default -> RosterForm.FAILED;
-      }, lists.getOrDefault((int) number(m, "Bank"), List.of()));
-      case "Req" -> new Request(text(m, "Tid"), at.type(text(m, "Kind")), text(m, "Package"),
-          (long) number(m, "Customer"), (int) number(m, "EntryPoints"), number(m, "CostUnits"),
-          number(m, "GiveUpAtMs"));
+      case "Discovery" ->
+          new Roster(
+              switch (text(m, "Form")) {
+                case "changes" -> RosterForm.CHANGES;
+                case "all" -> RosterForm.COMPLETE;
+                case "remembered" -> RosterForm.REMEMBERED;
+                default -> RosterForm.FAILED;
+              },
+              lists.getOrDefault((int) number(m, "Bank"), List.of()));
+      case "Req" ->
+          new Request(
+              text(m, "Tid"),
+              at.type(text(m, "Kind")),
+              text(m, "Package"),
+              (long) number(m, "Customer"),
+              (int) number(m, "EntryPoints"),
+              number(m, "CostUnits"),
+              number(m, "GiveUpAtMs"));
       case "Accepted" -> new StreamBegan(text(m, "Tid"), (int) number(m, "SendNo"));
-      case "Result" -> new Outcome(text(m, "Tid"), (int) number(m, "SendNo"), (long) number(m, "Backend"),
-          STATUSES.getOrDefault(text(m, "StateCode"), Status.ERROR), number(m, "LatencyMs"), flag(m, "Last"),
-          number(m, "FinalUnits"), load(child(m, "Load")));
+      case "Result" ->
+          new Outcome(
+              text(m, "Tid"),
+              (int) number(m, "SendNo"),
+              (long) number(m, "Backend"),
+              STATUSES.getOrDefault(text(m, "StateCode"), Status.ERROR),
+              number(m, "LatencyMs"),
+              flag(m, "Last"),
+              number(m, "FinalUnits"),
+              load(child(m, "Load")));
       case "Gone" -> new ClientLeft(text(m, "Tid"));
-      case "Reckoned" -> new Counted(text(m, "Book"),
-          STATUSES.getOrDefault(text(m, "StateCode"), Status.ERROR), number(m, "Value"),
-          number(m, "LatencyMs"));
+      case "Reckoned" ->
+          new Counted(
+              text(m, "Book"),
+              STATUSES.getOrDefault(text(m, "StateCode"), Status.ERROR),
+              number(m, "Value"),
+              number(m, "LatencyMs"));
       case "Elapsed" -> new Woken(text(m, "Label"));
       default -> null;
     };
@@ -154,20 +194,26 @@
     if (values.isEmpty()) {
       return null;
     }
-    return new Load(number(values, "concurrent", Double.NaN) + number(values, "depth", 0),
+    return new Load(
+        number(values, "concurrent", Double.NaN) + number(values, "depth", 0),
         number(values, "mean_ms", Double.NaN));
   }
 
   private static List<BackendEntry> entries(Map<String, Object> message) {
     List<BackendEntry> entries = new ArrayList<>();
     for (Map<String, Object> e : children(message, "Items")) {
-      entries.add(new BackendEntry((long) number(e, "Backend"), text(e, "RegionPart"),
-          (int) number(e, "Stripe"),
-          switch (text(e, "Lifecycle")) {
-            case "DRAINING" -> Phase.DRAINING;
-            case "DELETED" -> Phase.REMOVED;
-            default -> Phase.SERVING;
-          }, number(e, "CapacityHint", 1), number(e, "LaunchedMs")));
+      entries.add(
+          new BackendEntry(
+              (long) number(e, "Backend"),
+              text(e, "RegionPart"),
+              (int) number(e, "Stripe"),
+              switch (text(e, "Lifecycle")) {
+                case "DRAINING" -> Phase.DRAINING;
+                case "DELETED" -> Phase.REMOVED;
+                default -> Phase.SERVING;
+              },
+              number(e, "CapacityHint", 1),
+              number(e, "LaunchedMs")));
     }
     return entries;
   }
--- a/src/main/java/willowdoor/GatewayState.java
+++ b/src/main/java/willowdoor/GatewayState.java
@@ -13,8 +13,7 @@
 /** What {@link QuotaPolicy} remembers, without any decision: all of those are in the module. */
 final class GatewayState {
 
-  private GatewayState() {
-  }
+  private GatewayState() {}
 
   /** The finaliser of SplitMix64: spreads numbers evenly, and alike at every start. */
   static long mix(long number) {
@@ -56,7 +55,10 @@
     }
   }
 
-  /** Whether a group of backends can be reached: the share of attempts lost there, and the last answer. */
+  /**
+   * Whether a group of backends can be reached: the share of attempts lost there, and the last
+   * answer.
+   */
   static final class Reach {
     final Mean lost;
     double answeredAt = Double.NEGATIVE_INFINITY;
@@ -66,7 +68,10 @@
     }
   }
 
-  /** The reach of each zone and cell that a backend with full state is in, by zone name and by group. */
+  /**
+   * The reach of each zone and cell that a backend with full state is in, by zone name and by
+   * group.
+   */
   static final class GroupReaches {
     private final Supplier<Reach> maker;
     private final Map<String, Reach> zones = new HashMap<>();
@@ -89,34 +94,56 @@
   static class AccountState {
     final long customer;
     Plan plan;
+
     /** Through how many gateways its requests may come. */
     final int gateways;
+
     /** Shift and length of its counts' windows; plain: one burst a window, no bucket followed. */
     double phase;
+
     double windowMs;
     boolean plain;
+
     /** Units in the bucket as estimated, and when. */
     double level;
+
     double levelAt;
+
     /** Spending of others taken for granted since the last answer. */
     double assumed;
-    /** Units a second of the others and of this gateway, and this gateway's units since the last answer. */
+
+    /**
+     * Units a second of the others and of this gateway, and this gateway's units since the last
+     * answer.
+     */
     double othersRate;
+
     double ownRate;
     double ownSince;
     double syncedAt = Double.NaN;
-    /** Units to go with the next add, that an unanswered call may have added, and in calls under way. */
+
+    /**
+     * Units to go with the next add, that an unanswered call may have added, and in calls under
+     * way.
+     */
     double owed;
+
     double maybe;
     double flying;
+
     /** The window last answered for, and its total then. */
     long window = Long.MIN_VALUE;
+
     double seen;
+
     /** The ceiling: what counted sends may use together, and this gateway's own part. */
     double counted;
+
     double own;
+
     /** What this gateway may send on unasked: units, and open requests. */
     double part;
+
     double openPart;
     int out;
 
@@ -150,13 +177,18 @@
     final long id;
     String zone;
     int cell;
+
     /** When it started, as told, and as taken to be. */
     final double toldStart;
+
     double startedMs;
+
     /** When a failed connection made it look restarted, unless that is settled. */
     double doubtedAt = Double.NEGATIVE_INFINITY;
+
     /** Its zone and its cell, shared by their backends. */
     Reach zoneReach;
+
     Reach cellReach;
     double service = Double.NaN;
     double failing;
@@ -165,10 +197,13 @@
     double restUntil = Double.NEGATIVE_INFINITY;
     double fullUntil = Double.NEGATIVE_INFINITY;
     double answeredAt;
+
     /** When the latest of the answered attempts was sent. */
     double answeredSentAt = Double.NEGATIVE_INFINITY;
+
     /** Requests held as last reported, of them from here, and when. */
     double reported = Double.NaN;
+
     double reportedOwn;
     double reportedAt;
     double coldTokens;
@@ -202,7 +237,8 @@
 
     /** The part of its capacity that the rules promise by now. */
     double warmShare(Rules rules, double now) {
-      return Math.min(1, rules.coldFrom() + (1 - rules.coldFrom()) * (now - startedMs) / rules.coldMs());
+      return Math.min(
+          1, rules.coldFrom() + (1 - rules.coldFrom()) * (now - startedMs) / rules.coldMs());
     }
   }
 
@@ -210,37 +246,57 @@
   static class JobState {
     final Request request;
     final RequestClass type;
+
     /** When it came, or the last of its body, if it was taken before. */
     double takenAt;
+
     double giveUpMs;
+
     /** Its body is handed on as it comes; and whether it is still coming. */
     final boolean handedOn;
+
     boolean coming;
+
     /** Some of such a body has gone, so it cannot be sent again. */
     boolean handed;
+
     /** By the settings that it was read by. */
     final Allowed allowed;
-    /** Waits for the counter; its call is unanswered; its units are, or may be, in the shared count. */
+
+    /**
+     * Waits for the counter; its call is unanswered; its units are, or may be, in the shared count.
+     */
     boolean waiting;
+
     boolean called;
     boolean added;
+
     /** The total is being read a second time. */
     boolean reread;
+
     /** Units that its call adds. */
     double asked;
+
     boolean inQuota;
-    /** The count in which it has, or may have, a place among its customer's open requests, or null. */
+
+    /**
+     * The count in which it has, or may have, a place among its customer's open requests, or null.
+     */
     String place;
+
     /** Waits for that place; its call is unanswered; no attempt will follow. */
     boolean claiming;
+
     boolean claimed;
     boolean ended;
     boolean held;
     boolean streaming;
     boolean mayHaveRun;
     boolean abandoned;
+
     /** Its last attempt found no connection, or one that was dead or out of step. */
     boolean unreached;
+
     double keyedUntil = Double.POSITIVE_INFINITY;
     int attempts;
 
--- a/src/main/java/willowdoor/JsonFields.java
+++ b/src/main/java/willowdoor/JsonFields.java
@@ -8,11 +8,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON objects as plain maps, and lenient looks into them: what is missing or of another kind is absent. */
+/**
+ * JSON objects as plain maps, and lenient looks into them: what is missing or of another kind is
+ * absent.
+ */
 public final class JsonFields {
 
-  private JsonFields() {
-  }
+  private JsonFields() {}
 
   /** Reads the object at the parser's place; anything else is malformed. */
   public static Map<String, Object> object(JsonParser in) throws IOException {
@@ -42,8 +44,10 @@
         yield items;
       }
       case VALUE_STRING -> in.getText();
-      case VALUE_NUMBER_INT -> in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-          ? (Object) in.getBigIntegerValue() : (Object) in.getLongValue();
+      case VALUE_NUMBER_INT ->
+          in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+              ? (Object) in.getBigIntegerValue()
+              : (Object) in.getLongValue();
       case VALUE_NUMBER_FLOAT -> in.getDoubleValue();
       case VALUE_TRUE -> Boolean.TRUE;
       case VALUE_FALSE -> Boolean.FALSE;
--- a/src/main/java/willowdoor/Main.java
+++ b/src/main/java/willowdoor/Main.java
@@ -6,8 +6,7 @@
 /** Runs the module as a real front door, or on the bench's wire over standard input and output. */
 public final class Main {
 
-  private Main() {
-  }
+  private Main() {}
 
   public static void main(String[] args) throws InterruptedException {
     String mode = args.length == 1 ? args[0] : "";
@@ -22,7 +21,8 @@
       }
     } catch (IOException | RuntimeException e) {
       String reason = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-      System.err.println("willowdoor: " + (mode.equals("serve") ? "cannot serve: " : "bad input: ") + reason);
+      System.err.println(
+          "willowdoor: " + (mode.equals("serve") ? "cannot serve: " : "bad input: ") + reason);
       System.exit(1);
     }
   }
--- a/src/main/java/willowdoor/QuotaPolicy.java
+++ b/src/main/java/willowdoor/QuotaPolicy.java
@@ -7,11 +7,11 @@
 import willowdoor.GatewayState.*;
 
 /**
- * All decisions of one gateway. Its interface (settings, events, actions) is GatewayApi.java in this folder.
- * The ordinary path: each request's estimate is added to its customer's shared count, refused if the answer
- * shows that it passes the plan's quota, and settled by the true units. A cap on open requests has a count of
- * its own in the same way, settled by giving the place back.
- * One instance a gateway, one thread; time comes with the events.
+ * All decisions of one gateway. Its interface (settings, events, actions) is GatewayApi.java in
+ * this folder. The ordinary path: each request's estimate is added to its customer's shared count,
+ * refused if the answer shows that it passes the plan's quota, and settled by the true units. A cap
+ * on open requests has a count of its own in the same way, settled by giving the place back. One
+ * instance a gateway, one thread; time comes with the events.
  */
 public final class QuotaPolicy {
 
@@ -19,86 +19,190 @@
 
   /** Longest window of a count: many refills of any usual quota, so edges are rare. */
   private static final double WINDOW_MS = 25_000;
-  /** Up to this many entry points each meets a customer often enough to follow its bucket that long. */
+
+  /**
+   * Up to this many entry points each meets a customer often enough to follow its bucket that long.
+   */
   private static final double FOLLOWING = 3;
-  /** What a customer is taken to use of its rate before anything is known: most stay well under it. */
+
+  /**
+   * What a customer is taken to use of its rate before anything is known: most stay well under it.
+   */
   private static final double USUAL_USE = 0.5;
-  /** Counts estimated to be past the limit by this share of it are not asked for: the answer is known. */
+
+  /**
+   * Counts estimated to be past the limit by this share of it are not asked for: the answer is
+   * known.
+   */
   private static final double SURELY_SPENT = 0.5;
+
   private static final double COUNT_TTL_MS = 60_000;
-  /** A count of open requests lasts so long: until then a place is taken that a killed gateway had. */
+
+  /**
+   * A count of open requests lasts so long: until then a place is taken that a killed gateway had.
+   */
   private static final double OPEN_WINDOW_MS = 10_000;
+
   /** How often waiting requests are looked at: well under what a person or an aim notices. */
   private static final double TICK_MS = 25;
+
   /** Without open requests a slow pulse is enough: it shows when this gateway stood still. */
   private static final double PULSE_MS = 250;
-  /** A wake-up later than this means that this gateway stood still: far more than any load explains. */
+
+  /**
+   * A wake-up later than this means that this gateway stood still: far more than any load explains.
+   */
   private static final double STALL_MS = 100;
-  /** A request waits for the counter at most this share of its aim; the rest is for the backends. */
+
+  /**
+   * A request waits for the counter at most this share of its aim; the rest is for the backends.
+   */
   private static final double COUNT_WAIT_OF_AIM = 0.06;
+
   /** Calls failing in a row before the counter is taken to be away; fewer is a lost packet. */
   private static final int COUNTER_AWAY_AFTER = 4;
-  /** Least spacing of trial calls while the counter is away: of a gateway's, and of the whole fleet's. */
+
+  /**
+   * Least spacing of trial calls while the counter is away: of a gateway's, and of the whole
+   * fleet's.
+   */
   private static final double TRIAL_MS = 250;
+
   private static final double FLEET_TRIAL_MS = 5;
-  /** Multiplicative decrease and additive increase of the share of requests that call, as in TCP. */
+
+  /**
+   * Multiplicative decrease and additive increase of the share of requests that call, as in TCP.
+   */
   private static final double PACE_CUT = 0.7;
+
   private static final double PACE_STEP = 0.02;
-  /** Increase for each second between answers, so that gateways with few calls recover as soon as others. */
+
+  /**
+   * Increase for each second between answers, so that gateways with few calls recover as soon as
+   * others.
+   */
   private static final double PACE_STEP_PER_S = 0.05;
+
   private static final double PACE_LEAST = 0.02;
-  /** Where calling resumes when an absent counter is back, so that all gateways together do not flood it. */
+
+  /**
+   * Where calling resumes when an absent counter is back, so that all gateways together do not
+   * flood it.
+   */
   private static final double PACE_BACK = 0.3;
-  /** A customer known to be spent is still asked about this often, as refunds of others may have come. */
+
+  /**
+   * A customer known to be spent is still asked about this often, as refunds of others may have
+   * come.
+   */
   private static final double SPENT_RECHECK_MS = 400;
-  /** How long the spending of a customer is remembered for its rates: longer than a burst, a few refills. */
+
+  /**
+   * How long the spending of a customer is remembered for its rates: longer than a burst, a few
+   * refills.
+   */
   private static final double RATE_MEMORY_MS = 5_000;
-  /** How long a rarely met customer is taken to go on as last seen: heavy use comes in long spells. */
+
+  /**
+   * How long a rarely met customer is taken to go on as last seen: heavy use comes in long spells.
+   */
   private static final double SPELL_MS = 15_000;
-  /** Weight of the newest answer in a backend's failures; in service times, which differ more, half of it. */
+
+  /**
+   * Weight of the newest answer in a backend's failures; in service times, which differ more, half
+   * of it.
+   */
   private static final double NEWEST = 0.2;
+
   /** Weight of an answer from a group of backends that was taken for lost. */
   private static final double BACK = 0.5;
-  /** A backend failing more of its answers than this, as after three in a row, rests for a growing while. */
+
+  /**
+   * A backend failing more of its answers than this, as after three in a row, rests for a growing
+   * while.
+   */
   private static final double FAILING_SHARE = 0.4;
+
   private static final double REST_MS = 1_000;
-  /** Backends that a gateway keeps to (subsetting), and gateways that each has at least: few connections. */
+
+  /**
+   * Backends that a gateway keeps to (subsetting), and gateways that each has at least: few
+   * connections.
+   */
   private static final int SUBSET = 12;
+
   /** Backends whose full state is kept beyond those; more than the days have, and few megabytes. */
   private static final int MOST_STATES = 4_000;
+
   /** A backend that has rested and was not met for this long is like a new one. */
   private static final double REST_MEMORY_MS = 10_000;
+
   /** Backends that are removed at once, of many that have left: about a millisecond. */
   private static final int SWEPT_AT_ONCE = 200;
+
   /** What is learned of a backend and faded to this is worth nothing. */
   private static final double FORGOTTEN = 0.001;
-  /** Backends compared for a request, over all gateways; two at least, as equal stale reports make a herd. */
+
+  /**
+   * Backends compared for a request, over all gateways; two at least, as equal stale reports make a
+   * herd.
+   */
   private static final double FLEET_CANDIDATES = 30;
-  /** Further attempts for each request, earned by first attempts, and how many the fleet may save up. */
+
+  /**
+   * Further attempts for each request, earned by first attempts, and how many the fleet may save
+   * up.
+   */
   private static final double RETRY_EARNED = 0.15;
+
   private static final double FLEET_RETRIES_SAVED = 30;
-  /** A first attempt that can be repeated is given up after this share of the aim, so that a second fits. */
+
+  /**
+   * A first attempt that can be repeated is given up after this share of the aim, so that a second
+   * fits.
+   */
   private static final double FIRST_TRY_OF_AIM = 0.65;
+
   /** Answer this long before the client gives up, so that the answer itself is in time. */
   private static final double GUARD_MS = 15;
-  /** The least promising wait accepted, as shares of the aim, for the least and the most worthy request. */
+
+  /**
+   * The least promising wait accepted, as shares of the aim, for the least and the most worthy
+   * request.
+   */
   private static final double PRESSED_LOW = 0.25;
+
   private static final double PRESSED_HIGH = 0.4;
+
   /** So much less is accepted for a request that no answer of the counter has confirmed. */
   private static final double UNCONFIRMED = 0.1;
-  /** Weight of the newest answer in the fleet's wait: the last twenty count, or the last few seconds. */
+
+  /**
+   * Weight of the newest answer in the fleet's wait: the last twenty count, or the last few
+   * seconds.
+   */
   private static final double PRESSURE_NEWEST = 0.05;
+
   private static final double PRESSURE_LIFE_MS = 4_000;
+
   /** A backend with fewer requests than this, of all gateways, is not taken to queue. */
   private static final double IDLE_HELD = 3;
-  /** Random spread of expected waits, so that gateways with the same reports pick different backends. */
+
+  /**
+   * Random spread of expected waits, so that gateways with the same reports pick different
+   * backends.
+   */
   private static final double SPREAD = 0.15;
+
   /** How long a backend's measured speed and failures are worth much without a further answer. */
   private static final double LEARNED_LIFE_MS = 3_000;
+
   /** How long a load report is worth much: others' requests there are mostly answered by then. */
   private static final double REPORT_LIFE_MS = 700;
+
   /** Wait for any usable backend this share of the aim before refusing. */
   private static final double HOLD_OF_AIM = 0.4;
+
   /** What a backend is taken to need before anything was seen of it. */
   private static final double UNKNOWN_SERVICE_MS = 100;
 
@@ -191,7 +295,10 @@
 
   // ---- Quota ----
 
-  /** What this gateway knows of one customer: a replica of its plan's bucket, fed by the shared totals. */
+  /**
+   * What this gateway knows of one customer: a replica of its plan's bucket, fed by the shared
+   * totals.
+   */
   private final class Account extends AccountState {
     Account(long customer, Plan plan, int gateways) {
       super(customer, plan, Math.max(1, Math.min(gateways, settings.gateways())), now);
@@ -214,15 +321,22 @@
       plain = windowMs < 2 * refillMs && settings.allowed().sharedCount();
     }
 
-    /** The share of a ceiling for gateways by themselves: all for two, for more a largest request each. */
+    /**
+     * The share of a ceiling for gateways by themselves: all for two, for more a largest request
+     * each.
+     */
     double ownShare() {
-      return Math.min(1, Math.max(2.0 / gateways, gateways * settings.maxUnits() / plan.ceilingBurst()));
+      return Math.min(
+          1, Math.max(2.0 / gateways, gateways * settings.maxUnits() / plan.ceilingBurst()));
     }
 
     void fillCeiling(double dt) {
       double burst = plan.ceilingBurst() + plan.ceilingSlack() / 2;
-      counted = Math.min(burst * (1 - ownShare()), counted + plan.ceilingRate() * (1 - ownShare()) * dt);
-      own = Math.min(burst * ownShare() / gateways, own + plan.ceilingRate() * ownShare() / gateways * dt);
+      counted =
+          Math.min(burst * (1 - ownShare()), counted + plan.ceilingRate() * (1 - ownShare()) * dt);
+      own =
+          Math.min(
+              burst * ownShare() / gateways, own + plan.ceilingRate() * ownShare() / gateways * dt);
     }
 
     /** This gateway's even part of the quota: what it may send on unasked. */
@@ -232,7 +346,10 @@
       openPart = Math.min(1, openPart + plan.openLimit() / (fleetService / 1000) / gateways * dt);
     }
 
-    /** Refills to the present; others go on spending as they did, but this gateway keeps its own share. */
+    /**
+     * Refills to the present; others go on spending as they did, but this gateway keeps its own
+     * share.
+     */
     void advance() {
       double dt = (now - levelAt) / 1000;
       levelAt = now;
@@ -255,7 +372,10 @@
       fillCeiling(dt);
     }
 
-    /** Room left in this window, less what the others are expected to use; a new window starts at nought. */
+    /**
+     * Room left in this window, less what the others are expected to use; a new window starts at
+     * nought.
+     */
     void expectUse(double dt) {
       double begun = now - windowStart(now);
       double span = Math.min(begun, dt * 1000);
@@ -265,10 +385,14 @@
       level -= (usual + known * (othersRate - usual)) * span / 1000;
     }
 
-    /** Whether the customer is known to be spent, so that a call would only add to the counter's load. */
+    /**
+     * Whether the customer is known to be spent, so that a call would only add to the counter's
+     * load.
+     */
     boolean surelySpent(double units) {
       boolean told = window == windowNow(now) && seen >= plan.burst();
-      return plain ? level < (told ? units : -SURELY_SPENT * plan.burst())
+      return plain
+          ? level < (told ? units : -SURELY_SPENT * plan.burst())
           : most() < units && now - syncedAt < SPENT_RECHECK_MS;
     }
 
@@ -278,30 +402,44 @@
     }
   }
 
-  /** One call to the counter: what it adds, and the request that waits for it; place: to an open count. */
-  private record Call(Account account, long window, double amount, Job job, boolean place) { }
+  /**
+   * One call to the counter: what it adds, and the request that waits for it; place: to an open
+   * count.
+   */
+  private record Call(Account account, long window, double amount, Job job, boolean place) {}
+
+  /**
+   * In order of use, so that the longest idle is dropped when another is met: nothing grows for
+   * ever.
+   */
+  private final Map<Long, Account> accounts =
+      new LinkedHashMap<>(16, 0.75f, true) {
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<Long, Account> e) {
+          return now - e.getValue().levelAt > COUNT_TTL_MS && e.getValue().out == 0;
+        }
+      };
 
-  /** In order of use, so that the longest idle is dropped when another is met: nothing grows for ever. */
-  private final Map<Long, Account> accounts = new LinkedHashMap<>(16, 0.75f, true) {
-    @Override
-    protected boolean removeEldestEntry(Map.Entry<Long, Account> e) {
-      return now - e.getValue().levelAt > COUNT_TTL_MS && e.getValue().out == 0;
-    }
-  };
   private final Map<String, ArrayDeque<Call>> calls = new HashMap<>();
   private double pace = 1;
   private double pacedAt = Double.NEGATIVE_INFINITY, trialAt = Double.NEGATIVE_INFINITY, answeredAt;
   private int callsFailed;
 
   private Account account(Request r) {
-    Account a = accounts.computeIfAbsent(r.customer(), c -> new Account(c,
-        plans.getOrDefault(r.planName(), mostCarefulPlan()), r.entryPoints()));
+    Account a =
+        accounts.computeIfAbsent(
+            r.customer(),
+            c ->
+                new Account(
+                    c, plans.getOrDefault(r.planName(), mostCarefulPlan()), r.entryPoints()));
     a.advance();
     return a;
   }
 
   private Plan mostCarefulPlan() {
-    return settings.plans().stream().filter(p -> p.rate() > 0).min(Comparator.comparingDouble(Plan::rate))
+    return settings.plans().stream()
+        .filter(p -> p.rate() > 0)
+        .min(Comparator.comparingDouble(Plan::rate))
         .orElse(new Plan("", 0, 0, 0, 0, 0, 0, 0, 0, 0));
   }
 
@@ -309,7 +447,11 @@
     Account a = job.account;
     int most = a.plan.openLimit();
     // With no more gateways than places an even split holds the limit without a call.
-    if (most > 0 && a.gateways > most && a.out < most && settings.allowed().sharedCount() && mayCall()) {
+    if (most > 0
+        && a.gateways > most
+        && a.out < most
+        && settings.allowed().sharedCount()
+        && mayCall()) {
       claim(job);
     } else {
       checkAlone(job);
@@ -317,8 +459,8 @@
   }
 
   /**
-   * The limit on open requests by an even split: of the places, and where there are more gateways than those,
-   * of how many requests can follow each other in them.
+   * The limit on open requests by an even split: of the places, and where there are more gateways
+   * than those, of how many requests can follow each other in them.
    */
   private void checkAlone(Job job) {
     Account a = job.account;
@@ -332,7 +474,10 @@
     }
   }
 
-  /** Asks for a place among its customer's open requests, which is given back as soon as it has ended. */
+  /**
+   * Asks for a place among its customer's open requests, which is given back as soon as it has
+   * ended.
+   */
   private void claim(Job job) {
     job.claiming = true;
     job.claimed = true;
@@ -367,7 +512,10 @@
     }
   }
 
-  /** Its end frees its place for others; the answer to a call still under way tells whether it had one. */
+  /**
+   * Its end frees its place for others; the answer to a call still under way tells whether it had
+   * one.
+   */
   private void ended(Job job) {
     job.ended = true;
     job.claiming = false;
@@ -398,9 +546,10 @@
   }
 
   /**
-   * Whether to call the counter. Guards against a slow, full, silent or refusing counter, and any other cause
-   * of unanswered calls: fewer call, and spaced trials remain. Harm: where calls fail for a cause that
-   * calling less does not help, customers are held to the replica for longer than needed.
+   * Whether to call the counter. Guards against a slow, full, silent or refusing counter, and any
+   * other cause of unanswered calls: fewer call, and spaced trials remain. Harm: where calls fail
+   * for a cause that calling less does not help, customers are held to the replica for longer than
+   * needed.
    */
   private boolean mayCall() {
     if (callsFailed >= COUNTER_AWAY_AFTER) {
@@ -465,15 +614,18 @@
     decide(job, e.status() == Status.OK);
   }
 
-  /** Its connection failed the call: that tells nothing of the counter, which may have added the amount. */
+  /**
+   * Its connection failed the call: that tells nothing of the counter, which may have added the
+   * amount.
+   */
   private static boolean cutOff(Status status) {
     return status == Status.SPOILT || status == Status.RESET;
   }
 
   /**
-   * Reads the total once more, as if the answer came late; its growth shows whether the amount was added.
-   * Guards against connections that die or bring junk, while the counter works and could be asked over
-   * another. Harm: one more call for each that was cut off.
+   * Reads the total once more, as if the answer came late; its growth shows whether the amount was
+   * added. Guards against connections that die or bring junk, while the counter works and could be
+   * asked over another. Harm: one more call for each that was cut off.
    */
   private void readAgain(String name, Call call) {
     call.job.reread = true;
@@ -498,20 +650,27 @@
     } else {
       pace += PACE_STEP + PACE_STEP_PER_S * Math.min(1, (now - answeredAt) / 1000);
     }
-    pacedAt = e.status() == Status.OK || now - pacedAt <= settings.allowed().countLimitMs() ? pacedAt : now;
+    pacedAt =
+        e.status() == Status.OK || now - pacedAt <= settings.allowed().countLimitMs()
+            ? pacedAt
+            : now;
     answeredAt = e.status() == Status.OK ? now : answeredAt;
     pace = Math.min(1, Math.max(PACE_LEAST, pace));
   }
 
-  /** Trials of the whole fleet are bounded, and spread by chance; each gateway's come within seconds. */
+  /**
+   * Trials of the whole fleet are bounded, and spread by chance; each gateway's come within
+   * seconds.
+   */
   private double nextTrial() {
     double spacing = Math.max(TRIAL_MS, FLEET_TRIAL_MS * settings.gateways());
     return now + spacing * (0.75 + 0.5 * random.nextDouble());
   }
 
   /**
-   * Replays the growth of the shared total into the replica. Growth beyond what was added here is others'.
-   * A total that halves is an emptied counter, not fresh quota: the replica keeps its level.
+   * Replays the growth of the shared total into the replica. Growth beyond what was added here is
+   * others'. A total that halves is an emptied counter, not fresh quota: the replica keeps its
+   * level.
    */
   private void observe(Account a, Call call, double total) {
     boolean fresh = a.window != call.window;
@@ -530,7 +689,8 @@
     a.window = call.window;
     a.seen = total;
     if (a.plain) {
-      a.level = call.window == a.windowNow(now) ? a.plan.burst() - (total - call.job.asked) : a.level;
+      a.level =
+          call.window == a.windowNow(now) ? a.plan.burst() - (total - call.job.asked) : a.level;
       learnRates(a, Math.max(0, others), since);
       return;
     }
@@ -557,7 +717,10 @@
     a.syncedAt = now;
   }
 
-  /** By the answered total, or else by the replica with the share of the refill this gateway is used to. */
+  /**
+   * By the answered total, or else by the replica with the share of the refill this gateway is used
+   * to.
+   */
   private void decide(Job job, boolean answered) {
     Account a = job.account;
     double units = job.request.units();
@@ -580,8 +743,9 @@
   }
 
   /**
-   * A hard ceiling: sends that the counter answered for come out of the part that is counted, all others out
-   * of this gateway's own part, so the sum holds whatever the counter answers or forgets.
+   * A hard ceiling: sends that the counter answered for come out of the part that is counted, all
+   * others out of this gateway's own part, so the sum holds whatever the counter answers or
+   * forgets.
    */
   private boolean holdsCeiling(Account a, double units, boolean answered) {
     if (a.plan.ceilingRate() <= 0) {
@@ -594,10 +758,14 @@
     return together || alone;
   }
 
-  /** Beyond its quota a request goes on only where the plan earns by it, under no ceiling, fleet idle. */
+  /**
+   * Beyond its quota a request goes on only where the plan earns by it, under no ceiling, fleet
+   * idle.
+   */
   private void beyondQuota(Job job) {
     Plan plan = job.account.plan;
-    if (plan.beyondEarns() > plan.beyondCost() && plan.ceilingRate() <= 0
+    if (plan.beyondEarns() > plan.beyondCost()
+        && plan.ceilingRate() <= 0
         && expectedOfAim() < PRESSED_LOW - UNCONFIRMED) {
       dispatch(job);
     } else {
@@ -643,15 +811,26 @@
       join(index, slot, reaches);
     }
 
-    /** Whether it may be built anew when next looked at, as nothing of worth is known of it any more. */
+    /**
+     * Whether it may be built anew when next looked at, as nothing of worth is known of it any
+     * more.
+     */
     boolean forgettable() {
-      return out.isEmpty() && startedMs == toldStart && !index.cold(slot, settings.rules().coldMs(), now)
-          && now > restUntil + REST_MEMORY_MS && remembered() < FORGOTTEN && !index.isAmong(usual, slot);
+      return out.isEmpty()
+          && startedMs == toldStart
+          && !index.cold(slot, settings.rules().coldMs(), now)
+          && now > restUntil + REST_MEMORY_MS
+          && remembered() < FORGOTTEN
+          && !index.isAmong(usual, slot);
     }
 
-    /** Requests here from all gateways; a report is trusted less as it ages, so no backend stays shunned. */
+    /**
+     * Requests here from all gateways; a report is trusted less as it ages, so no backend stays
+     * shunned.
+     */
     double held() {
-      double usual = outMean.value / Math.max(1, index.serving().size()) * (settings.gateways() - 1);
+      double usual =
+          outMean.value / Math.max(1, index.serving().size()) * (settings.gateways() - 1);
       if (Double.isNaN(reported)) {
         return out.size() + usual;
       }
@@ -660,18 +839,24 @@
     }
 
     double serviceMs() {
-      return Double.isNaN(service) ? fleetService : fleetService + remembered() * (service - fleetService);
+      return Double.isNaN(service)
+          ? fleetService
+          : fleetService + remembered() * (service - fleetService);
     }
 
     /**
-     * What was learned of a backend fades while it answers nothing. Guards against shunning one after
-     * a trouble of any kind that nobody sees end. Harm: a lasting trouble is met again once in a while.
+     * What was learned of a backend fades while it answers nothing. Guards against shunning one
+     * after a trouble of any kind that nobody sees end. Harm: a lasting trouble is met again once
+     * in a while.
      */
     double remembered() {
       return Math.exp((answeredAt - now) / LEARNED_LIFE_MS);
     }
 
-    /** Expected time to an answer: service time by requests held, longer where the oldest is overdue. */
+    /**
+     * Expected time to an answer: service time by requests held, longer where the oldest is
+     * overdue.
+     */
     double wait(Job job) {
       double w = serviceMs() * (1 + held() / (index.size(slot) / index.meanSize()));
       if (!out.isEmpty()) {
@@ -702,18 +887,24 @@
   }
 
   private final BackendIndex index;
+
   /** Full state of those that are kept to, cold, or were looked at, by their slots in the index. */
   private final Int2ObjectOpenHashMap<Backend> states = new Int2ObjectOpenHashMap<>();
+
   /** Slots of those that are gone, or were when last looked at. */
   private final IntArrayList gone = new IntArrayList();
+
   /** Slots named by the list whose parts are coming in, or null. */
   private BitSet listed;
+
   private boolean sweeping;
   private final GroupReaches reaches =
       new GroupReaches(() -> new Reach(new Mean(NEWEST, PRESSURE_LIFE_MS, startedAt)));
   private double fleetService = UNKNOWN_SERVICE_MS;
+
   /** This gateway keeps to so many: those that come first in its own order. */
   private int usual;
+
   private int warm;
   private double warmAt = Double.NEGATIVE_INFINITY, forgotAt = warmAt, sendRate, sendsAt;
 
@@ -738,7 +929,10 @@
     sweep();
   }
 
-  /** Removes those that have left, by and by where there are many, so that requests do not wait for that. */
+  /**
+   * Removes those that have left, by and by where there are many, so that requests do not wait for
+   * that.
+   */
   private void sweep() {
     boolean more = index.sweep(SWEPT_AT_ONCE, gone::add);
     if (more && !sweeping) {
@@ -746,8 +940,10 @@
     }
     sweeping = more;
     gone.removeIf(this::forget);
-    usual = Math.min(index.serving().size(),
-        Math.max(SUBSET, SUBSET * index.serving().size() / Math.max(1, settings.gateways())));
+    usual =
+        Math.min(
+            index.serving().size(),
+            Math.max(SUBSET, SUBSET * index.serving().size() / Math.max(1, settings.gateways())));
     warmAt = Double.NEGATIVE_INFINITY;
   }
 
@@ -776,7 +972,10 @@
     }
   }
 
-  /** Another process has this slot: nothing is known of it, and while it is cold its tokens are kept. */
+  /**
+   * Another process has this slot: nothing is known of it, and while it is cold its tokens are
+   * kept.
+   */
   private void renew(int slot) {
     double coldTokens = random.nextDouble();
     states.remove(slot);
@@ -785,7 +984,9 @@
     }
   }
 
-  /** The full state of a backend, built where there is none: a cold one then begins without tokens. */
+  /**
+   * The full state of a backend, built where there is none: a cold one then begins without tokens.
+   */
   private Backend state(int slot) {
     Backend b = states.get(slot);
     if (b == null) {
@@ -801,7 +1002,10 @@
     return b;
   }
 
-  /** Drops one that is gone, unless an attempt is out there; true when it need not be looked at again. */
+  /**
+   * Drops one that is gone, unless an attempt is out there; true when it need not be looked at
+   * again.
+   */
   private boolean forget(int slot) {
     if (!index.isUsed(slot) || index.phase(slot) != Phase.REMOVED) {
       return true;
@@ -815,8 +1019,9 @@
   }
 
   /**
-   * The most promising of a few backends drawn by chance (power of two choices): with many gateways, equal
-   * stale reports would send all to the same one. Rests are ignored where all drawn rest.
+   * The most promising of a few backends drawn by chance (power of two choices): with many
+   * gateways, equal stale reports would send all to the same one. Rests are ignored where all drawn
+   * rest.
    */
   private Backend pick(Job job) {
     boolean bound = job.keyedTo != null && job.type.group() != Group.ALL;
@@ -824,15 +1029,19 @@
     int kept = bound ? among.size() : usual;
     int wanted = (int) Math.max(2, Math.ceil(FLEET_CANDIDATES / Math.max(2, settings.gateways())));
     Backend best = bestOf(among, kept, job, wanted, false);
-    best = best != null || bound ? best
-        : bestOf(index.serving(), index.serving().size(), job, wanted, false);
+    best =
+        best != null || bound
+            ? best
+            : bestOf(index.serving(), index.serving().size(), job, wanted, false);
     return best != null ? best : bestOf(among, kept, job, wanted, true);
   }
 
   /** Those that drop the request's repeats. */
   private SortedSlots groupOf(Job job) {
     Backend first = job.keyedTo;
-    return job.type.group() == Group.ZONE ? index.inZone(first.zone) : index.inCell(first.zone, first.cell);
+    return job.type.group() == Group.ZONE
+        ? index.inZone(first.zone)
+        : index.inCell(first.zone, first.cell);
   }
 
   /** Chooses among the first so many in an order. */
@@ -858,17 +1067,20 @@
 
   private boolean usable(Backend b, Job job, boolean ignoreRest) {
     boolean trialBarred = b.trial && (!b.out.isEmpty() || job.type.repeat() == Repeat.UNSAFE);
-    boolean resting = !ignoreRest && (now < b.restUntil || trialBarred || b.nearFailing(now) > FAILING_SHARE);
-    return !index.hasLeft(b.slot) && now >= b.fullUntil && !resting
+    boolean resting =
+        !ignoreRest && (now < b.restUntil || trialBarred || b.nearFailing(now) > FAILING_SHARE);
+    return !index.hasLeft(b.slot)
+        && now >= b.fullUntil
+        && !resting
         && (!b.cold(settings.rules(), now) || coldRoom(b));
   }
 
   /**
-   * Guards a backend that has just started, for whatever cause: it gets no more than its present part of what
-   * a warm one gets from here, attempts of every kind included, or of what a single core does, shared by all
-   * gateways, where none is warm or this gateway is new. A token that is not used within the span in which a
-   * cold backend's load counts lapses, so that what the gateways have saved up cannot come all at once. Harm:
-   * slower use of a fleet that comes back.
+   * Guards a backend that has just started, for whatever cause: it gets no more than its present
+   * part of what a warm one gets from here, attempts of every kind included, or of what a single
+   * core does, shared by all gateways, where none is warm or this gateway is new. A token that is
+   * not used within the span in which a cold backend's load counts lapses, so that what the
+   * gateways have saved up cannot come all at once. Harm: slower use of a fleet that comes back.
    */
   private boolean coldRoom(Backend b) {
     double floor = 1000 / Math.max(1, fleetService) / settings.gateways();
@@ -894,11 +1106,13 @@
       b.reportedOwn = b.out.size();
       b.reportedAt = now;
     }
-    boolean bad = switch (e.status()) {
-      case ERROR, RESET, UNREACHABLE -> true;
-      case TIMED_OUT, CANCELLED -> b.answeredAt <= attempt.sentAt && attempt.sentAt > stalledUntil;
-      default -> false;
-    };
+    boolean bad =
+        switch (e.status()) {
+          case ERROR, RESET, UNREACHABLE -> true;
+          case TIMED_OUT, CANCELLED ->
+              b.answeredAt <= attempt.sentAt && attempt.sentAt > stalledUntil;
+          default -> false;
+        };
     double forget = b.remembered();
     if (answers(e.status())) {
       b.answeredAt = now;
@@ -914,7 +1128,8 @@
       trust(b, attempt);
       b.trial = false;
       b.rests = b.failing < FAILING_SHARE / 4 ? 0 : b.rests;
-      double service = load != null && !Double.isNaN(load.serviceMs()) ? load.serviceMs() : e.latencyMs();
+      double service =
+          load != null && !Double.isNaN(load.serviceMs()) ? load.serviceMs() : e.latencyMs();
       double known = b.serviceMs();
       b.service = known + NEWEST / 2 * (service - known);
       fleetService += NEWEST / 10 * (service - fleetService);
@@ -935,10 +1150,10 @@
   }
 
   /**
-   * Any answer shows that its group is there, one of an error too: that tells of the backend alone. A lost
-   * attempt tells of the group only while nobody there has answered since. Guards against leaving a zone or a
-   * cell for a sick or busy backend of it, and, as a gone one never answers, against leaving it for long once
-   * it is back. Harm: none known.
+   * Any answer shows that its group is there, one of an error too: that tells of the backend alone.
+   * A lost attempt tells of the group only while nobody there has answered since. Guards against
+   * leaving a zone or a cell for a sick or busy backend of it, and, as a gone one never answers,
+   * against leaving it for long once it is back. Harm: none known.
    */
   private void reach(Reach group, Attempt attempt, Status status, boolean bad) {
     if (answers(status)) {
@@ -951,14 +1166,17 @@
 
   /** A spoilt answer tells that the backend works. */
   private static boolean answers(Status status) {
-    return status == Status.OK || status == Status.ERROR || status == Status.REJECTED
+    return status == Status.OK
+        || status == Status.ERROR
+        || status == Status.REJECTED
         || status == Status.SPOILT;
   }
 
   /**
-   * A backend that looked restarted and then answers what was sent before that has not restarted: nothing
-   * outlives its process. Guards against connections that fail for any other cause, of which a few would
-   * leave the whole fleet taken for cold. Harm: none known, as the list's word on a start stays.
+   * A backend that looked restarted and then answers what was sent before that has not restarted:
+   * nothing outlives its process. Guards against connections that fail for any other cause, of
+   * which a few would leave the whole fleet taken for cold. Harm: none known, as the list's word on
+   * a start stays.
    */
   private void trust(Backend b, Attempt attempt) {
     if (attempt.sentAt < b.doubtedAt) {
@@ -1008,7 +1226,8 @@
   /** A class not in the settings is treated as one that must never run twice. */
   private RequestClass type(Request r) {
     double left = r.giveUpMs() - now;
-    return r.type() != null ? r.type()
+    return r.type() != null
+        ? r.type()
         : new RequestClass("", 1, 0, left / 2, left, Repeat.UNSAFE, Group.CELL, 0, false);
   }
 
@@ -1026,33 +1245,43 @@
   }
 
   /**
-   * Whether the fleet is too full for this request to be answered within its aim; worthy ones stay longer.
-   * Guards against overload of any cause. Harm: after a stall, the first answers must correct the figure.
+   * Whether the fleet is too full for this request to be answered within its aim; worthy ones stay
+   * longer. Guards against overload of any cause. Harm: after a stall, the first answers must
+   * correct the figure.
    */
   private boolean pressed(Job job, double less) {
     double rank = Math.min(1, Math.max(0, job.worth() / Math.max(1e-9, meanWorth) - 0.5));
     return expectedOfAim() > PRESSED_LOW + (PRESSED_HIGH - PRESSED_LOW) * rank - less;
   }
 
-  /** Expected wait as a share of the aim: as lately measured, scaled by how many more are out by now. */
+  /**
+   * Expected wait as a share of the aim: as lately measured, scaled by how many more are out by
+   * now.
+   */
   private double expectedOfAim() {
     double held = settings.gateways() / (double) Math.max(1, index.serving().size());
     double more = IDLE_HELD / Math.max(1, index.serving().size());
-    double ratio = (outMean.value * held + more) / (Math.max(outThen.value * held, IDLE_HELD) + more);
+    double ratio =
+        (outMean.value * held + more) / (Math.max(outThen.value * held, IDLE_HELD) + more);
     return latencyOfAim.fresh(now) * ratio;
   }
 
   /**
-   * The time that this gateway itself stood still is not the fleet's. An attempt that timed out while others
-   * were answered lost its answer: that tells of no wait. Harm: a few slow backends stay unseen here.
+   * The time that this gateway itself stood still is not the fleet's. An attempt that timed out
+   * while others were answered lost its answer: that tells of no wait. Harm: a few slow backends
+   * stay unseen here.
    */
   private void measureWait(Attempt attempt, Outcome e) {
     boolean lost = e.status() == Status.TIMED_OUT && okAt > attempt.sentAt;
     okAt = e.status() == Status.OK ? now : okAt;
-    if (e.status() == Status.OK || e.status() == Status.REJECTED || e.status() == Status.TIMED_OUT && !lost) {
+    if (e.status() == Status.OK
+        || e.status() == Status.REJECTED
+        || e.status() == Status.TIMED_OUT && !lost) {
       double stood = Math.max(0, stalledUntil - Math.max(stalledFrom, attempt.sentAt));
-      double waited = e.status() == Status.REJECTED ? 1
-          : Math.max(fleetService, e.latencyMs() - stood) / attempt.job.aim();
+      double waited =
+          e.status() == Status.REJECTED
+              ? 1
+              : Math.max(fleetService, e.latencyMs() - stood) / attempt.job.aim();
       latencyOfAim.add(Math.min(2, waited), now);
       outThen.add(outNow, now);
     }
@@ -1070,7 +1299,8 @@
 
   private void send(Job job, Backend b) {
     double left = job.giveUpMs - now - GUARD_MS;
-    // A repeat that waits for a backend, or for its connection, must not outlast the window of repeats.
+    // A repeat that waits for a backend, or for its connection, must not outlast the window of
+    // repeats.
     boolean repeat = job.mayHaveRun && job.type.repeat() == Repeat.KEYED;
     double startMs = repeat ? job.keyedUntil - GUARD_MS - now : Double.POSITIVE_INFINITY;
     int most = Math.min(job.allowed.attempts(), settings.allowed().attempts());
@@ -1097,7 +1327,9 @@
     out.add(new Send(job.request.id(), b.id, left, startMs));
   }
 
-  /** A request that ended while it waited for the counter must not be sent when the answer comes. */
+  /**
+   * A request that ended while it waited for the counter must not be sent when the answer comes.
+   */
   private void onClientLeft(String id) {
     Job job = open.remove(id);
     if (job != null) {
@@ -1161,8 +1393,11 @@
       job.keyedUntil = attempt.sentAt + job.type.repeatWindowMs();
     }
     // None of these tells of overload, against which the budget of further attempts guards.
-    job.unreached = e.status() == Status.UNREACHABLE || e.status() == Status.BROKEN
-        || e.status() == Status.NOT_SENT || e.status() == Status.SPOILT;
+    job.unreached =
+        e.status() == Status.UNREACHABLE
+            || e.status() == Status.BROKEN
+            || e.status() == Status.NOT_SENT
+            || e.status() == Status.SPOILT;
     job.handed |= job.handedOn && e.status() != Status.UNREACHABLE && e.status() != Status.NOT_SENT;
     if (e.over()) {
       open.remove(e.request());
@@ -1173,20 +1408,32 @@
   }
 
   private void again(Job job) {
-    boolean allowed = !job.mayHaveRun || job.type.repeat() == Repeat.SAFE
-        || job.type.repeat() == Repeat.KEYED && now < job.keyedUntil - GUARD_MS;
+    boolean allowed =
+        !job.mayHaveRun
+            || job.type.repeat() == Repeat.SAFE
+            || job.type.repeat() == Repeat.KEYED && now < job.keyedUntil - GUARD_MS;
     double left = job.giveUpMs - now;
-    if (job.handed || !allowed || retryTokens < 1 && !job.unreached || left < fleetService / 2 + GUARD_MS) {
+    if (job.handed
+        || !allowed
+        || retryTokens < 1 && !job.unreached
+        || left < fleetService / 2 + GUARD_MS) {
       giveUp(job);
     } else {
       dispatch(job);
     }
   }
 
-  /** The final answer when no attempt will follow: a refusal where that promise holds, else a failure. */
+  /**
+   * The final answer when no attempt will follow: a refusal where that promise holds, else a
+   * failure.
+   */
   private void giveUp(Job job) {
-    boolean harmless = !job.mayHaveRun || job.type.repeat() == Repeat.SAFE
-        || job.type.repeat() == Repeat.KEYED && job.type.group() == Group.ALL && now < job.keyedUntil;
+    boolean harmless =
+        !job.mayHaveRun
+            || job.type.repeat() == Repeat.SAFE
+            || job.type.repeat() == Repeat.KEYED
+                && job.type.group() == Group.ALL
+                && now < job.keyedUntil;
     if (harmless) {
       refuse(job, 0);
     } else {
@@ -1226,8 +1473,9 @@
   }
 
   /**
-   * A wake-up that is long overdue shows that this gateway stood still. What came meanwhile is read first,
-   * and no wait seen over that time is booked to a backend or the counter. Harm: none but a later look.
+   * A wake-up that is long overdue shows that this gateway stood still. What came meanwhile is read
+   * first, and no wait seen over that time is booked to a backend or the counter. Harm: none but a
+   * later look.
    */
   private void noteStall() {
     if (now - wakeAt > STALL_MS) {
@@ -1266,17 +1514,23 @@
   }
 
   /**
-   * Takes an attempt back from a backend that has answered nothing since it was sent, or already one that
-   * was sent later, if a second fits. Guards against dead, cut off and stalled backends, and against answers
-   * lost on their way from a backend that works. Harm: one slow request looks the same; budgeted.
+   * Takes an attempt back from a backend that has answered nothing since it was sent, or already
+   * one that was sent later, if a second fits. Guards against dead, cut off and stalled backends,
+   * and against answers lost on their way from a backend that works. Harm: one slow request looks
+   * the same; budgeted.
    */
   private void abandonSilent(Job job) {
     Attempt a = job.live;
     double patience = job.aim() * FIRST_TRY_OF_AIM;
     boolean passedOver = a.backend.answeredSentAt > a.sentAt + patience;
-    if ((passedOver || a.backend.answeredAt <= a.sentAt) && now - a.sentAt > patience
-        && !job.abandoned && !job.streaming && !job.handedOn && job.allowed.cancel()
-        && job.type.repeat() != Repeat.UNSAFE && retryTokens >= 1) {
+    if ((passedOver || a.backend.answeredAt <= a.sentAt)
+        && now - a.sentAt > patience
+        && !job.abandoned
+        && !job.streaming
+        && !job.handedOn
+        && job.allowed.cancel()
+        && job.type.repeat() != Repeat.UNSAFE
+        && retryTokens >= 1) {
       job.abandoned = true;
       out.add(new Cancel(job.request.id(), a.number));
     }
--- a/src/main/java/willowdoor/SortedSlots.java
+++ b/src/main/java/willowdoor/SortedSlots.java
@@ -3,20 +3,33 @@
 import java.util.Arrays;
 
 /**
- * Slot numbers in the order of their keys, and of the numbers themselves where those are equal; each found,
- * added, removed and reached by its place in the logarithm of their number. A B+ tree whose nodes know how
- * many slots they hold. A slot's key must not change while it is in the tree. Some six bytes a slot, as the
- * leaves hold no keys; the other nodes hold the first of each child, so that a search looks up few.
+ * Slot numbers in the order of their keys, and of the numbers themselves where those are equal;
+ * each found, added, removed and reached by its place in the logarithm of their number. A B+ tree
+ * whose nodes know how many slots they hold. A slot's key must not change while it is in the tree.
+ * Some six bytes a slot, as the leaves hold no keys; the other nodes hold the first of each child,
+ * so that a search looks up few.
  */
 final class SortedSlots {
 
   static final int NONE = -1;
-  /** Entries of a node: a small share of an entry's cost is the node's own, and moving them is cheap. */
+
+  /**
+   * Entries of a node: a small share of an entry's cost is the node's own, and moving them is
+   * cheap.
+   */
   private static final int MOST = 128;
-  /** Neighbours that hold no more than this together become one, so that a shrunken tree is small. */
+
+  /**
+   * Neighbours that hold no more than this together become one, so that a shrunken tree is small.
+   */
   private static final int MERGED = MOST / 2;
+
   private static final int FIRST_CAPACITY = 4;
-  /** A node grows by so many entries at most, and is cut to what it holds at a split: little is unused. */
+
+  /**
+   * A node grows by so many entries at most, and is cut to what it holds at a split: little is
+   * unused.
+   */
   private static final int MOST_GROWTH = 16;
 
   /** Gives the key of a slot. */
@@ -169,7 +182,8 @@
     Node node = root;
     int follower = NONE;
     while (!node.isLeaf()) {
-      // No slot number is negative, so this is the child that begins ahead of all slots of that key.
+      // No slot number is negative, so this is the child that begins ahead of all slots of that
+      // key.
       int child = childFor(node, sought, NONE);
       if (child + 1 < node.used && node.keys[child + 1] == sought) {
         follower = node.slots[child + 1];
--- a/src/main/java/willowdoor/net/AdminServer.java
+++ b/src/main/java/willowdoor/net/AdminServer.java
@@ -30,40 +30,54 @@
 import java.util.logging.Logger;
 
 /**
- * The operators' calls: whether this process can serve, to drain it, and to take it back. On an address and
- * an event loop of its own, so that no load of clients' makes an operator wait; it only reads and moves the
- * {@link Lifecycle}.
+ * The operators' calls: whether this process can serve, to drain it, and to take it back. On an
+ * address and an event loop of its own, so that no load of clients' makes an operator wait; it only
+ * reads and moves the {@link Lifecycle}.
  */
 final class AdminServer {
 
   private static final Logger LOG = Logger.getLogger(AdminServer.class.getName());
+
   /** Callers at a time; the oldest makes room for the next, as some connect and never call. */
   private static final int CALLERS = 8;
+
   /** The loop's own, the listening socket, the callers, and one that is being taken. */
   static final int DESCRIPTORS = CALLERS + 5;
+
   /** A call is a few bytes from close by: one that is not whole by then will not be. */
   private static final long CALL_MS = 1_000;
+
   private static final int MOST_BODY = 4_096;
 
-  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
   private final Lifecycle lifecycle;
   private final BooleanSupplier ready;
+
   /** In the order of their coming. */
   private final ArrayDeque<Channel> callers = new ArrayDeque<>(CALLERS);
+
   private final Channel listening;
 
   /** Opens it; whether the front door can serve is asked on this server's thread. */
-  AdminServer(InetSocketAddress address, Lifecycle lifecycle, BooleanSupplier ready) throws IOException {
+  AdminServer(InetSocketAddress address, Lifecycle lifecycle, BooleanSupplier ready)
+      throws IOException {
     this.lifecycle = lifecycle;
     this.ready = ready;
-    ChannelFuture bound = new ServerBootstrap().group(group).channel(Transport.BEST.serverSocket())
-        .option(ChannelOption.SO_REUSEADDR, true)
-        .childHandler(new ChannelInitializer<Channel>() {
-          @Override
-          protected void initChannel(Channel channel) {
-            admit(channel);
-          }
-        }).bind(address).awaitUninterruptibly();
+    ChannelFuture bound =
+        new ServerBootstrap()
+            .group(group)
+            .channel(Transport.BEST.serverSocket())
+            .option(ChannelOption.SO_REUSEADDR, true)
+            .childHandler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(Channel channel) {
+                    admit(channel);
+                  }
+                })
+            .bind(address)
+            .awaitUninterruptibly();
     listening = bound.channel();
     if (!bound.isSuccess()) {
       close();
@@ -78,8 +92,13 @@
     callers.add(channel);
     channel.closeFuture().addListener(f -> callers.remove(channel));
     channel.eventLoop().schedule(() -> channel.close(), CALL_MS, TimeUnit.MILLISECONDS);
-    channel.pipeline().addLast(new RequestDecoder(), new HttpResponseEncoder(),
-        new HttpObjectAggregator(MOST_BODY), new Call());
+    channel
+        .pipeline()
+        .addLast(
+            new RequestDecoder(),
+            new HttpResponseEncoder(),
+            new HttpObjectAggregator(MOST_BODY),
+            new Call());
   }
 
   SocketAddress address() {
@@ -94,11 +113,18 @@
   private final class Call extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest call) {
-      HttpResponseStatus status = call.decoderResult().isFailure() ? HttpResponseStatus.BAD_REQUEST
-          : outcome(call.method(), RequestReader.path(call.uri()));
-      DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-          Unpooled.copiedBuffer(lifecycle.state() + "\n", StandardCharsets.US_ASCII));
-      answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes())
+      HttpResponseStatus status =
+          call.decoderResult().isFailure()
+              ? HttpResponseStatus.BAD_REQUEST
+              : outcome(call.method(), RequestReader.path(call.uri()));
+      DefaultFullHttpResponse answer =
+          new DefaultFullHttpResponse(
+              HttpVersion.HTTP_1_1,
+              status,
+              Unpooled.copiedBuffer(lifecycle.state() + "\n", StandardCharsets.US_ASCII));
+      answer
+          .headers()
+          .set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes())
           .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
       ctx.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
     }
@@ -111,8 +137,12 @@
 
   private HttpResponseStatus outcome(HttpMethod method, String path) {
     return switch (path) {
-      case "/ready" -> !method.equals(HttpMethod.GET) ? HttpResponseStatus.METHOD_NOT_ALLOWED
-          : ready.getAsBoolean() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
+      case "/ready" ->
+          !method.equals(HttpMethod.GET)
+              ? HttpResponseStatus.METHOD_NOT_ALLOWED
+              : ready.getAsBoolean()
+                  ? HttpResponseStatus.OK
+                  : HttpResponseStatus.SERVICE_UNAVAILABLE;
       case "/drain" -> moved(method, path, lifecycle::drain);
       case "/undrain" -> moved(method, path, lifecycle::undrain);
       default -> HttpResponseStatus.NOT_FOUND;
--- a/src/main/java/willowdoor/net/Attempt.java
+++ b/src/main/java/willowdoor/net/Attempt.java
@@ -13,20 +13,30 @@
 
   final HttpRequest head;
   final Body body;
+
   /** Infinite while the body is still to come: the time counts from its end. */
   final double timeoutMs;
+
   /** When that time is up, on the clock; known once the attempt has started. */
   double dueAt = Double.POSITIVE_INFINITY;
+
   /** When it must have been written, on the clock. */
   double writeBy = Double.POSITIVE_INFINITY;
+
   /** Null while the attempt has no connection yet. */
   BackendConnection connection;
-  /** True once the request's last byte went to the kernel: from then on the backend may have run it. */
+
+  /**
+   * True once the request's last byte went to the kernel: from then on the backend may have run it.
+   */
   boolean written;
+
   /** Fires when the attempt's time is up. */
   Future<?> timer;
+
   /** Its answer is being passed on to the client. */
   private boolean begun;
+
   private boolean ended;
 
   Attempt(HttpRequest head, Body body, double timeoutMs) {
@@ -35,9 +45,13 @@
     this.timeoutMs = timeoutMs;
   }
 
-  /** True when the protocol has it that this request must never run twice: it is posted without a key. */
+  /**
+   * True when the protocol has it that this request must never run twice: it is posted without a
+   * key.
+   */
   final boolean once() {
-    return head.method().equals(HttpMethod.POST) && !head.headers().contains(Headers.IDEMPOTENCY_KEY);
+    return head.method().equals(HttpMethod.POST)
+        && !head.headers().contains(Headers.IDEMPOTENCY_KEY);
   }
 
   final boolean ended() {
@@ -49,8 +63,8 @@
   }
 
   /**
-   * How a broken connection ends this attempt: whether it may have run is told by the write alone. Stale: the
-   * connection had been kept, and nothing came of this attempt's answer.
+   * How a broken connection ends this attempt: whether it may have run is told by the write alone.
+   * Stale: the connection had been kept, and nothing came of this attempt's answer.
    */
   final Status broken(boolean stale) {
     if (!written) {
@@ -60,8 +74,8 @@
   }
 
   /**
-   * How running out of time ends this attempt; one without a connection tells nothing of its backend, and of
-   * one that was not written whole nothing ran.
+   * How running out of time ends this attempt; one without a connection tells nothing of its
+   * backend, and of one that was not written whole nothing ran.
    */
   final Status overdue() {
     return written ? Status.TIMED_OUT : connection == null ? Status.NOT_SENT : Status.BROKEN;
@@ -72,7 +86,10 @@
     return written ? Status.CANCELLED : overdue();
   }
 
-  /** From here on its answer goes to the client as it comes, however long that takes; false if unwanted. */
+  /**
+   * From here on its answer goes to the client as it comes, however long that takes; false if
+   * unwanted.
+   */
   final boolean begin(HttpResponse answer) {
     begun = true;
     stopTimer();
@@ -104,8 +121,9 @@
   }
 
   /**
-   * Stops waiting. The connection is closed first, as an answer may still come on it, and as the end may make
-   * the module send the next attempt at once: one copy at a time is out on an open connection.
+   * Stops waiting. The connection is closed first, as an answer may still come on it, and as the
+   * end may make the module send the next attempt at once: one copy at a time is out on an open
+   * connection.
    */
   final void abandon(Status status) {
     if (ended) {
@@ -118,9 +136,9 @@
   }
 
   /**
-   * The last look before the request is written: false, and the attempt has ended, where nobody waits for its
-   * answer any more. Guards the rule on clients that have left: a loop that was held up, or that has paused
-   * reading, has not heard of it yet.
+   * The last look before the request is written: false, and the attempt has ended, where nobody
+   * waits for its answer any more. Guards the rule on clients that have left: a loop that was held
+   * up, or that has paused reading, has not heard of it yet.
    */
   boolean wanted() {
     return !ended;
--- a/src/main/java/willowdoor/net/BackendConnection.java
+++ b/src/main/java/willowdoor/net/BackendConnection.java
@@ -29,41 +29,65 @@
 /** One connection to a backend: at most one attempt at a time, and what its answer means. */
 final class BackendConnection extends SimpleChannelInboundHandler<HttpObject> implements Body.Sink {
 
-  /** An answer within this is held whole, so that another can take its place; a larger one is passed on. */
+  /**
+   * An answer within this is held whole, so that another can take its place; a larger one is passed
+   * on.
+   */
   private static final int MOST_HELD = 64 * 1024;
+
   /** Answers reach 32 MB; a length far beyond that is none. */
   private static final long MOST_PASSED = 64 << 20;
+
   /** Answers 1xx that may come ahead of the real one. */
   private static final int MOST_AHEAD = 16;
-  /** An answer that has begun and of which nothing came for so long is given up while it can be replaced. */
+
+  /**
+   * An answer that has begun and of which nothing came for so long is given up while it can be
+   * replaced.
+   */
   private static final long STOPPED_MS = 250;
-  /** One that the client has a part of cannot be: it is waited for as long as anything may still come. */
+
+  /**
+   * One that the client has a part of cannot be: it is waited for as long as anything may still
+   * come.
+   */
   private static final double PASSED_STOPPED_MS = 10_000;
 
   private final BackendPool pool;
   private final ResponseDecoder decoder;
   final BackendPool.Backend backend;
+
   /** Where it leads; its backend may move. */
   final InetSocketAddress place;
+
   private Channel channel;
   private Attempt current;
   double idleSince;
+
   /** For how long it had been idle before it was used again. */
   double idleMs;
+
   /** It has carried an answer before. */
   private boolean kept;
+
   /** The answer being read, its body so far, and whether its end has come. */
   private HttpResponse head;
+
   private ByteBuf body;
   private boolean whole;
   private int ahead;
+
   /** The connection broke: its end is no answer's end. */
   private boolean reset;
+
   /** More has come than the one answer. */
   private boolean overfull;
+
   /** Ends an answer that stops half way; and when the last of it came. */
   private Future<?> stop;
+
   private double progressAt;
+
   /** The client takes no more for now. */
   private boolean paused;
 
@@ -88,7 +112,10 @@
     channel.close();
   }
 
-  /** Closes the connection under its attempt, which its caller ends: nothing that still comes is for it. */
+  /**
+   * Closes the connection under its attempt, which its caller ends: nothing that still comes is for
+   * it.
+   */
   void closeUnder() {
     current = null;
     forget();
@@ -96,8 +123,8 @@
   }
 
   /**
-   * Writes the attempt's request; nothing below the module ever writes it again. It tells the time that is
-   * left by now, as the connection may have been long in coming up.
+   * Writes the attempt's request; nothing below the module ever writes it again. It tells the time
+   * that is left by now, as the connection may have been long in coming up.
    */
   void carry(Attempt attempt) {
     current = attempt;
@@ -108,10 +135,17 @@
       head.headers().set(Headers.TIMEOUT_MS, Long.toString((long) Math.ceil(left)));
     }
     if (attempt.body.whole()) {
-      lastWrite(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(),
-          attempt.body.held().retainedDuplicate(), head.headers(), EmptyHttpHeaders.INSTANCE));
+      lastWrite(
+          new DefaultFullHttpRequest(
+              HttpVersion.HTTP_1_1,
+              head.method(),
+              head.uri(),
+              attempt.body.held().retainedDuplicate(),
+              head.headers(),
+              EmptyHttpHeaders.INSTANCE));
     } else {
-      channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), head.headers()));
+      channel.write(
+          new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), head.headers()));
       attempt.body.passTo(this);
       channel.flush();
     }
@@ -119,18 +153,22 @@
 
   private void lastWrite(HttpObject last) {
     Attempt attempt = current;
-    channel.writeAndFlush(last).addListener((ChannelFuture f) -> {
-      attempt.written = f.isSuccess();
-      if (!f.isSuccess()) {
-        attempt.end(Status.BROKEN, null);
-        channel.close();
-      }
-    });
+    channel
+        .writeAndFlush(last)
+        .addListener(
+            (ChannelFuture f) -> {
+              attempt.written = f.isSuccess();
+              if (!f.isSuccess()) {
+                attempt.end(Status.BROKEN, null);
+                channel.close();
+              }
+            });
   }
 
   @Override
   public boolean piece(ByteBuf bytes) {
-    channel.writeAndFlush(new DefaultHttpContent(bytes))
+    channel
+        .writeAndFlush(new DefaultHttpContent(bytes))
         .addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
     return channel.isWritable();
   }
@@ -178,7 +216,8 @@
   private void begin(HttpResponse answer) {
     boolean informational = answer.status().codeClass() == HttpStatusClass.INFORMATIONAL;
     long length = HttpUtil.getContentLength(answer, 0L);
-    // Where no length is told the end of the connection is the end of the body, if that is announced.
+    // Where no length is told the end of the connection is the end of the body, if that is
+    // announced.
     boolean ends = framed(answer) || !HttpUtil.isKeepAlive(answer);
     if (informational ? ++ahead > MOST_AHEAD : !ends || length > MOST_PASSED) {
       spoilt();
@@ -218,7 +257,10 @@
     }
   }
 
-  /** Begins to pass the answer on: it is too large to be held, or so slow that its client may wait for it. */
+  /**
+   * Begins to pass the answer on: it is too large to be held, or so slow that its client may wait
+   * for it.
+   */
   private void passOn() {
     if (!current.written || status(head) != Status.OK) {
       spoilt();
@@ -243,8 +285,9 @@
   }
 
   /**
-   * Hands the answer on once the read is finished: only then it shows whether more than the answer has come.
-   * Guards against a second copy, or noise, that would be taken for the next attempt's answer.
+   * Hands the answer on once the read is finished: only then it shows whether more than the answer
+   * has come. Guards against a second copy, or noise, that would be taken for the next attempt's
+   * answer.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
@@ -268,8 +311,12 @@
       return;
     }
     // Where no length is told the answer may be one of those whose first bytes are waited for.
-    if (!current.begun() && head != null && body != null && !HttpUtil.isContentLengthSet(head)
-        && current.written && status(head) == Status.OK) {
+    if (!current.begun()
+        && head != null
+        && body != null
+        && !HttpUtil.isContentLengthSet(head)
+        && current.written
+        && status(head) == Status.OK) {
       passOn();
     }
     if (current != null) {
@@ -279,11 +326,23 @@
 
   private void answered() {
     Attempt attempt = current;
-    FullHttpResponse answer = attempt.begun() ? null : new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-        head.status(), body.retain(), head.headers(), EmptyHttpHeaders.INSTANCE);
+    FullHttpResponse answer =
+        attempt.begun()
+            ? null
+            : new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1,
+                head.status(),
+                body.retain(),
+                head.headers(),
+                EmptyHttpHeaders.INSTANCE);
     boolean inStep = attempt.written;
-    boolean reusable = inStep && !attempt.ended() && !overfull && !decoder.holdsMore()
-        && HttpUtil.isKeepAlive(head) && channel.isActive();
+    boolean reusable =
+        inStep
+            && !attempt.ended()
+            && !overfull
+            && !decoder.holdsMore()
+            && HttpUtil.isKeepAlive(head)
+            && channel.isActive();
     // An answer ahead of the request's end is none to this request.
     Status status = inStep ? status(head) : Status.BROKEN;
     current = null;
@@ -303,14 +362,17 @@
     }
   }
 
-  /** What came cannot be the answer: the request may have run, and the connection is of no more use. */
+  /**
+   * What came cannot be the answer: the request may have run, and the connection is of no more use.
+   */
   private void spoilt() {
     Attempt attempt = current;
     current = null;
     forget();
     channel.close();
     if (attempt != null) {
-      attempt.end(!attempt.written ? Status.BROKEN : attempt.begun() ? Status.RESET : Status.SPOILT, null);
+      attempt.end(
+          !attempt.written ? Status.BROKEN : attempt.begun() ? Status.RESET : Status.SPOILT, null);
     }
   }
 
@@ -336,9 +398,10 @@
     if (code.equals(HttpResponseStatus.OK)) {
       return Status.OK;
     }
-    boolean turnedAway = (code.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
-        || code.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
-        && "1".equals(answer.headers().get(Headers.NOT_STARTED));
+    boolean turnedAway =
+        (code.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
+                || code.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
+            && "1".equals(answer.headers().get(Headers.NOT_STARTED));
     return turnedAway ? Status.REJECTED : Status.ERROR;
   }
 
--- a/src/main/java/willowdoor/net/BackendPool.java
+++ b/src/main/java/willowdoor/net/BackendPool.java
@@ -21,16 +21,25 @@
 import willowdoor.GatewayApi.Phase;
 import willowdoor.GatewayApi.Status;
 
-/** The connections to the backends, and the attempts on them. It picks no backend and repeats nothing. */
+/**
+ * The connections to the backends, and the attempts on them. It picks no backend and repeats
+ * nothing.
+ */
 final class BackendPool {
 
-  /** An idle connection is retired at this share of the backends' own limit, well before they close it. */
+  /**
+   * An idle connection is retired at this share of the backends' own limit, well before they close
+   * it.
+   */
   private static final double RETIRE_AT = 0.6;
+
   /**
-   * A connection is used again only when it has been quiet for this long after an answer. Guards against a
-   * second copy just behind, which nothing but the moment of its coming tells from the next answer.
+   * A connection is used again only when it has been quiet for this long after an answer. Guards
+   * against a second copy just behind, which nothing but the moment of its coming tells from the
+   * next answer.
    */
   private static final double SETTLE_MS = 4;
+
   private static final long SWEEP_MS = 500;
 
   /** A backend that has connections, or is about to. */
@@ -39,10 +48,13 @@
     private long listedPlace;
     private double startedMs;
     private boolean gone;
+
     /** Connections that are open or coming up. */
     private int connections;
+
     /** The last one in was used last, and is used next: the others grow old and are retired. */
     private final ArrayDeque<BackendConnection> idle = new ArrayDeque<>();
+
     private final Set<Attempt> connecting = new HashSet<>();
 
     Backend(long place, double startedMs) {
@@ -63,13 +75,24 @@
   private final double idleLimitMs;
   private final Places places;
   private final Listing listing;
-  /** Those with connections, by identifier; of the others the listing tells the place when it is needed. */
+
+  /**
+   * Those with connections, by identifier; of the others the listing tells the place when it is
+   * needed.
+   */
   private final Map<Long, Backend> backends = new HashMap<>();
+
   /** Read by the admin server too. */
   private volatile boolean knowsAny;
+
   final IdleTrust trust = new IdleTrust();
 
-  BackendPool(EventLoop loop, Clock clock, Dialer dialer, double idleLimitMs, Places places,
+  BackendPool(
+      EventLoop loop,
+      Clock clock,
+      Dialer dialer,
+      double idleLimitMs,
+      Places places,
       Listing listing) {
     this.loop = loop;
     this.clock = clock;
@@ -81,15 +104,16 @@
   }
 
   /**
-   * Looks at what discovery told, which the listing has already. What is unused or still coming up leads to
-   * nobody any more where a backend drains or is gone, or has moved or started again: another may live at its
-   * old place.
+   * Looks at what discovery told, which the listing has already. What is unused or still coming up
+   * leads to nobody any more where a backend drains or is gone, or has moved or started again:
+   * another may live at its old place.
    */
   void onRoster(RosterNews news) {
     List<Backend> left = new ArrayList<>();
     news.entries().forEach(e -> look(e, left));
     if (news.full()) {
-      List.copyOf(backends.keySet()).stream().filter(id -> listing.place(id) == BackendEntry.NOWHERE)
+      List.copyOf(backends.keySet()).stream()
+          .filter(id -> listing.place(id) == BackendEntry.NOWHERE)
           .forEach(id -> remove(id, left));
     }
     knowsAny = listing.any();
@@ -111,7 +135,10 @@
     }
   }
 
-  /** Guards the rule on drains: an attempt that still waits for its connection is not written any more. */
+  /**
+   * Guards the rule on drains: an attempt that still waits for its connection is not written any
+   * more.
+   */
   private void remove(long id, List<Backend> left) {
     Backend b = backends.remove(id);
     if (b != null) {
@@ -131,8 +158,11 @@
   /** Gives an attempt up after that time, if it is known. */
   void limit(Attempt attempt, double timeoutMs) {
     if (timeoutMs < Double.POSITIVE_INFINITY) {
-      attempt.timer = loop.schedule(() -> attempt.abandon(attempt.overdue()),
-          Math.max(0, (long) (timeoutMs * 1000)), TimeUnit.MICROSECONDS);
+      attempt.timer =
+          loop.schedule(
+              () -> attempt.abandon(attempt.overdue()),
+              Math.max(0, (long) (timeoutMs * 1000)),
+              TimeUnit.MICROSECONDS);
     }
   }
 
@@ -147,18 +177,27 @@
     return b;
   }
 
-  /** Gives an attempt up that is not written whole after that time: its last byte must not go out later. */
+  /**
+   * Gives an attempt up that is not written whole after that time: its last byte must not go out
+   * later.
+   */
   private void limitWrite(Attempt attempt, double startMs) {
     if (startMs < Double.POSITIVE_INFINITY) {
-      loop.schedule(() -> {
-        if (!attempt.written) {
-          attempt.abandon(attempt.overdue());
-        }
-      }, (long) (startMs * 1000), TimeUnit.MICROSECONDS);
+      loop.schedule(
+          () -> {
+            if (!attempt.written) {
+              attempt.abandon(attempt.overdue());
+            }
+          },
+          (long) (startMs * 1000),
+          TimeUnit.MICROSECONDS);
     }
   }
 
-  /** Starts an attempt on an idle connection, or on a new one; it is written whole in startMs, or fails. */
+  /**
+   * Starts an attempt on an idle connection, or on a new one; it is written whole in startMs, or
+   * fails.
+   */
   void start(long id, Attempt attempt, double startMs) {
     Backend b = backend(id);
     if (b == null || startMs <= 0 || attempt.timeoutMs <= 0) {
@@ -183,13 +222,14 @@
   }
 
   /**
-   * The connection used last, if it has settled, and not so long ago that the backend may be closing it, or
-   * that it may be dead under an attempt that could not be made good.
+   * The connection used last, if it has settled, and not so long ago that the backend may be
+   * closing it, or that it may be dead under an attempt that could not be made good.
    */
   private BackendConnection idle(Backend b, Attempt attempt) {
     double now = clock.now();
     BackendConnection found = null;
-    for (Iterator<BackendConnection> i = b.idle.descendingIterator(); found == null && i.hasNext();) {
+    for (Iterator<BackendConnection> i = b.idle.descendingIterator();
+        found == null && i.hasNext(); ) {
       BackendConnection c = i.next();
       if (c.idleSince < now - SETTLE_MS) {
         if (attempt.once() && !trust.trusts(now - c.idleSince)) {
@@ -213,35 +253,41 @@
     b.connecting.add(attempt);
     ResponseDecoder decoder = new ResponseDecoder();
     BackendConnection c = new BackendConnection(this, b, decoder);
-    ChannelFuture connected = dialer.dial(b.place, new ChannelInitializer<Channel>() {
-      @Override
-      protected void initChannel(Channel channel) {
-        channel.pipeline().addLast(decoder, new HttpRequestEncoder(), c);
-      }
-    });
-    connected.addListener((ChannelFuture f) -> {
-      if (f.isSuccess()) {
-        f.channel().closeFuture().addListener(closed -> giveBack(b));
-      } else {
-        // Where no socket was to be had there is no channel that could close.
-        giveBack(b);
-      }
-    });
-    connected.addListener((ChannelFuture f) -> {
-      b.connecting.remove(attempt);
-      // Guards against writing what has timed out, was cancelled or must not reach a drained backend, and
-      // what is for a client that has left.
-      if (!attempt.wanted()) {
-        closeIfConnected(f);
-      } else if (f.isSuccess() && clock.now() > attempt.writeBy) {
-        f.channel().close();
-        attempt.end(Status.NOT_SENT, null);
-      } else if (f.isSuccess()) {
-        c.carry(attempt);
-      } else {
-        attempt.end(unconnected(f.cause()), null);
-      }
-    });
+    ChannelFuture connected =
+        dialer.dial(
+            b.place,
+            new ChannelInitializer<Channel>() {
+              @Override
+              protected void initChannel(Channel channel) {
+                channel.pipeline().addLast(decoder, new HttpRequestEncoder(), c);
+              }
+            });
+    connected.addListener(
+        (ChannelFuture f) -> {
+          if (f.isSuccess()) {
+            f.channel().closeFuture().addListener(closed -> giveBack(b));
+          } else {
+            // Where no socket was to be had there is no channel that could close.
+            giveBack(b);
+          }
+        });
+    connected.addListener(
+        (ChannelFuture f) -> {
+          b.connecting.remove(attempt);
+          // Guards against writing what has timed out, was cancelled or must not reach a drained
+          // backend, and
+          // what is for a client that has left.
+          if (!attempt.wanted()) {
+            closeIfConnected(f);
+          } else if (f.isSuccess() && clock.now() > attempt.writeBy) {
+            f.channel().close();
+            attempt.end(Status.NOT_SENT, null);
+          } else if (f.isSuccess()) {
+            c.carry(attempt);
+          } else {
+            attempt.end(unconnected(f.cause()), null);
+          }
+        });
   }
 
   private void giveBack(Backend b) {
@@ -257,17 +303,20 @@
   }
 
   /**
-   * A reset shows that something lives there, which took the connection and dropped it: BROKEN. Guards
-   * against taking live backends for restarted ones, whatever resets: their full tables, a box between, a
-   * slow loop that first looks when all is over. Harm: a machine that comes back and resets what was under
-   * way meanwhile is met once more before a refusal, or the list, tells of its restart.
+   * A reset shows that something lives there, which took the connection and dropped it: BROKEN.
+   * Guards against taking live backends for restarted ones, whatever resets: their full tables, a
+   * box between, a slow loop that first looks when all is over. Harm: a machine that comes back and
+   * resets what was under way meanwhile is met once more before a refusal, or the list, tells of
+   * its restart.
    */
   private static Status unconnected(Throwable cause) {
     if (cause instanceof ChannelException) {
       // No socket was to be had here: that tells nothing of the backend.
       return Status.NOT_SENT;
     }
-    return String.valueOf(cause.getMessage()).contains("reset") ? Status.BROKEN : Status.UNREACHABLE;
+    return String.valueOf(cause.getMessage()).contains("reset")
+        ? Status.BROKEN
+        : Status.UNREACHABLE;
   }
 
   void release(BackendConnection c) {
--- a/src/main/java/willowdoor/net/Body.java
+++ b/src/main/java/willowdoor/net/Body.java
@@ -5,8 +5,9 @@
 import java.util.function.IntConsumer;
 
 /**
- * The body of a request on its way from its client to a backend. Within the bound it is held whole, so that
- * it can go out again. A larger one is handed through as it comes, as fast as both sides go, and not kept.
+ * The body of a request on its way from its client to a backend. Within the bound it is held whole,
+ * so that it can go out again. A larger one is handed through as it comes, as fast as both sides
+ * go, and not kept.
  */
 final class Body {
 
@@ -30,6 +31,7 @@
   private ByteBuf held = Unpooled.EMPTY_BUFFER;
   private Sink sink;
   private boolean whole;
+
   /** Nobody wants any more of it. */
   private boolean dropped;
 
@@ -41,7 +43,7 @@
 
   /** A whole body of these bytes. */
   static Body of(ByteBuf bytes) {
-    Body body = new Body(more -> { }, change -> { });
+    Body body = new Body(more -> {}, change -> {});
     body.add(bytes);
     body.end();
     return body;
@@ -68,8 +70,9 @@
   }
 
   /**
-   * Its last byte has come. Guards against a connection that is never read again: the last bytes may be those
-   * at which reading paused, and no room for more of this body will be told of any more. Harm: none.
+   * Its last byte has come. Guards against a connection that is never read again: the last bytes
+   * may be those at which reading paused, and no room for more of this body will be told of any
+   * more. Harm: none.
    */
   void end() {
     whole = true;
--- a/src/main/java/willowdoor/net/ClientConnection.java
+++ b/src/main/java/willowdoor/net/ClientConnection.java
@@ -37,70 +37,112 @@
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
 
   private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
-  /** How long a connection that is ended over bad input stays half open, so that the answer is read. */
+
+  /**
+   * How long a connection that is ended over bad input stays half open, so that the answer is read.
+   */
   private static final long LINGER_MS = 300;
+
   /** One over a larger request stays so for as long as more of that comes, within this. */
   private static final double MOST_LINGER_MS = 10_000;
+
   /**
-   * From its connecting, or for a later request from its first byte, a client has so long for a request's
-   * head. A trickle does not extend it: each held connection is one that another client cannot have.
+   * From its connecting, or for a later request from its first byte, a client has so long for a
+   * request's head. A trickle does not extend it: each held connection is one that another client
+   * cannot have.
    */
   private static final double REQUEST_MS = 2_200;
+
   /** For the body it has this and the time that it takes at the least pace, 64 kB a second. */
   private static final double BODY_MS = 700;
+
   private static final double BODY_BYTES_PER_MS = 60;
   private static final long MOST_BODY = 32L << 20;
+
   /** Who has taken nothing of an answer, or of a body, for so long is not there any more. */
   private static final double STUCK_MS = 30_000;
+
   /** Between requests a connection may be ended after this, if another wants its place. */
   private static final double EVICT_MS = 2_050;
-  /** One with no whole request in so long goes sooner: clients connect in order to ask, and ask at once. */
+
+  /**
+   * One with no whole request in so long goes sooner: clients connect in order to ask, and ask at
+   * once.
+   */
   private static final double EVICT_SILENT_MS = 300;
-  /** Between requests a connection is ended after this in any case: some clients never come back. */
+
+  /**
+   * Between requests a connection is ended after this in any case: some clients never come back.
+   */
   private static final double IDLE_MS = 10_000;
+
   /** Requests kept behind the one under way; a client with more gets no further answers. */
   private static final int MOST_BEHIND = 16;
 
   private final ClientServer server;
   private Channel channel;
+
   /** One connection too many: its first request is refused, and it ends. */
   private boolean over;
+
   /** The request that is being worked on, and whether its connection is kept after it. */
   private String current;
+
   private Incoming handled;
   private boolean keepAlive;
+
   /** Where the pieces of its answer come from, and since when the client takes none. */
   private Attempt passing;
+
   private double stuckSince = Double.NaN;
   private boolean ending;
+
   /** When it was opened or last answered. */
   private double quietSince;
+
   private boolean asked;
-  /** When the request that is being received began, or NaN; and how many bytes have come of its head. */
+
+  /**
+   * When the request that is being received began, or NaN; and how many bytes have come of its
+   * head.
+   */
   private double receivingSince = Double.NaN;
+
   private int headBytes;
+
   /** That request, once its head has come; and since when its body is not wanted for now. */
   private Incoming coming;
+
   private double pausedSince;
   private double heardAt;
+
   /** Too many requests came at once: those kept are answered, and then the connection ends. */
   private boolean overrun;
+
   /** Requests that wait their turn, and whether the first of them is about to have it. */
   private final ArrayDeque<Incoming> waiting = new ArrayDeque<>(1);
+
   private boolean proceeding;
 
   /** A request as it comes. */
   private final class Incoming {
     final HttpRequest head;
     final Body body = new Body(ClientConnection.this::read, server::hold);
+
     /** When its last byte came to this machine: from then on its time counts. */
     double arrivedAt;
-    /** When its body began, later by as long as that was not wanted; and how much has come of it. */
+
+    /**
+     * When its body began, later by as long as that was not wanted; and how much has come of it.
+     */
     double bodySince = server.now();
+
     long bodyBytes;
     boolean queued;
+
     /** Taken by the module, with so much time from its last byte on. */
     boolean taken;
+
     double timeoutMs;
     boolean malformed;
     boolean expects;
@@ -127,7 +169,9 @@
     over = server.opened(this);
   }
 
-  /** Called with the size of what has come, before it is decoded; false when nothing more is wanted. */
+  /**
+   * Called with the size of what has come, before it is decoded; false when nothing more is wanted.
+   */
   boolean receives(int bytes) {
     heardAt = server.now();
     if (ending || overrun) {
@@ -187,8 +231,9 @@
   }
 
   /**
-   * Guards against clients that never finish a request, say nothing, never come back, or read no answer; and
-   * while draining ends what no request is on. One that has just connected may still ask.
+   * Guards against clients that never finish a request, say nothing, never come back, or read no
+   * answer; and while draining ends what no request is on. One that has just connected may still
+   * ask.
    */
   void endIfOverdue(double now) {
     if (ending) {
@@ -266,11 +311,16 @@
 
   /** Tells a client that waits for it to send its body, once no answer is owed before. */
   private void encourage() {
-    if (coming != null && coming.expects && !ending && !coming.tooLarge() && current == null
+    if (coming != null
+        && coming.expects
+        && !ending
+        && !coming.tooLarge()
+        && current == null
         && (waiting.isEmpty() || waiting.peek() == coming)) {
       coming.expects = false;
-      channel.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE,
-          Unpooled.EMPTY_BUFFER));
+      channel.writeAndFlush(
+          new DefaultFullHttpResponse(
+              HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
     }
   }
 
@@ -278,14 +328,18 @@
     Incoming in = coming;
     in.bodyBytes += content.content().readableBytes();
     if (content instanceof LastHttpContent && in.taken && left()) {
-      // The client closed behind its body long ago, maybe: a backend that gets no last byte does not begin.
+      // The client closed behind its body long ago, maybe: a backend that gets no last byte does
+      // not begin.
       return;
     }
     if (content.decoderResult().isFailure() || in.tooLarge() && in.taken) {
       in.malformed = !in.tooLarge();
       if (in.taken) {
-        giveUpBody(in.tooLarge() ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
-            : HttpResponseStatus.BAD_REQUEST, in.tooLarge() ? "body is too large" : "malformed body");
+        giveUpBody(
+            in.tooLarge()
+                ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
+                : HttpResponseStatus.BAD_REQUEST,
+            in.tooLarge() ? "body is too large" : "malformed body");
       } else {
         queue(in);
       }
@@ -320,21 +374,25 @@
   }
 
   /**
-   * Has the next request handled behind all that the sockets have to tell by now. Guards against work for
-   * clients that are gone: where CPU is short for any cause, connections wait long to be accepted, and the
-   * hang-up is there with the request. Serving the dead first would leave no time for the living. Harm: a
-   * client that ends its sending before it has its answer gets none, as already when it does so later.
+   * Has the next request handled behind all that the sockets have to tell by now. Guards against
+   * work for clients that are gone: where CPU is short for any cause, connections wait long to be
+   * accepted, and the hang-up is there with the request. Serving the dead first would leave no time
+   * for the living. Harm: a client that ends its sending before it has its answer gets none, as
+   * already when it does so later.
    */
   private void proceed() {
     if (!proceeding && current == null && !waiting.isEmpty()) {
       proceeding = true;
-      channel.eventLoop().execute(() -> {
-        proceeding = false;
-        Incoming next = waiting.poll();
-        if (next != null) {
-          handle(next);
-        }
-      });
+      channel
+          .eventLoop()
+          .execute(
+              () -> {
+                proceeding = false;
+                Incoming next = waiting.poll();
+                if (next != null) {
+                  handle(next);
+                }
+              });
     }
     encourage();
   }
@@ -365,7 +423,10 @@
     }
   }
 
-  /** A fault of ours costs this request, not the connection or the process; its cause goes to the log. */
+  /**
+   * A fault of ours costs this request, not the connection or the process; its cause goes to the
+   * log.
+   */
   private void faulty(RuntimeException cause) {
     LOG.log(Level.SEVERE, "request failed", cause);
     if (current != null) {
@@ -379,8 +440,10 @@
 
   private void up(HttpRequest message) {
     boolean get = message.method().equals(HttpMethod.GET);
-    answer(!get ? HttpResponseStatus.METHOD_NOT_ALLOWED
-        : server.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
+    answer(
+        !get
+            ? HttpResponseStatus.METHOD_NOT_ALLOWED
+            : server.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
   }
 
   private void take(Incoming in) {
@@ -395,54 +458,62 @@
     in.timeoutMs = request.giveUpMs() - in.arrivedAt;
     current = request.id();
     in.taken = true;
-    server.driver().take(in.body.whole() ? request : request.withoutLimit(), onward(in), in.body,
-        new ModuleDriver.Client() {
-          @Override
-          public boolean left() {
-            boolean left = ClientConnection.this.left();
-            current = left ? null : current;
-            return left;
-          }
-
-          @Override
-          public void served(FullHttpResponse answer) {
-            current = null;
-            ClientConnection.this.served(answer);
-          }
-
-          @Override
-          public void begins(HttpResponse head, Attempt from) {
-            passing = from;
-            pass(head, in.head);
-          }
-
-          @Override
-          public boolean piece(HttpContent piece) {
-            return ClientConnection.this.piece(piece);
-          }
-
-          @Override
-          public void ends(boolean whole) {
-            if (passing != null) {
-              passed(whole);
-            }
-          }
-
-          @Override
-          public void refused(double holdOffMs) {
-            current = null;
-            ClientConnection.this.refused(holdOffMs);
-          }
-
-          @Override
-          public void failed() {
-            current = null;
-            answer(HttpResponseStatus.BAD_GATEWAY);
-          }
-        });
-  }
-
-  /** Whether the client has ended the connection, which is closed then, though its end was not read yet. */
+    server
+        .driver()
+        .take(
+            in.body.whole() ? request : request.withoutLimit(),
+            onward(in),
+            in.body,
+            new ModuleDriver.Client() {
+              @Override
+              public boolean left() {
+                boolean left = ClientConnection.this.left();
+                current = left ? null : current;
+                return left;
+              }
+
+              @Override
+              public void served(FullHttpResponse answer) {
+                current = null;
+                ClientConnection.this.served(answer);
+              }
+
+              @Override
+              public void begins(HttpResponse head, Attempt from) {
+                passing = from;
+                pass(head, in.head);
+              }
+
+              @Override
+              public boolean piece(HttpContent piece) {
+                return ClientConnection.this.piece(piece);
+              }
+
+              @Override
+              public void ends(boolean whole) {
+                if (passing != null) {
+                  passed(whole);
+                }
+              }
+
+              @Override
+              public void refused(double holdOffMs) {
+                current = null;
+                ClientConnection.this.refused(holdOffMs);
+              }
+
+              @Override
+              public void failed() {
+                current = null;
+                answer(HttpResponseStatus.BAD_GATEWAY);
+              }
+            });
+  }
+
+  /**
+   * Whether the client has ended the connection, which is closed then, though its end was not read
+   * yet.
+   */
   private boolean left() {
     if (channel.isActive() && Transport.endedByPeer(channel)) {
       channel.close();
@@ -453,16 +524,25 @@
   /** What goes on to a backend: the request line and the headers that are passed on, unchanged. */
   private static HttpRequest onward(Incoming in) {
     HttpHeaders from = in.head.headers();
-    DefaultHttpRequest onward = new DefaultHttpRequest(HttpVersion.HTTP_1_1, in.head.method(),
-        RequestReader.path(in.head.uri()));
-    for (CharSequence name : new CharSequence[] {HttpHeaderNames.HOST, Headers.REQUEST_ID,
-        Headers.REQUEST_CLASS, Headers.IDEMPOTENCY_KEY, HttpHeaderNames.CONTENT_TYPE, Headers.TIMEOUT_MS}) {
+    DefaultHttpRequest onward =
+        new DefaultHttpRequest(
+            HttpVersion.HTTP_1_1, in.head.method(), RequestReader.path(in.head.uri()));
+    for (CharSequence name :
+        new CharSequence[] {
+          HttpHeaderNames.HOST,
+          Headers.REQUEST_ID,
+          Headers.REQUEST_CLASS,
+          Headers.IDEMPOTENCY_KEY,
+          HttpHeaderNames.CONTENT_TYPE,
+          Headers.TIMEOUT_MS
+        }) {
       String value = from.get(name);
       if (value != null) {
         onward.headers().set(name, value);
       }
     }
-    long length = in.body.whole() ? in.body.held().readableBytes() : HttpUtil.getContentLength(in.head, -1L);
+    long length =
+        in.body.whole() ? in.body.held().readableBytes() : HttpUtil.getContentLength(in.head, -1L);
     if (length < 0) {
       onward.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     } else if (length > 0 || in.head.method().equals(HttpMethod.POST)) {
@@ -472,8 +552,9 @@
   }
 
   private void served(FullHttpResponse from) {
-    DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-        from.content().retain());
+    DefaultFullHttpResponse answer =
+        new DefaultFullHttpResponse(
+            HttpVersion.HTTP_1_1, HttpResponseStatus.OK, from.content().retain());
     copyType(from, answer);
     write(answer);
   }
@@ -487,7 +568,8 @@
 
   /** Begins an answer that follows in pieces. */
   private void pass(HttpResponse from, HttpRequest to) {
-    DefaultHttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
+    DefaultHttpResponse answer =
+        new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
     copyType(from, answer);
     if (HttpUtil.isContentLengthSet(from)) {
       answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, HttpUtil.getContentLength(from));
@@ -523,7 +605,10 @@
     }
   }
 
-  /** Ends such an answer; one that is not whole ends with a reset, which no framing takes for its end. */
+  /**
+   * Ends such an answer; one that is not whole ends with a reset, which no framing takes for its
+   * end.
+   */
   private void passed(boolean whole) {
     passing = null;
     current = null;
@@ -541,10 +626,15 @@
   }
 
   private void refused(double holdOffMs) {
-    FullHttpResponse answer = empty(holdOffMs > 0 ? HttpResponseStatus.TOO_MANY_REQUESTS
-        : HttpResponseStatus.SERVICE_UNAVAILABLE);
+    FullHttpResponse answer =
+        empty(
+            holdOffMs > 0
+                ? HttpResponseStatus.TOO_MANY_REQUESTS
+                : HttpResponseStatus.SERVICE_UNAVAILABLE);
     if (holdOffMs > 0) {
-      answer.headers().set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", holdOffMs / 1000));
+      answer
+          .headers()
+          .set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", holdOffMs / 1000));
     }
     write(answer);
   }
@@ -577,7 +667,8 @@
 
   /** Whether the connection is kept after this answer, which tells the client. */
   private boolean keeps(HttpResponse answer) {
-    // In a crowd a kept connection is a place that another client may not find. What has come whole behind
+    // In a crowd a kept connection is a place that another client may not find. What has come whole
+    // behind
     // this request has been taken, and is answered first.
     boolean last = (server.draining() || server.crowded() || overrun) && waiting.isEmpty();
     boolean keep = keepAlive && !last && handled.body.whole();
@@ -589,7 +680,10 @@
     return keep;
   }
 
-  /** Ends the connection with its last answer; a client that still sends a body gets to read that first. */
+  /**
+   * Ends the connection with its last answer; a client that still sends a body gets to read that
+   * first.
+   */
   private void end(ChannelFuture answered) {
     ending = true;
     dropWaiting();
@@ -600,7 +694,10 @@
     }
   }
 
-  /** Answers what cannot be read any further, and lets the client read that before the connection ends. */
+  /**
+   * Answers what cannot be read any further, and lets the client read that before the connection
+   * ends.
+   */
   void endWith(HttpResponseStatus status, String reason) {
     if (ending) {
       return;
@@ -619,7 +716,9 @@
     boolean body = coming != null && coming.queued;
     read(true);
     answered.addListener(f -> ((SocketChannel) channel).shutdownOutput());
-    channel.eventLoop().schedule(() -> lingered(body ? until : 0), LINGER_MS, TimeUnit.MILLISECONDS);
+    channel
+        .eventLoop()
+        .schedule(() -> lingered(body ? until : 0), LINGER_MS, TimeUnit.MILLISECONDS);
   }
 
   private void lingered(double until) {
@@ -631,7 +730,9 @@
     }
   }
 
-  /** Ends the connection if no request is on it; one that is answered while draining ends by itself. */
+  /**
+   * Ends the connection if no request is on it; one that is answered while draining ends by itself.
+   */
   void closeIfIdle() {
     if (current == null && waiting.isEmpty() && !ending) {
       ending = true;
--- a/src/main/java/willowdoor/net/ClientServer.java
+++ b/src/main/java/willowdoor/net/ClientServer.java
@@ -21,37 +21,61 @@
 /** Accepts clients, and tells their connections what all of them share. */
 final class ClientServer {
 
-  /** Of the connections, this part is over the bound: those are still told so, any more end at once. */
+  /**
+   * Of the connections, this part is over the bound: those are still told so, any more end at once.
+   */
   private static final int SPARE_PART = 16;
+
   /** With so much of the places taken, connections end with their answers. */
   private static final double CROWDED = 0.75;
+
   /** How often connections are looked at for overdue requests. */
   private static final long SWEEP_MS = 200;
-  /** So long after new settings clients may still ask by those before: 1.2 s, and those that come late. */
+
+  /**
+   * So long after new settings clients may still ask by those before: 1.2 s, and those that come
+   * late.
+   */
   private static final double FORMER_MS = 3_000;
-  /** So long after it is told to drain, the front has heard the no, and sends no new connections. */
+
+  /**
+   * So long after it is told to drain, the front has heard the no, and sends no new connections.
+   */
   static final double NOTICED_MS = 550;
 
   private final Clock clock;
   private final ModuleDriver driver;
   private final BackendPool backends;
   private RequestReader reader;
+
   /** By the settings before, while clients may still ask by those. */
   private RequestReader former;
+
   private double formerUntil = Double.NEGATIVE_INFINITY;
   private final Bounds bounds;
   private final Places places;
+
   /** In the order of their opening. */
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
+
   /** Bytes of requests that are held: being received, or until they need not go out again. */
   private int held;
+
   private volatile Channel listening;
   private final Lifecycle lifecycle;
+
   /** There is no time left for a further request. */
   private boolean over;
 
-  ClientServer(EventLoop loop, Clock clock, ModuleDriver driver, BackendPool backends, RequestReader reader,
-      Bounds bounds, Places places, Lifecycle lifecycle) {
+  ClientServer(
+      EventLoop loop,
+      Clock clock,
+      ModuleDriver driver,
+      BackendPool backends,
+      RequestReader reader,
+      Bounds bounds,
+      Places places,
+      Lifecycle lifecycle) {
     this.clock = clock;
     this.driver = driver;
     this.backends = backends;
@@ -63,20 +87,25 @@
   }
 
   ChannelFuture listen(EventLoopGroup group, InetSocketAddress address) {
-    ChannelFuture bound = new ServerBootstrap().group(group).channel(Transport.BEST.serverSocket())
-        .option(ChannelOption.SO_BACKLOG, 512)
-        .option(ChannelOption.SO_REUSEADDR, true)
-        .option(Transport.BEST.reusePort(), true)
-        .childOption(ChannelOption.TCP_NODELAY, true)
-        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Transport.FEW_WAITING)
-        .childOption(ChannelOption.SO_SNDBUF, Transport.FEW_SENT)
-        .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.smallReads())
-        .childHandler(new ChannelInitializer<Channel>() {
-          @Override
-          protected void initChannel(Channel channel) {
-            adopt(channel);
-          }
-        }).bind(address);
+    ChannelFuture bound =
+        new ServerBootstrap()
+            .group(group)
+            .channel(Transport.BEST.serverSocket())
+            .option(ChannelOption.SO_BACKLOG, 512)
+            .option(ChannelOption.SO_REUSEADDR, true)
+            .option(Transport.BEST.reusePort(), true)
+            .childOption(ChannelOption.TCP_NODELAY, true)
+            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Transport.FEW_WAITING)
+            .childOption(ChannelOption.SO_SNDBUF, Transport.FEW_SENT)
+            .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.smallReads())
+            .childHandler(
+                new ChannelInitializer<Channel>() {
+                  @Override
+                  protected void initChannel(Channel channel) {
+                    adopt(channel);
+                  }
+                })
+            .bind(address);
     listening = bound.channel();
     return bound;
   }
@@ -85,11 +114,15 @@
   void adopt(Channel channel) {
     ClientConnection connection = new ClientConnection(this);
     RequestDecoder decoder = new RequestDecoder();
-    channel.pipeline().addLast(new Inflow(connection, decoder), decoder, new HttpResponseEncoder(),
-        connection);
+    channel
+        .pipeline()
+        .addLast(new Inflow(connection, decoder), decoder, new HttpResponseEncoder(), connection);
   }
 
-  /** Sees a client's bytes first: when a request begins, how much of it has come, whether it is wanted. */
+  /**
+   * Sees a client's bytes first: when a request begins, how much of it has come, whether it is
+   * wanted.
+   */
   private static final class Inflow extends ChannelInboundHandlerAdapter {
     private final ClientConnection connection;
     private final RequestDecoder decoder;
@@ -169,7 +202,10 @@
     return places.clients() > CROWDED * places.mostClients();
   }
 
-  /** True when the connection is one too many; far beyond that it ends at once, as descriptors run out. */
+  /**
+   * True when the connection is one too many; far beyond that it ends at once, as descriptors run
+   * out.
+   */
   boolean opened(ClientConnection connection) {
     connections.add(connection);
     places.client(1);
@@ -216,7 +252,10 @@
     }
   }
 
-  /** The last call: what was taken is failed, and each connection ends, with an answer to what it began. */
+  /**
+   * The last call: what was taken is failed, and each connection ends, with an answer to what it
+   * began.
+   */
   void end() {
     over = true;
     driver.failAll();
--- a/src/main/java/willowdoor/net/Clock.java
+++ b/src/main/java/willowdoor/net/Clock.java
@@ -4,8 +4,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Unix time in milliseconds that never goes back: the system's time once, and the monotonic clock since. The
- * names of the shared counts' windows come from it, so a step of the system's time must not reach them.
+ * Unix time in milliseconds that never goes back: the system's time once, and the monotonic clock
+ * since. The names of the shared counts' windows come from it, so a step of the system's time must
+ * not reach them.
  */
 final class Clock {
 
--- a/src/main/java/willowdoor/net/Config.java
+++ b/src/main/java/willowdoor/net/Config.java
@@ -18,15 +18,28 @@
 import willowdoor.WireSettings;
 
 /** What a front door is told at its start: the file that {@code GW_CONFIG} names. */
-record Config(InetSocketAddress listen, InetSocketAddress mgmt, InetSocketAddress discovery,
-    InetSocketAddress counter, long seed, Settings settings, Bounds limits, double connectLimitMs,
-    double idleLimitMs, RosterNews known, Map<String, Object> fields) {
+record Config(
+    InetSocketAddress listen,
+    InetSocketAddress mgmt,
+    InetSocketAddress discovery,
+    InetSocketAddress counter,
+    long seed,
+    Settings settings,
+    Bounds limits,
+    double connectLimitMs,
+    double idleLimitMs,
+    RosterNews known,
+    Map<String, Object> fields) {
 
   private static final Set<String> REPEATS = Set.of("pure", "token", "side_effect");
+
   /** Keys that the wire allows to be absent. */
   private static final Set<String> OPTIONAL = Set.of("AimStretch", "Fleet");
 
-  /** Reads the file; anything that keeps the front door from serving is an IOException in plain words. */
+  /**
+   * Reads the file; anything that keeps the front door from serving is an IOException in plain
+   * words.
+   */
   static Config read(Path file) throws IOException {
     return of(fields(file));
   }
@@ -43,10 +56,13 @@
       throws IOException {
     for (Map.Entry<String, Object> e : inUse.entrySet()) {
       String name = where + e.getKey();
-      if (fields.get(e.getKey()) == null && e.getValue() != null && !OPTIONAL.contains(e.getKey())) {
+      if (fields.get(e.getKey()) == null
+          && e.getValue() != null
+          && !OPTIONAL.contains(e.getKey())) {
         throw new IOException(name + " is missing");
       }
-      complete(JsonFields.child(fields, e.getKey()), JsonFields.child(inUse, e.getKey()), name + ".");
+      complete(
+          JsonFields.child(fields, e.getKey()), JsonFields.child(inUse, e.getKey()), name + ".");
       List<Map<String, Object>> before = JsonFields.children(inUse, e.getKey());
       if (!before.isEmpty() && !e.getKey().equals("servers")) {
         Map<String, Object> common = new HashMap<>(before.get(0));
@@ -58,10 +74,24 @@
     }
   }
 
-  /** The environment is each process's own, while two may share the file: what it names goes first. */
+  /**
+   * The environment is each process's own, while two may share the file: what it names goes first.
+   */
   Config withMgmt(String address) throws IOException {
-    return address == null ? this : new Config(listen, address(Map.of("mgmt", address), "mgmt"), discovery,
-        counter, seed, settings, limits, connectLimitMs, idleLimitMs, known, fields);
+    return address == null
+        ? this
+        : new Config(
+            listen,
+            address(Map.of("mgmt", address), "mgmt"),
+            discovery,
+            counter,
+            seed,
+            settings,
+            limits,
+            connectLimitMs,
+            idleLimitMs,
+            known,
+            fields);
   }
 
   private static Map<String, Object> fields(Path file) throws IOException {
@@ -102,16 +132,28 @@
       }
     }
     Map<String, Object> limits = JsonFields.child(fields, "limits");
-    Bounds held = Bounds.of(JsonFields.number(limits, "sockets", Bounds.USUAL_SOCKETS),
-        JsonFields.number(limits, "memory_mb", Bounds.USUAL_MEMORY_MB),
-        JsonFields.number(limits, "cores", Bounds.USUAL_CORES));
-    InetSocketAddress counter = fields.get("counter") == null && !parsed.allowed().sharedCount() ? null
-        : address(fields, "counter");
+    Bounds held =
+        Bounds.of(
+            JsonFields.number(limits, "sockets", Bounds.USUAL_SOCKETS),
+            JsonFields.number(limits, "memory_mb", Bounds.USUAL_MEMORY_MB),
+            JsonFields.number(limits, "cores", Bounds.USUAL_CORES));
+    InetSocketAddress counter =
+        fields.get("counter") == null && !parsed.allowed().sharedCount()
+            ? null
+            : address(fields, "counter");
     InetSocketAddress listen = address(fields, "listen");
     InetSocketAddress mgmt = fields.get("mgmt") == null ? null : address(fields, "mgmt");
-    return new Config(listen, mgmt, address(fields, "discovery"), counter, seed(fields), parsed,
-        held, JsonFields.number(bounds, "DialTimeoutMs", 250),
-        JsonFields.number(bounds, "ConnIdleMs", 15_000), RosterNews.of(JsonFields.child(fields, "known")),
+    return new Config(
+        listen,
+        mgmt,
+        address(fields, "discovery"),
+        counter,
+        seed(fields),
+        parsed,
+        held,
+        JsonFields.number(bounds, "DialTimeoutMs", 250),
+        JsonFields.number(bounds, "ConnIdleMs", 15_000),
+        RosterNews.of(JsonFields.child(fields, "known")),
         fields);
   }
 
@@ -124,7 +166,8 @@
     }
   }
 
-  private static InetSocketAddress address(Map<String, Object> fields, String name) throws IOException {
+  private static InetSocketAddress address(Map<String, Object> fields, String name)
+      throws IOException {
     String text = JsonFields.text(fields, name);
     InetSocketAddress address = RosterNews.address(text);
     if (address == null) {
--- a/src/main/java/willowdoor/net/CounterClient.java
+++ b/src/main/java/willowdoor/net/CounterClient.java
@@ -25,26 +25,38 @@
 import willowdoor.GatewayApi.Status;
 
 /**
- * Calls to the counter, pipelined on a few kept connections. A call goes to the connection with the fewest
- * answers owed, so that one slow part of the counter holds up only what already waits behind it; calls for
- * one name keep their order.
+ * Calls to the counter, pipelined on a few kept connections. A call goes to the connection with the
+ * fewest answers owed, so that one slow part of the counter holds up only what already waits behind
+ * it; calls for one name keep their order.
  */
 final class CounterClient {
 
   static final int CONNECTIONS = 12;
   static final double CONNECT_LIMIT_MS = 250;
+
   /** Answers that one connection may owe; beyond that a call is turned away here. */
   private static final int MOST_OWED = 256;
+
   private static final int MOST_LINE = 256;
   private static final long SWEEP_MS = 100;
+
   /** A line comes whole; a part of one that stays alone for so long is none. */
   private static final long WHOLE_MS = 10;
-  /** A connection silent for so many limits of a call, though it owes an answer, is taken for dead. */
+
+  /**
+   * A connection silent for so many limits of a call, though it owes an answer, is taken for dead.
+   */
   private static final double SILENT_LIMITS = 12;
+
   /** An idle connection is pinged this often: it stays open, and a dead one shows. */
   private static final double PING_MS = 3_000;
-  /** A left address closes its connections after 1.5 s; what is owed on them by then is given up before. */
+
+  /**
+   * A left address closes its connections after 1.5 s; what is owed on them by then is given up
+   * before.
+   */
   private static final long LEAVE_MS = 1_300;
+
   private static final double LEAST_BACKOFF_MS = 50;
   private static final double MOST_BACKOFF_MS = 400;
 
@@ -68,15 +80,24 @@
   private final Consumer<Counted> listener;
   private final Dialer dialer;
   private final List<Link> links = new ArrayList<>(CONNECTIONS);
+
   /** Connections to the address that a new configuration has left; in use until new ones are up. */
   private final List<Link> leaving = new ArrayList<>(0);
+
   private InetSocketAddress counter;
+
   /** Calls in the order of their starts, and so of their limits. */
   private final ArrayDeque<Call> pending = new ArrayDeque<>();
+
   private final Map<String, Call> lastOfName = new HashMap<>();
   private boolean watching;
 
-  CounterClient(EventLoop loop, Clock clock, Dialer dialer, InetSocketAddress counter, double limitMs,
+  CounterClient(
+      EventLoop loop,
+      Clock clock,
+      Dialer dialer,
+      InetSocketAddress counter,
+      double limitMs,
       Consumer<Counted> listener) {
     this.loop = loop;
     this.clock = clock;
@@ -125,7 +146,8 @@
     }
     lastOfName.put(name, call);
     pending.add(call);
-    link.send(call, "incr " + name + ' ' + plain(amount) + ' ' + Math.max(1, (long) ttlMs) + "\r\n");
+    link.send(
+        call, "incr " + name + ' ' + plain(amount) + ' ' + Math.max(1, (long) ttlMs) + "\r\n");
     watchLimit();
   }
 
@@ -168,14 +190,16 @@
     if (!watching && !pending.isEmpty()) {
       watching = true;
       double left = pending.peekFirst().startedAt + limitMs - clock.now();
-      loop.schedule(this::giveUpOverdue, (long) Math.ceil(Math.max(0, left) * 1000), TimeUnit.MICROSECONDS);
+      loop.schedule(
+          this::giveUpOverdue, (long) Math.ceil(Math.max(0, left) * 1000), TimeUnit.MICROSECONDS);
     }
   }
 
   private void giveUpOverdue() {
     watching = false;
     double now = clock.now();
-    for (Call c = pending.peekFirst(); c != null && (c.done || c.startedAt + limitMs <= now);
+    for (Call c = pending.peekFirst();
+        c != null && (c.done || c.startedAt + limitMs <= now);
         c = pending.peekFirst()) {
       finish(pending.pollFirst(), Status.TIMED_OUT, 0);
     }
@@ -225,16 +249,19 @@
     }
 
     void connect() {
-      dialer.dial(address, this).addListener((ChannelFuture f) -> {
-        if (closed) {
-          f.channel().close();
-        } else if (f.isSuccess()) {
-          channel = f.channel();
-          heardAt = clock.now();
-        } else {
-          later();
-        }
-      });
+      dialer
+          .dial(address, this)
+          .addListener(
+              (ChannelFuture f) -> {
+                if (closed) {
+                  f.channel().close();
+                } else if (f.isSuccess()) {
+                  channel = f.channel();
+                  heardAt = clock.now();
+                } else {
+                  later();
+                }
+              });
     }
 
     private void later() {
@@ -245,11 +272,14 @@
       }
       double wait = backoffMs * (0.5 + ThreadLocalRandom.current().nextDouble());
       backoffMs = Math.min(MOST_BACKOFF_MS, 2 * backoffMs);
-      loop.schedule(() -> {
-        if (!closed) {
-          connect();
-        }
-      }, (long) wait, TimeUnit.MILLISECONDS);
+      loop.schedule(
+          () -> {
+            if (!closed) {
+              connect();
+            }
+          },
+          (long) wait,
+          TimeUnit.MILLISECONDS);
     }
 
     void send(Call call, String line) {
@@ -277,38 +307,47 @@
     @Override
     protected void initChannel(Channel ch) {
       Lines lines = new Lines();
-      ch.pipeline().addLast(lines, new SimpleChannelInboundHandler<ByteBuf>() {
-        @Override
-        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-          answered(line.toString(StandardCharsets.US_ASCII));
-        }
-
-        /** Guards against noise without a line's end, to which the next answer would be added. */
-        @Override
-        public void channelReadComplete(ChannelHandlerContext ctx) {
-          if (lines.holdsMore()) {
-            double heard = heardAt;
-            loop.schedule(() -> {
-              if (lines.holdsMore() && heard == heardAt) {
-                spoilt();
-              }
-            }, WHOLE_MS, TimeUnit.MILLISECONDS);
-          }
-        }
-
-        @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-          lost();
-        }
-
-        @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-          if (cause instanceof TooLongFrameException) {
-            spoilt();
-          }
-          ctx.close();
-        }
-      });
+      ch.pipeline()
+          .addLast(
+              lines,
+              new SimpleChannelInboundHandler<ByteBuf>() {
+                @Override
+                protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
+                  answered(line.toString(StandardCharsets.US_ASCII));
+                }
+
+                /**
+                 * Guards against noise without a line's end, to which the next answer would be
+                 * added.
+                 */
+                @Override
+                public void channelReadComplete(ChannelHandlerContext ctx) {
+                  if (lines.holdsMore()) {
+                    double heard = heardAt;
+                    loop.schedule(
+                        () -> {
+                          if (lines.holdsMore() && heard == heardAt) {
+                            spoilt();
+                          }
+                        },
+                        WHOLE_MS,
+                        TimeUnit.MILLISECONDS);
+                  }
+                }
+
+                @Override
+                public void channelInactive(ChannelHandlerContext ctx) {
+                  lost();
+                }
+
+                @Override
+                public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+                  if (cause instanceof TooLongFrameException) {
+                    spoilt();
+                  }
+                  ctx.close();
+                }
+              });
     }
 
     private void answered(String line) {
@@ -339,7 +378,10 @@
       spoilt();
     }
 
-    /** Junk: what was asked for first was added; nothing that follows on this connection can be trusted. */
+    /**
+     * Junk: what was asked for first was added; nothing that follows on this connection can be
+     * trusted.
+     */
     private void spoilt() {
       Call call = owed.poll();
       Channel used = channel;
--- a/src/main/java/willowdoor/net/Dialer.java
+++ b/src/main/java/willowdoor/net/Dialer.java
@@ -21,12 +21,15 @@
 
   /** The same, which read as the allocator says. */
   static Dialer sockets(EventLoop loop, double limitMs, RecvByteBufAllocator reads) {
-    Bootstrap bootstrap = new Bootstrap().group(loop).channel(Transport.BEST.socket())
-        .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Transport.FEW_WAITING)
-        .option(ChannelOption.SO_SNDBUF, Transport.FEW_SENT)
-        .option(ChannelOption.RECVBUF_ALLOCATOR, reads)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(limitMs));
+    Bootstrap bootstrap =
+        new Bootstrap()
+            .group(loop)
+            .channel(Transport.BEST.socket())
+            .option(ChannelOption.TCP_NODELAY, true)
+            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Transport.FEW_WAITING)
+            .option(ChannelOption.SO_SNDBUF, Transport.FEW_SENT)
+            .option(ChannelOption.RECVBUF_ALLOCATOR, reads)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(limitMs));
     return (address, handler) -> bootstrap.clone().handler(handler).connect(address);
   }
 }
--- a/src/main/java/willowdoor/net/DiscoveryClient.java
+++ b/src/main/java/willowdoor/net/DiscoveryClient.java
@@ -30,29 +30,48 @@
 /**
  * Watches the list of backends; while the watch is down the last list stays in use.
  *
- * <p>A change counts as told 6 s after discovery had it and could be reached, and 6 s after the watch that
- * misses it fell silent, whatever became of calls meanwhile. The next call follows a failed one at the latest
+ * <p>A change counts as told 6 s after discovery had it and could be reached, and 6 s after the
+ * watch that misses it fell silent, whatever became of calls meanwhile. The next call follows a
+ * failed one at the latest
+ *
  * <ul>
- * <li>that was refused, closed, answered by an error or ended: after the longest back-off, 300 ms;
- * <li>that did not come up: 500 ms and the back-off, 800 ms;
- * <li>that came up and did not begin to answer: 500 ms;
- * <li>that stopped within a list: 300 ms and the back-off, 600 ms;
- * <li>that began to answer and told nothing, or fell silent: 2,500 ms;
- * <li>that told the fourth list in a row, or a later one, that cannot be taken: 3,000 ms.
+ *   <li>that was refused, closed, answered by an error or ended: after the longest back-off, 300
+ *       ms;
+ *   <li>that did not come up: 500 ms and the back-off, 800 ms;
+ *   <li>that came up and did not begin to answer: 500 ms;
+ *   <li>that stopped within a list: 300 ms and the back-off, 600 ms;
+ *   <li>that began to answer and told nothing, or fell silent: 2,500 ms;
+ *   <li>that told the fourth list in a row, or a later one, that cannot be taken: 3,000 ms.
  * </ul>
- * The back-off does not grow beyond its longest, so the sum holds for calls that failed before as well. A
- * watch that falls silent, one more that tells nothing and one that does not come up make 5,800 ms.
+ *
+ * The back-off does not grow beyond its longest, so the sum holds for calls that failed before as
+ * well. A watch that falls silent, one more that tells nothing and one that does not come up make
+ * 5,800 ms.
  */
 final class DiscoveryClient {
 
   private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
-  /** Read at once, of a list too: some thirty entries, so that what else the loop has to do comes between. */
+
+  /**
+   * Read at once, of a list too: some thirty entries, so that what else the loop has to do comes
+   * between.
+   */
   private static final int READ_BYTES = 4 * 1024;
-  /** The agent is on this machine and answers at once: a watch that has not begun by then is broken. */
+
+  /**
+   * The agent is on this machine and answers at once: a watch that has not begun by then is broken.
+   */
   private static final long BEGIN_MS = 500;
-  /** Empty lines come every 2 s, the first of them too. With this much more, the watch is broken. */
+
+  /**
+   * Empty lines come every 2 s, the first of them too. With this much more, the watch is broken.
+   */
   private static final long SILENT_MS = 2_000 + BEGIN_MS;
-  /** A message comes without a pause. Part of one that stays alone would make all that follows part of it. */
+
+  /**
+   * A message comes without a pause. Part of one that stays alone would make all that follows part
+   * of it.
+   */
   private static final long WHOLE_MS = 300;
 
   private final EventLoop loop;
@@ -61,14 +80,25 @@
   private final Dialer dialer;
   private final int mostBackends;
   private long version;
-  private final WatchBackoff backoff = new WatchBackoff(() -> ThreadLocalRandom.current().nextDouble());
+  private final WatchBackoff backoff =
+      new WatchBackoff(() -> ThreadLocalRandom.current().nextDouble());
   private Watch watch;
-  /** The one before, silent or at an address that is left: it may go on until the newer tells something. */
+
+  /**
+   * The one before, silent or at an address that is left: it may go on until the newer tells
+   * something.
+   */
   private Watch before;
 
   /** Asks for what came after that version, in lists of so many backends at most. */
-  DiscoveryClient(EventLoop loop, Clock clock, Dialer dialer, InetSocketAddress agent, long version,
-      int mostBackends, Consumer<RosterNews> listener) {
+  DiscoveryClient(
+      EventLoop loop,
+      Clock clock,
+      Dialer dialer,
+      InetSocketAddress agent,
+      long version,
+      int mostBackends,
+      Consumer<RosterNews> listener) {
     this.loop = loop;
     this.clock = clock;
     this.dialer = dialer;
@@ -116,20 +146,28 @@
       return;
     }
     double wait = backoff.waitMs(clock.now() - ended.since);
-    loop.schedule(() -> {
-      if (ended == watch) {
-        watch = new Watch(ended.agent);
-        watch.connect();
-      }
-    }, (long) wait, TimeUnit.MILLISECONDS);
+    loop.schedule(
+        () -> {
+          if (ended == watch) {
+            watch = new Watch(ended.agent);
+            watch.connect();
+          }
+        },
+        (long) wait,
+        TimeUnit.MILLISECONDS);
   }
 
   /** One watch on one connection. */
   private final class Watch extends ChannelInitializer<Channel> {
     private final InetSocketAddress agent;
     private final double since = clock.now();
-    /** When it was connected, began, or brought some of its body last: bytes of less are no sign of life. */
+
+    /**
+     * When it was connected, began, or brought some of its body last: bytes of less are no sign of
+     * life.
+     */
     private double heardAt = since;
+
     private final RosterReader reader;
     private boolean begun;
     private Channel channel;
@@ -142,21 +180,25 @@
     void connect() {
       ChannelFuture connected = dialer.dial(agent, this);
       channel = connected.channel();
-      connected.addListener((ChannelFuture f) -> {
-        if (!f.isSuccess()) {
-          // Where no socket was to be had there is no channel that could close.
-          later(this);
-        } else {
-          f.channel().closeFuture().addListener(closed -> later(this));
-          heardAt = clock.now();
-          DefaultFullHttpRequest ask = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-              "/discovery/hosts?stream=1&index=" + version);
-          String host = agent.getAddress().getHostAddress() + ":" + agent.getPort();
-          ask.headers().set(HttpHeaderNames.HOST, host);
-          f.channel().writeAndFlush(ask);
-          check();
-        }
-      });
+      connected.addListener(
+          (ChannelFuture f) -> {
+            if (!f.isSuccess()) {
+              // Where no socket was to be had there is no channel that could close.
+              later(this);
+            } else {
+              f.channel().closeFuture().addListener(closed -> later(this));
+              heardAt = clock.now();
+              DefaultFullHttpRequest ask =
+                  new DefaultFullHttpRequest(
+                      HttpVersion.HTTP_1_1,
+                      HttpMethod.GET,
+                      "/discovery/hosts?stream=1&index=" + version);
+              String host = agent.getAddress().getHostAddress() + ":" + agent.getPort();
+              ask.headers().set(HttpHeaderNames.HOST, host);
+              f.channel().writeAndFlush(ask);
+              check();
+            }
+          });
     }
 
     /** Opens another in place of one that is silent: a vanished machine resets nothing. */
@@ -194,8 +236,9 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-      boolean good = part.decoderResult().isSuccess()
-          && !(part instanceof HttpResponse r && !r.status().equals(HttpResponseStatus.OK));
+      boolean good =
+          part.decoderResult().isSuccess()
+              && !(part instanceof HttpResponse r && !r.status().equals(HttpResponseStatus.OK));
       boolean tells = good && part instanceof HttpContent content && content.content().isReadable();
       if (tells || good && !source.begun) {
         source.heardAt = clock.now();
@@ -252,11 +295,14 @@
     public void channelReadComplete(ChannelHandlerContext ctx) {
       if (source.reader.holdsPart()) {
         long then = pieces;
-        loop.schedule(() -> {
-          if (source.reader.holdsPart() && pieces == then) {
-            ctx.close();
-          }
-        }, WHOLE_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(
+            () -> {
+              if (source.reader.holdsPart() && pieces == then) {
+                ctx.close();
+              }
+            },
+            WHOLE_MS,
+            TimeUnit.MILLISECONDS);
       }
     }
 
--- a/src/main/java/willowdoor/net/FrontDoor.java
+++ b/src/main/java/willowdoor/net/FrontDoor.java
@@ -17,25 +17,39 @@
 public final class FrontDoor {
 
   private static final Logger LOG = Logger.getLogger(FrontDoor.class.getName());
+
   /** After SIGTERM new connections go on coming for up to 0.4 s. */
   private static final long ACCEPT_MS = (long) ClientServer.NOTICED_MS;
-  /** SIGKILL comes no sooner than the longest deadline and 0.7 s after SIGTERM: all is answered by then. */
+
+  /**
+   * SIGKILL comes no sooner than the longest deadline and 0.7 s after SIGTERM: all is answered by
+   * then.
+   */
   private static final long ANSWER_MS = 300;
+
   /** A longer deadline counts as this there. */
   private static final double MOST_DEADLINE_MS = 3_000;
-  /** Nothing is taken from then on, while clients read their last answers; SIGKILL is further off. */
+
+  /**
+   * Nothing is taken from then on, while clients read their last answers; SIGKILL is further off.
+   */
   private static final long LAST_MS = 330;
+
   private static final long POLL_MS = 10;
+
   /** How often it is looked whether another process has started beside this one. */
   private static final long BESIDE_MS = 500;
 
-  private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
+  private final EventLoopGroup group =
+      new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
   final EventLoop loop = group.next();
   private final Clock clock = new Clock();
   private final CountDownLatch drained = new CountDownLatch(1);
   private ModuleDriver driver;
+
   /** Read by the admin server too, which opens before it is there. */
   private volatile ClientServer clients;
+
   private CounterClient counter;
   private DiscoveryClient discovery;
   private final Lifecycle lifecycle = new Lifecycle(clock);
@@ -43,6 +57,7 @@
   private final Handover serving;
   private AdminServer admin;
   private Channel listening;
+
   /** The one in use. */
   private volatile Config config;
 
@@ -51,7 +66,10 @@
     serving = new Handover(shared, "serving");
   }
 
-  /** Reads the configuration that the environment names, and serves until the process is told to end. */
+  /**
+   * Reads the configuration that the environment names, and serves until the process is told to
+   * end.
+   */
   public static void serve() throws IOException, InterruptedException {
     String file = System.getenv("GW_CONFIG");
     if (file == null) {
@@ -59,13 +77,16 @@
     }
     Path path = Path.of(file);
     Config config = Config.read(path).withMgmt(System.getenv("GW_MGMT"));
-    start(config, Path.of(System.getProperty("java.io.tmpdir")), wired -> {
-      ReloadSignal.handle(() -> wired.reload(path));
-      // Before it listens: what it takes is answered from the first request on.
-      Runtime.getRuntime().addShutdownHook(new Thread(wired::end, "end"));
-      WarmUp warmUp = new WarmUp(config);
-      warmUp.run(warmUp.limitMs());
-    });
+    start(
+        config,
+        Path.of(System.getProperty("java.io.tmpdir")),
+        wired -> {
+          ReloadSignal.handle(() -> wired.reload(path));
+          // Before it listens: what it takes is answered from the first request on.
+          Runtime.getRuntime().addShutdownHook(new Thread(wired::end, "end"));
+          WarmUp warmUp = new WarmUp(config);
+          warmUp.run(warmUp.limitMs());
+        });
   }
 
   private interface Preparation {
@@ -74,10 +95,13 @@
 
   /** Its processes share the folder. */
   static FrontDoor start(Config config, Path shared) throws IOException, InterruptedException {
-    return start(config, shared, wired -> { });
+    return start(config, shared, wired -> {});
   }
 
-  /** Starts it; what is to be ready before the first client is done between its wiring and its listening. */
+  /**
+   * Starts it; what is to be ready before the first client is done between its wiring and its
+   * listening.
+   */
   private static FrontDoor start(Config config, Path shared, Preparation beforeListening)
       throws IOException, InterruptedException {
     FrontDoor door = new FrontDoor(shared);
@@ -136,37 +160,69 @@
 
   private void wire(Config config) {
     Places places = new Places(config.limits().places());
-    loop.scheduleWithFixedDelay(() -> places.beside(started.another() ? config.limits().placesBeside() : 0),
-        0, BESIDE_MS, TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(
+        () -> places.beside(started.another() ? config.limits().placesBeside() : 0),
+        0,
+        BESIDE_MS,
+        TimeUnit.MILLISECONDS);
     QuotaPolicy policy = new QuotaPolicy(config.settings(), config.seed());
-    BackendPool backends = new BackendPool(loop, clock, Dialer.sockets(loop, config.connectLimitMs()),
-        config.idleLimitMs(), places, policy.listing());
+    BackendPool backends =
+        new BackendPool(
+            loop,
+            clock,
+            Dialer.sockets(loop, config.connectLimitMs()),
+            config.idleLimitMs(),
+            places,
+            policy.listing());
     driver = new ModuleDriver(loop, clock, policy, backends);
-    clients = new ClientServer(loop, clock, driver, backends, new RequestReader(config.settings()),
-        config.limits(), places, lifecycle);
-    counter = new CounterClient(loop, clock, Dialer.sockets(loop, CounterClient.CONNECT_LIMIT_MS),
-        config.counter(), config.settings().allowed().countLimitMs(), driver::onCounted);
+    clients =
+        new ClientServer(
+            loop,
+            clock,
+            driver,
+            backends,
+            new RequestReader(config.settings()),
+            config.limits(),
+            places,
+            lifecycle);
+    counter =
+        new CounterClient(
+            loop,
+            clock,
+            Dialer.sockets(loop, CounterClient.CONNECT_LIMIT_MS),
+            config.counter(),
+            config.settings().allowed().countLimitMs(),
+            driver::onCounted);
     counter.start();
     driver.start(counter, config.known());
-    discovery = new DiscoveryClient(loop, clock, DiscoveryClient.sockets(loop), config.discovery(),
-        config.known().version(), config.limits().backends(), driver::onRoster);
+    discovery =
+        new DiscoveryClient(
+            loop,
+            clock,
+            DiscoveryClient.sockets(loop),
+            config.discovery(),
+            config.known().version(),
+            config.limits().backends(),
+            driver::onRoster);
     discovery.start();
   }
 
   /**
-   * Takes the replaced file, whole or not at all; read and checked on the caller's thread, as the loop has
-   * clients waiting. What the sockets were set up with (limits, own addresses) stays until the next start.
+   * Takes the replaced file, whole or not at all; read and checked on the caller's thread, as the
+   * loop has clients waiting. What the sockets were set up with (limits, own addresses) stays until
+   * the next start.
    */
   synchronized void reload(Path file) {
     try {
       Config read = Config.reread(file, config);
       config = read;
-      loop.execute(() -> {
-        counter.moveTo(read.counter());
-        discovery.moveTo(read.discovery());
-        driver.onSettings(read.settings());
-        clients.read(new RequestReader(read.settings()));
-      });
+      loop.execute(
+          () -> {
+            counter.moveTo(read.counter());
+            discovery.moveTo(read.discovery());
+            driver.onSettings(read.settings());
+            clients.read(new RequestReader(read.settings()));
+          });
       LOG.info("the new configuration is taken");
     } catch (IOException | RuntimeException e) {
       LOG.warning("the new configuration is not taken: " + e.getMessage());
@@ -174,21 +230,32 @@
   }
 
   /**
-   * The planned end: accept a little longer, answer all that was taken, then let the process go. Where
-   * another process serves at the same address, it gets all new connections at once, and so is the one that
-   * the front asks.
+   * The planned end: accept a little longer, answer all that was taken, then let the process go.
+   * Where another process serves at the same address, it gets all new connections at once, and so
+   * is the one that the front asks.
    */
   void end() {
     lifecycle.end();
-    long answerMs = ANSWER_MS + (long) Math.min(MOST_DEADLINE_MS,
-        config.settings().classes().stream().mapToDouble(RequestClass::deadlineMs).max().orElse(0));
+    long answerMs =
+        ANSWER_MS
+            + (long)
+                Math.min(
+                    MOST_DEADLINE_MS,
+                    config.settings().classes().stream()
+                        .mapToDouble(RequestClass::deadlineMs)
+                        .max()
+                        .orElse(0));
     long acceptMs = serving.another() ? 0 : ACCEPT_MS;
     loop.schedule(clients::stopAccepting, acceptMs, TimeUnit.MILLISECONDS);
-    loop.scheduleWithFixedDelay(() -> {
-      if (clients.idle()) {
-        drained.countDown();
-      }
-    }, ACCEPT_MS + POLL_MS, POLL_MS, TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(
+        () -> {
+          if (clients.idle()) {
+            drained.countDown();
+          }
+        },
+        ACCEPT_MS + POLL_MS,
+        POLL_MS,
+        TimeUnit.MILLISECONDS);
     try {
       if (!drained.await(answerMs, TimeUnit.MILLISECONDS)) {
         loop.submit(clients::end).sync();
--- a/src/main/java/willowdoor/net/Handover.java
+++ b/src/main/java/willowdoor/net/Handover.java
@@ -8,9 +8,9 @@
 import java.util.logging.Logger;
 
 /**
- * Whether another process of this front door has come as far as this one, as while one is upgraded. Each
- * holds a lock in the folder that both share: a lock ends with its holder, while what a file says may be
- * stale.
+ * Whether another process of this front door has come as far as this one, as while one is upgraded.
+ * Each holds a lock in the folder that both share: a lock ends with its holder, while what a file
+ * says may be stale.
  */
 final class Handover {
 
@@ -20,6 +20,7 @@
   private final Path folder;
   private final String state;
   private int own = -1;
+
   /** Never closed: the lock lives as long as the process. */
   private FileChannel held;
 
@@ -65,8 +66,11 @@
 
   /** The locked file, or null where another holds it. */
   private FileChannel take(int place) throws IOException {
-    FileChannel file = FileChannel.open(folder.resolve(state + "-" + place), StandardOpenOption.CREATE,
-        StandardOpenOption.WRITE);
+    FileChannel file =
+        FileChannel.open(
+            folder.resolve(state + "-" + place),
+            StandardOpenOption.CREATE,
+            StandardOpenOption.WRITE);
     try {
       if (file.tryLock() != null) {
         return file;
--- a/src/main/java/willowdoor/net/Headers.java
+++ b/src/main/java/willowdoor/net/Headers.java
@@ -15,6 +15,5 @@
   static final AsciiString NOT_STARTED = AsciiString.cached("Not-Started");
   static final AsciiString UNITS_CHARGED = AsciiString.cached("X-Units-Charged");
 
-  private Headers() {
-  }
+  private Headers() {}
 }
--- a/src/main/java/willowdoor/net/Lifecycle.java
+++ b/src/main/java/willowdoor/net/Lifecycle.java
@@ -3,15 +3,20 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Where a front door is between its start and its end. The admin server and the end of the process move
- * it from threads of their own; all that depends on it reads it here.
+ * Where a front door is between its start and its end. The admin server and the end of the process
+ * move it from threads of their own; all that depends on it reads it here.
  */
 final class Lifecycle {
 
-  enum State { STARTING, SERVING, DRAINING, ENDING }
+  enum State {
+    STARTING,
+    SERVING,
+    DRAINING,
+    ENDING
+  }
 
   /** A state and when it was entered. */
-  private record Phase(State state, double sinceMs) { }
+  private record Phase(State state, double sinceMs) {}
 
   private final Clock clock;
   private final AtomicReference<Phase> phase;
--- a/src/main/java/willowdoor/net/ModuleDriver.java
+++ b/src/main/java/willowdoor/net/ModuleDriver.java
@@ -37,14 +37,19 @@
 import willowdoor.QuotaPolicy;
 
 /**
- * Takes events to the module and its actions to the sockets; the only caller of the module. Holds the table
- * of requests taken and attempts out. All on the event loop's thread.
+ * Takes events to the module and its actions to the sockets; the only caller of the module. Holds
+ * the table of requests taken and attempts out. All on the event loop's thread.
  */
 final class ModuleDriver {
 
   private static final Logger LOG = Logger.getLogger(ModuleDriver.class.getName());
-  /** The last moment for a final answer, ahead of the client's own: later than any answer of the module. */
+
+  /**
+   * The last moment for a final answer, ahead of the client's own: later than any answer of the
+   * module.
+   */
   private static final double LAST_CALL_MS = 6;
+
   /** A module that failed on its wake-up is woken again after this. */
   private static final long WAKE_AGAIN_MS = 100;
 
@@ -76,13 +81,17 @@
     final Body body;
     final Client client;
     final List<Attempt> attempts = new ArrayList<>(1);
+
     /** When the body was whole. */
     double wholeAt;
+
     double giveUpMs;
     Future<?> lastCall;
     boolean finished;
+
     /** The answer is on its way to the client, in pieces; and when it began. */
     boolean begun;
+
     double begunAt;
     int out;
 
@@ -113,12 +122,20 @@
       return true;
     }
 
-    /** Nobody waits any more: what still waits for a connection is not sent on; all: nor what is out. */
+    /**
+     * Nobody waits any more: what still waits for a connection is not sent on; all: nor what is
+     * out.
+     */
     void callOff(boolean all) {
-      List.copyOf(attempts).stream().filter(a -> all || !a.written).forEach(a -> a.abandon(a.cancelled()));
+      List.copyOf(attempts).stream()
+          .filter(a -> all || !a.written)
+          .forEach(a -> a.abandon(a.cancelled()));
     }
 
-    /** A request stays in the table while an attempt of it is out: the module still gets that outcome. */
+    /**
+     * A request stays in the table while an attempt of it is out: the module still gets that
+     * outcome.
+     */
     void forgetIfDone() {
       if (finished && out == 0 && live.remove(request.id(), this)) {
         body.release();
@@ -164,7 +181,10 @@
     return live.containsKey(id);
   }
 
-  /** Takes a request, and its body for good; without a time to give up at while the body is still coming. */
+  /**
+   * Takes a request, and its body for good; without a time to give up at while the body is still
+   * coming.
+   */
   void take(Request request, HttpRequest head, Body body, Client client) {
     Live r = new Live(request, head, body, client);
     live.put(request.id(), r);
@@ -193,7 +213,8 @@
       return;
     }
     boolean open = r.finish();
-    // Of a body still coming, or an answer being passed on, there is nobody to send the rest or to take it.
+    // Of a body still coming, or an answer being passed on, there is nobody to send the rest or to
+    // take it.
     r.callOff(!r.body.whole() || r.begun);
     if (open) {
       deliver(new ClientLeft(id));
@@ -209,7 +230,9 @@
     deliver(counted);
   }
 
-  /** The module hears it first: it chooses anew for attempts that the pool gives up because of it. */
+  /**
+   * The module hears it first: it chooses anew for attempts that the pool gives up because of it.
+   */
   void onRoster(RosterNews news) {
     deliver(new Roster(news.form(), news.entries()));
     backends.onRoster(news);
@@ -220,7 +243,10 @@
     Sweep.each(live.values(), this::fail);
   }
 
-  /** The net under the module: a request that it left unanswered fails while its client still listens. */
+  /**
+   * The net under the module: a request that it left unanswered fails while its client still
+   * listens.
+   */
   private void fail(Live r) {
     if (r.finish()) {
       r.client.failed();
@@ -230,7 +256,10 @@
     }
   }
 
-  /** Events that come up while an event is worked on wait for their turn: the module is not re-entered. */
+  /**
+   * Events that come up while an event is worked on wait for their turn: the module is not
+   * re-entered.
+   */
   private void deliver(Event event) {
     inbox.add(event);
     if (delivering) {
@@ -312,14 +341,22 @@
     // FollowRoster needs nothing: the list is watched from the start.
   }
 
-  /** Never early: the module lets a wake-up pass that comes before its time, and then none would follow. */
+  /**
+   * Never early: the module lets a wake-up pass that comes before its time, and then none would
+   * follow.
+   */
   private void wake(WakeAt a) {
     double wait = Math.max(0, a.atMs() - clock.now());
-    loop.schedule(() -> deliver(new Woken(a.label())), (long) Math.ceil(wait * 1000) + 1,
+    loop.schedule(
+        () -> deliver(new Woken(a.label())),
+        (long) Math.ceil(wait * 1000) + 1,
         TimeUnit.MICROSECONDS);
   }
 
-  /** The module's times count from its decision; a batch of actions may take long on a share of a core. */
+  /**
+   * The module's times count from its decision; a batch of actions may take long on a share of a
+   * core.
+   */
   private void send(Send a, double decidedAt) {
     Live r = live.get(a.request());
     if (r == null || r.finished) {
@@ -331,36 +368,43 @@
     double sentAt = clock.now();
     double lateness = sentAt - decidedAt;
     double timeout = a.timeoutMs() > 0 ? a.timeoutMs() - lateness : r.giveUpMs - sentAt;
-    Attempt attempt = new Attempt(r.head, r.body, timeout) {
-      private double units;
-
-      @Override
-      boolean wanted() {
-        if (!ended() && !r.finished && r.client.left()) {
-          clientLeft(r.request.id());
-        }
-        return super.wanted();
-      }
-
-      @Override
-      boolean onBegin(HttpResponse answer) {
-        units = units(answer.headers().get(Headers.UNITS_CHARGED));
-        return attemptBegan(r, number, answer, this);
-      }
-
-      @Override
-      boolean onPiece(HttpContent piece) {
-        return r.client.piece(piece);
-      }
-
-      @Override
-      void onEnd(Status status, FullHttpResponse answer) {
-        units = answer == null ? units : units(answer.headers().get(Headers.UNITS_CHARGED));
-        double until = begun() && r.begun ? r.begunAt : clock.now();
-        attemptEnded(r, number, a.backend(), status, Math.max(0, until - Math.max(sentAt, r.wholeAt)), units,
-            answer);
-      }
-    };
+    Attempt attempt =
+        new Attempt(r.head, r.body, timeout) {
+          private double units;
+
+          @Override
+          boolean wanted() {
+            if (!ended() && !r.finished && r.client.left()) {
+              clientLeft(r.request.id());
+            }
+            return super.wanted();
+          }
+
+          @Override
+          boolean onBegin(HttpResponse answer) {
+            units = units(answer.headers().get(Headers.UNITS_CHARGED));
+            return attemptBegan(r, number, answer, this);
+          }
+
+          @Override
+          boolean onPiece(HttpContent piece) {
+            return r.client.piece(piece);
+          }
+
+          @Override
+          void onEnd(Status status, FullHttpResponse answer) {
+            units = answer == null ? units : units(answer.headers().get(Headers.UNITS_CHARGED));
+            double until = begun() && r.begun ? r.begunAt : clock.now();
+            attemptEnded(
+                r,
+                number,
+                a.backend(),
+                status,
+                Math.max(0, until - Math.max(sentAt, r.wholeAt)),
+                units,
+                answer);
+          }
+        };
     r.attempts.add(attempt);
     r.out++;
     backends.start(a.backend(), attempt, a.startMs() - lateness);
@@ -378,7 +422,13 @@
     return true;
   }
 
-  private void attemptEnded(Live r, int number, long backend, Status status, double latencyMs, double units,
+  private void attemptEnded(
+      Live r,
+      int number,
+      long backend,
+      Status status,
+      double latencyMs,
+      double units,
       FullHttpResponse answer) {
     r.out--;
     if (r.begun) {
@@ -387,7 +437,8 @@
     } else if (answer != null && r.finish()) {
       r.client.served(answer);
     }
-    deliver(new Outcome(r.request.id(), number, backend, status, latencyMs, r.finished, units, null));
+    deliver(
+        new Outcome(r.request.id(), number, backend, status, latencyMs, r.finished, units, null));
     r.forgetIfDone();
   }
 
--- a/src/main/java/willowdoor/net/Place.java
+++ b/src/main/java/willowdoor/net/Place.java
@@ -6,16 +6,19 @@
 import java.net.UnknownHostException;
 import willowdoor.GatewayApi.BackendEntry;
 
-/** A backend's address and port as one number, of which many can be kept: IPv4, as the sockets here. */
+/**
+ * A backend's address and port as one number, of which many can be kept: IPv4, as the sockets here.
+ */
 final class Place {
 
   private static final int PORT_BITS = 16;
   private static final int PORT_MASK = (1 << PORT_BITS) - 1;
 
-  private Place() {
-  }
+  private Place() {}
 
-  /** The number of an address and port; {@link BackendEntry#NOWHERE} for any other, and for none. */
+  /**
+   * The number of an address and port; {@link BackendEntry#NOWHERE} for any other, and for none.
+   */
   static long of(InetSocketAddress address) {
     if (address == null || !(address.getAddress() instanceof Inet4Address ip)) {
       return BackendEntry.NOWHERE;
@@ -29,7 +32,9 @@
 
   static InetSocketAddress address(long place) {
     long number = place >>> PORT_BITS;
-    byte[] ip = {(byte) (number >>> 24), (byte) (number >>> 16), (byte) (number >>> 8), (byte) number};
+    byte[] ip = {
+      (byte) (number >>> 24), (byte) (number >>> 16), (byte) (number >>> 8), (byte) number
+    };
     try {
       return new InetSocketAddress(InetAddress.getByAddress(ip), (int) place & PORT_MASK);
     } catch (UnknownHostException e) {
--- a/src/main/java/willowdoor/net/Places.java
+++ b/src/main/java/willowdoor/net/Places.java
@@ -1,14 +1,16 @@
 package willowdoor.net;
 
 /**
- * The connections of clients and to backends, which share what descriptors there are: a crowd of clients may
- * take what the backends do not need, and gives it back as they need more.
+ * The connections of clients and to backends, which share what descriptors there are: a crowd of
+ * clients may take what the backends do not need, and gives it back as they need more.
  */
 final class Places {
 
   /** Kept free for backends in any case, and beyond what they have. */
   private static final double LEAST_FOR_BACKENDS = 0.25;
+
   private static final double AHEAD_FOR_BACKENDS = 0.08;
+
   /** Clients hold a third of all descriptors at most for requests, each with one attempt out. */
   private static final double MOST_FOR_BACKENDS = 0.44;
 
--- a/src/main/java/willowdoor/net/ReloadSignal.java
+++ b/src/main/java/willowdoor/net/ReloadSignal.java
@@ -5,9 +5,9 @@
 import java.lang.reflect.Proxy;
 
 /**
- * SIGHUP, which asks for a reload of the configuration and would end the JVM where nothing handles it. The
- * JDK's one interface to signals is reached by reflection, as the compiler warns of every other use of it,
- * and warnings are errors here.
+ * SIGHUP, which asks for a reload of the configuration and would end the JVM where nothing handles
+ * it. The JDK's one interface to signals is reached by reflection, as the compiler warns of every
+ * other use of it, and warnings are errors here.
  */
 final class ReloadSignal {
 
@@ -23,19 +23,20 @@
     }
   }
 
-  private ReloadSignal() {
-  }
+  private ReloadSignal() {}
 
   /**
    * Runs the action on each SIGHUP from now on, on a thread of the JVM's own.
    *
-   * @throws UnavailableException where the JVM leaves the signal alone: where it was ignored when the process
-   *     started, which a process inherits (as from nohup), or where the JVM's options forbid handlers
+   * @throws UnavailableException where the JVM leaves the signal alone: where it was ignored when
+   *     the process started, which a process inherits (as from nohup), or where the JVM's options
+   *     forbid handlers
    */
   static void handle(Runnable reload) throws UnavailableException {
     if (install(reload) == ignored()) {
-      throw new UnavailableException("it was ignored when the program started;"
-          + " start it by env --default-signal=" + NAME, null);
+      throw new UnavailableException(
+          "it was ignored when the program started;" + " start it by env --default-signal=" + NAME,
+          null);
     }
   }
 
@@ -44,12 +45,16 @@
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> handler = handlerType();
-      Object handling = Proxy.newProxyInstance(ReloadSignal.class.getClassLoader(), new Class<?>[] {handler},
-          (proxy, method, arguments) -> {
-            reload.run();
-            return null;
-          });
-      return signal.getMethod("handle", signal, handler)
+      Object handling =
+          Proxy.newProxyInstance(
+              ReloadSignal.class.getClassLoader(),
+              new Class<?>[] {handler},
+              (proxy, method, arguments) -> {
+                reload.run();
+                return null;
+              });
+      return signal
+          .getMethod("handle", signal, handler)
           .invoke(null, signal.getConstructor(String.class).newInstance(NAME), handling);
     } catch (InvocationTargetException e) {
       throw new UnavailableException(e.getCause().getMessage(), e.getCause());
@@ -59,8 +64,8 @@
   }
 
   /**
-   * What HotSpot gives as the handler before where the process inherited the signal as ignored; it then
-   * installs nothing and reports no error.
+   * What HotSpot gives as the handler before where the process inherited the signal as ignored; it
+   * then installs nothing and reports no error.
    */
   private static Object ignored() throws UnavailableException {
     try {
--- a/src/main/java/willowdoor/net/RequestDecoder.java
+++ b/src/main/java/willowdoor/net/RequestDecoder.java
@@ -12,11 +12,18 @@
   private static final int MOST_CHUNK = 64 * 1024;
 
   RequestDecoder() {
-    super(new HttpDecoderConfig().setMaxInitialLineLength(MOST_LINE).setMaxHeaderSize(MOST_HEADERS)
-        .setMaxChunkSize(MOST_CHUNK).setUseRfc9112TransferEncoding(true));
+    super(
+        new HttpDecoderConfig()
+            .setMaxInitialLineLength(MOST_LINE)
+            .setMaxHeaderSize(MOST_HEADERS)
+            .setMaxChunkSize(MOST_CHUNK)
+            .setUseRfc9112TransferEncoding(true));
   }
 
-  /** Guards against smuggling: whoever goes by the length sees another request in what is a body here. */
+  /**
+   * Guards against smuggling: whoever goes by the length sees another request in what is a body
+   * here.
+   */
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
     throw new IllegalArgumentException("Content-Length with Transfer-Encoding");
--- a/src/main/java/willowdoor/net/RequestReader.java
+++ b/src/main/java/willowdoor/net/RequestReader.java
@@ -13,7 +13,10 @@
 import willowdoor.GatewayApi.RequestClass;
 import willowdoor.GatewayApi.Settings;
 
-/** Reads a client's message as a request for the module; what is not one is refused here with its reason. */
+/**
+ * Reads a client's message as a request for the module; what is not one is refused here with its
+ * reason.
+ */
 final class RequestReader {
 
   private static final int MOST_ID = 128;
@@ -35,7 +38,10 @@
       this.framed = framed;
     }
 
-    /** False when another reader may see other requests in the same bytes: the connection has to end. */
+    /**
+     * False when another reader may see other requests in the same bytes: the connection has to
+     * end.
+     */
     boolean framed() {
       return framed;
     }
@@ -59,7 +65,8 @@
 
   Request read(HttpRequest message, double now) throws BadRequest {
     HttpHeaders headers = message.headers();
-    if (headers.contains(HttpHeaderNames.HOST) && text(headers, HttpHeaderNames.HOST).length() > MOST_HOST) {
+    if (headers.contains(HttpHeaderNames.HOST)
+        && text(headers, HttpHeaderNames.HOST).length() > MOST_HOST) {
       throw new BadRequest("Host is too long");
     }
     String id = text(headers, Headers.REQUEST_ID);
@@ -93,11 +100,12 @@
   }
 
   /**
-   * The field {@code units=2,spread=3,first=1}. What is out of range is refused, not clipped: the request may
-   * bear another customer's name, and that customer's account must not move by it.
+   * The field {@code units=2,spread=3,first=1}. What is out of range is refused, not clipped: the
+   * request may bear another customer's name, and that customer's account must not move by it.
    */
-  private Request quota(String field, String id, RequestClass type, String plan, long customer,
-      double giveUpMs) throws BadRequest {
+  private Request quota(
+      String field, String id, RequestClass type, String plan, long customer, double giveUpMs)
+      throws BadRequest {
     long units = 0;
     long spread = 0;
     long first = -1;
@@ -112,7 +120,11 @@
         default -> throw new BadRequest("X-Quota is broken");
       }
     }
-    if (units <= 0 || units > mostUnits || spread <= 0 || spread > gateways || first < 0
+    if (units <= 0
+        || units > mostUnits
+        || spread <= 0
+        || spread > gateways
+        || first < 0
         || first >= gateways) {
       throw new BadRequest("X-Quota is out of range");
     }
--- a/src/main/java/willowdoor/net/ResponseDecoder.java
+++ b/src/main/java/willowdoor/net/ResponseDecoder.java
@@ -13,8 +13,11 @@
   private static final int MOST_HEADERS = 8_192;
 
   ResponseDecoder() {
-    super(new HttpDecoderConfig().setMaxInitialLineLength(MOST_LINE).setMaxHeaderSize(MOST_HEADERS)
-        .setUseRfc9112TransferEncoding(true));
+    super(
+        new HttpDecoderConfig()
+            .setMaxInitialLineLength(MOST_LINE)
+            .setMaxHeaderSize(MOST_HEADERS)
+            .setUseRfc9112TransferEncoding(true));
   }
 
   /** Two lengths that need not agree: where the body ends is anyone's guess. */
@@ -29,7 +32,10 @@
     return false;
   }
 
-  /** Netty ends an answer's header name at a blank too, and so takes a line with no colon for a header. */
+  /**
+   * Netty ends an answer's header name at a blank too, and so takes a line with no colon for a
+   * header.
+   */
   @Override
   protected AsciiString splitHeaderName(byte[] line, int start, int length) {
     if (start + length >= line.length || line[start + length] != ':') {
--- a/src/main/java/willowdoor/net/RosterEntry.java
+++ b/src/main/java/willowdoor/net/RosterEntry.java
@@ -7,7 +7,10 @@
 import willowdoor.GatewayApi.BackendEntry;
 import willowdoor.GatewayApi.Phase;
 
-/** The fields of one entry of a list as they are read; what is missing or of another kind is as usual. */
+/**
+ * The fields of one entry of a list as they are read; what is missing or of another kind is as
+ * usual.
+ */
 final class RosterEntry {
 
   private String id = "";
@@ -33,7 +36,7 @@
       case "addr" -> address = value;
       case "zone" -> zone = value;
       case "state" -> state = value;
-      default -> { }
+      default -> {}
     }
   }
 
@@ -42,17 +45,18 @@
       case "cell" -> cell = value;
       case "weight" -> weight = value;
       case "started_ms" -> startedMs = value;
-      default -> { }
+      default -> {}
     }
   }
 
   /** The entry, or null where it cannot be used. */
   BackendEntry read() {
-    Phase phase = switch (state) {
-      case "active" -> Phase.SERVING;
-      case "left" -> Phase.REMOVED;
-      default -> Phase.DRAINING;
-    };
+    Phase phase =
+        switch (state) {
+          case "active" -> Phase.SERVING;
+          case "left" -> Phase.REMOVED;
+          default -> Phase.DRAINING;
+        };
     long place = Place.of(RosterNews.address(address));
     if (id.isEmpty() || place == BackendEntry.NOWHERE && phase == Phase.SERVING) {
       return null;
@@ -60,7 +64,9 @@
     return new BackendEntry(hash(id), zone, (int) cell, phase, weight, startedMs, place);
   }
 
-  /** A backend's name as the number that the module knows it by: FNV-1a, alike at every front door. */
+  /**
+   * A backend's name as the number that the module knows it by: FNV-1a, alike at every front door.
+   */
   private static long hash(String name) {
     long hash = 0xcbf29ce484222325L;
     for (byte b : name.getBytes(StandardCharsets.UTF_8)) {
--- a/src/main/java/willowdoor/net/RosterFeed.java
+++ b/src/main/java/willowdoor/net/RosterFeed.java
@@ -8,12 +8,14 @@
 import willowdoor.GatewayApi.RosterForm;
 
 /**
- * Hands messages of discovery on in their order, a long one in pieces, each in a turn of the event loop of
- * its own, so that requests do not wait until a long list is applied.
+ * Hands messages of discovery on in their order, a long one in pieces, each in a turn of the event
+ * loop of its own, so that requests do not wait until a long list is applied.
  */
 final class RosterFeed {
 
-  /** Entries of one piece: applying one takes 10 us or less, so a piece takes about a millisecond. */
+  /**
+   * Entries of one piece: applying one takes 10 us or less, so a piece takes about a millisecond.
+   */
   static final int PIECE_ENTRIES = 128;
 
   private final Executor loop;
@@ -26,7 +28,10 @@
     this.listener = listener;
   }
 
-  /** Takes a whole message; one of a single piece is handed on at once, unless others are still waiting. */
+  /**
+   * Takes a whole message; one of a single piece is handed on at once, unless others are still
+   * waiting.
+   */
   void take(RosterNews news) {
     List<BackendEntry> entries = news.entries();
     int at = 0;
--- a/src/main/java/willowdoor/net/RosterNews.java
+++ b/src/main/java/willowdoor/net/RosterNews.java
@@ -28,29 +28,35 @@
     List<BackendEntry> entries = new ArrayList<>();
     for (Map<String, Object> fields : JsonFields.children(message, "servers")) {
       RosterEntry entry = new RosterEntry();
-      fields.forEach((name, value) -> {
-        if (value instanceof String text) {
-          entry.text(name, text);
-        } else if (value instanceof Number number) {
-          entry.number(name, number.doubleValue());
-        }
-      });
+      fields.forEach(
+          (name, value) -> {
+            if (value instanceof String text) {
+              entry.text(name, text);
+            } else if (value instanceof Number number) {
+              entry.number(name, number.doubleValue());
+            }
+          });
       BackendEntry read = entry.read();
       if (read != null) {
         entries.add(read);
       }
     }
-    return new RosterNews((long) JsonFields.number(message, "version"),
-        Boolean.TRUE.equals(message.get("full")), entries);
+    return new RosterNews(
+        (long) JsonFields.number(message, "version"),
+        Boolean.TRUE.equals(message.get("full")),
+        entries);
   }
 
   /** A numeric address and port, or null; names are not looked up, as there is no DNS. */
   static InetSocketAddress address(String text) {
     int colon = text.lastIndexOf(':');
-    byte[] ip = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
+    byte[] ip =
+        colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
     try {
       int port = ip == null ? -1 : Integer.parseInt(text.substring(colon + 1));
-      return port < 0 || port > 65_535 ? null : new InetSocketAddress(InetAddress.getByAddress(ip), port);
+      return port < 0 || port > 65_535
+          ? null
+          : new InetSocketAddress(InetAddress.getByAddress(ip), port);
     } catch (NumberFormatException | UnknownHostException e) {
       return null;
     }
--- a/src/main/java/willowdoor/net/RosterReader.java
+++ b/src/main/java/willowdoor/net/RosterReader.java
@@ -12,16 +12,20 @@
 import willowdoor.GatewayApi.BackendEntry;
 
 /**
- * Reads the messages of a watch as their bytes come, entry by entry, and hands each on once it is whole: one
- * that is cut or spoilt changes nothing. Until then its entries are held, not its text. Only the end of a
- * message shows its version, and whether it is the whole list.
+ * Reads the messages of a watch as their bytes come, entry by entry, and hands each on once it is
+ * whole: one that is cut or spoilt changes nothing. Until then its entries are held, not its text.
+ * Only the end of a message shows its version, and whether it is the whole list.
  */
 final class RosterReader {
 
   private static final JsonFactory JSON = new JsonFactory();
   private static final String LIST = "servers";
-  /** Depths of the fields of a message, of the elements of its list, and of the fields of an entry. */
+
+  /**
+   * Depths of the fields of a message, of the elements of its list, and of the fields of an entry.
+   */
   private static final int MESSAGE = 1;
+
   private static final int ELEMENT = 2;
   private static final int ENTRY = 3;
 
@@ -31,13 +35,16 @@
   private final ByteArrayFeeder feeder;
   private int depth;
   private String field;
+
   /** Of the message that is being read. */
   private long version;
+
   private boolean full;
   private boolean listed;
   private boolean inList;
   private int backends;
   private List<BackendEntry> entries = new ArrayList<>();
+
   /** The entry that is being read, or null. */
   private RosterEntry entry;
 
@@ -53,7 +60,10 @@
     feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
   }
 
-  /** Takes the next bytes; an IOException shows a message that cannot be taken: nothing can be read then. */
+  /**
+   * Takes the next bytes; an IOException shows a message that cannot be taken: nothing can be read
+   * then.
+   */
   void read(byte[] bytes) throws IOException {
     feeder.feedInput(bytes, 0, bytes.length);
     JsonToken token = parser.nextToken();
@@ -119,7 +129,8 @@
     } else if (depth == MESSAGE) {
       inList = false;
     } else if (depth == 0 && !listed) {
-      // Guards against a full list that names nothing because it is junk: the last list would be gone.
+      // Guards against a full list that names nothing because it is junk: the last list would be
+      // gone.
       throw new IOException("a message without a list");
     } else if (depth == 0) {
       List<BackendEntry> told = entries;
--- a/src/main/java/willowdoor/net/StaleEventFilter.java
+++ b/src/main/java/willowdoor/net/StaleEventFilter.java
@@ -11,16 +11,18 @@
 import io.netty.channel.unix.FileDescriptor;
 
 /**
- * Netty's epoll, without events of sockets that are closed already. Guards against those being told to
- * another socket: the kernel gives a batch of events by descriptor number, and where one event of the batch
- * has a socket closed and the next one has another opened, the new socket gets the old number and the old
- * socket's events. A hang-up among them ends a connection that is being opened, and of an open one it takes
- * the watch for hang-ups; such a one then leaves epoll when its reading pauses, and fails when that goes on.
- * Harm: none, as a new socket's own events come with the next batch at the earliest.
+ * Netty's epoll, without events of sockets that are closed already. Guards against those being told
+ * to another socket: the kernel gives a batch of events by descriptor number, and where one event
+ * of the batch has a socket closed and the next one has another opened, the new socket gets the old
+ * number and the old socket's events. A hang-up among them ends a connection that is being opened,
+ * and of an open one it takes the watch for hang-ups; such a one then leaves epoll when its reading
+ * pauses, and fails when that goes on. Harm: none, as a new socket's own events come with the next
+ * batch at the earliest.
  */
 final class StaleEventFilter implements IoHandler {
 
   private final IoHandler epoll;
+
   /** Counts the batches. */
   private long batch;
 
@@ -70,7 +72,10 @@
     return epoll.isCompatible(type);
   }
 
-  /** One socket: what the batch in which it was registered tells under its number is not meant for it. */
+  /**
+   * One socket: what the batch in which it was registered tells under its number is not meant for
+   * it.
+   */
   private final class Handle implements EpollIoHandle {
     private final EpollIoHandle socket;
     private final long registeredIn = batch;
--- a/src/main/java/willowdoor/net/Sweep.java
+++ b/src/main/java/willowdoor/net/Sweep.java
@@ -9,14 +9,15 @@
 import java.util.logging.Logger;
 
 /**
- * Work on many connections or requests, one by one. What one of them throws ends neither the work on the
- * others nor the rounds to come; a task that throws is never run again by its loop, and nothing tells so.
+ * Work on many connections or requests, one by one. What one of them throws ends neither the work
+ * on the others nor the rounds to come; a task that throws is never run again by its loop, and
+ * nothing tells so.
  */
 final class Sweep {
 
   private static final Logger LOG = Logger.getLogger(Sweep.class.getName());
 
-  private Sweep() { }
+  private Sweep() {}
 
   /** Has the loop run a round again and again, so long after the one before. */
   static void every(EventLoop loop, long pauseMs, Runnable round) {
--- a/src/main/java/willowdoor/net/Transport.java
+++ b/src/main/java/willowdoor/net/Transport.java
@@ -24,35 +24,50 @@
 import java.util.logging.Logger;
 
 /**
- * The sockets that the event loop drives: native epoll, which took a quarter less CPU on a calm day, or NIO
- * where its library cannot be loaded.
+ * The sockets that the event loop drives: native epoll, which took a quarter less CPU on a calm
+ * day, or NIO where its library cannot be loaded.
  */
-record Transport(IoHandlerFactory ioHandler, Class<? extends SocketChannel> socket,
-    Class<? extends ServerSocketChannel> serverSocket, ChannelOption<Boolean> reusePort) {
+record Transport(
+    IoHandlerFactory ioHandler,
+    Class<? extends SocketChannel> socket,
+    Class<? extends ServerSocketChannel> serverSocket,
+    ChannelOption<Boolean> reusePort) {
 
-  static final Transport BEST = Epoll.isAvailable()
-      ? new Transport(StaleEventFilter.newFactory(), EpollSocketChannel.class, EpollServerSocketChannel.class,
-          EpollChannelOption.SO_REUSEPORT)
-      : new Transport(NioIoHandler.newFactory(), NioSocketChannel.class, NioServerSocketChannel.class,
-          NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT));
+  static final Transport BEST =
+      Epoll.isAvailable()
+          ? new Transport(
+              StaleEventFilter.newFactory(),
+              EpollSocketChannel.class,
+              EpollServerSocketChannel.class,
+              EpollChannelOption.SO_REUSEPORT)
+          : new Transport(
+              NioIoHandler.newFactory(),
+              NioSocketChannel.class,
+              NioServerSocketChannel.class,
+              NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT));
 
   /** What one side of a large body or answer may have waiting before the other stops reading. */
   static final WriteBufferWaterMark FEW_WAITING = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
+
   /**
-   * What the kernel may hold of it for a peer that reads slowly. It tells of room only when a third has gone,
-   * and lets the buffer grow to megabytes by itself: at 64 kB a second a peer that reads all the time would
-   * look stuck for a quarter of a minute.
+   * What the kernel may hold of it for a peer that reads slowly. It tells of room only when a third
+   * has gone, and lets the buffer grow to megabytes by itself: at 64 kB a second a peer that reads
+   * all the time would look stuck for a quarter of a minute.
    */
   static final int FEW_SENT = 128 * 1024;
+
   /** TCP_CLOSE, TCP_CLOSE_WAIT, TCP_LAST_ACK and TCP_CLOSING, as Linux numbers the states. */
   private static final Set<Integer> ENDED_STATES = Set.of(7, 8, 9, 11);
+
   private static final Logger LOG = Logger.getLogger(Transport.class.getName());
+
   /** Bytes of the longest address, as Netty encodes it, and of its length. */
   private static final int MOST_ADDRESS = 26;
 
   /**
-   * For how long the newest bytes of a connection had been with the kernel, in milliseconds; 0 where it does
-   * not tell. A loop that is short of CPU reads late, and only the kernel knows how late.
+   * For how long the newest bytes of a connection had been with the kernel, in milliseconds; 0
+   * where it does not tell. A loop that is short of CPU reads late, and only the kernel knows how
+   * late.
    */
   static double waitedMs(Channel channel) {
     try {
@@ -63,8 +78,9 @@
   }
 
   /**
-   * Ends a connection with a reset. One whose socket is closed is left alone, though its pipeline may not
-   * have heard of that yet: the option would fail, or go to the socket that has its number by now.
+   * Ends a connection with a reset. One whose socket is closed is left alone, though its pipeline
+   * may not have heard of that yet: the option would fail, or go to the socket that has its number
+   * by now.
    */
   static void reset(Channel channel) {
     if (channel.isOpen()) {
@@ -78,26 +94,30 @@
   }
 
   /**
-   * Whether the kernel has seen the other side end the connection or its sending, though it may not have been
-   * read here yet; false where the kernel does not tell.
+   * Whether the kernel has seen the other side end the connection or its sending, though it may not
+   * have been read here yet; false where the kernel does not tell.
    */
   static boolean endedByPeer(Channel channel) {
     try {
-      return channel instanceof EpollSocketChannel socket && ENDED_STATES.contains(socket.tcpInfo().state());
+      return channel instanceof EpollSocketChannel socket
+          && ENDED_STATES.contains(socket.tcpInfo().state());
     } catch (ChannelException e) {
       return false;
     }
   }
 
-  /** Reads of up to 32 KiB, so that what waits to be written keeps no larger buffers from being freed. */
+  /**
+   * Reads of up to 32 KiB, so that what waits to be written keeps no larger buffers from being
+   * freed.
+   */
   static RecvByteBufAllocator smallReads() {
     return new AdaptiveRecvByteBufAllocator(1_024, 2_048, 32 * 1_024);
   }
 
   /**
-   * Has all connections accepted that wait by now. Guards against the reset of those that a listening socket
-   * leaves behind when it closes. Harm: none; what comes between the last of them and the close is lost all
-   * the same.
+   * Has all connections accepted that wait by now. Guards against the reset of those that a
+   * listening socket leaves behind when it closes. Harm: none; what comes between the last of them
+   * and the close is lost all the same.
    */
   static void acceptWaiting(Channel listening) {
     if (listening instanceof EpollServerSocketChannel server) {
--- a/src/main/java/willowdoor/net/WarmUp.java
+++ b/src/main/java/willowdoor/net/WarmUp.java
@@ -21,31 +21,37 @@
 import willowdoor.QuotaPolicy;
 
 /**
- * Takes made-up requests through a front door of its own, without sockets, so that the code is loaded and
- * compiled before the first client comes. Guards against a start that lasts into service where CPU is short:
- * cold code needs some ten times the CPU for a request. Harm: the start takes longer, by the limit at most,
- * and a restarted door is missed for so long.
+ * Takes made-up requests through a front door of its own, without sockets, so that the code is
+ * loaded and compiled before the first client comes. Guards against a start that lasts into service
+ * where CPU is short: cold code needs some ten times the CPU for a request. Harm: the start takes
+ * longer, by the limit at most, and a restarted door is missed for so long.
  */
 final class WarmUp {
 
   private static final Logger LOG = Logger.getLogger(WarmUp.class.getName());
+
   /** Ten times what the compiler counts to before it compiles a method: 20, by the deploy file. */
   static final int REQUESTS = 200;
+
   /**
-   * A start is worth so much more CPU at most: a restarted door is missed for as long as it takes. The
-   * requests need some 500 ms of it.
+   * A start is worth so much more CPU at most: a restarted door is missed for as long as it takes.
+   * The requests need some 500 ms of it.
    */
   private static final double LIMIT_CPU_MS = 1_200;
+
   private static final double LEAST_CORES = 0.1;
   private static final int BACKENDS = 8;
   private static final int CUSTOMERS = 50;
+
   /** Requests on one connection. */
   private static final int KEPT_FOR = 10;
 
   private final Config config;
   private final Clock clock = new Clock();
+
   /** Its timers never run, and nothing keeps it alive afterwards. */
   private final EventLoop loop = new EmbeddedChannel().eventLoop();
+
   private final List<EmbeddedChannel> backends = new ArrayList<>();
   private final List<EmbeddedChannel> counters = new ArrayList<>();
   private int served;
@@ -54,7 +60,10 @@
     this.config = config;
   }
 
-  /** The time in which the limit's CPU is to be had from the part of a core that this front door gets. */
+  /**
+   * The time in which the limit's CPU is to be had from the part of a core that this front door
+   * gets.
+   */
   double limitMs() {
     return LIMIT_CPU_MS / Math.min(1, Math.max(LEAST_CORES, config.limits().cores()));
   }
@@ -72,29 +81,54 @@
   private void exchange(double until) {
     Places places = new Places(Integer.MAX_VALUE / 2);
     QuotaPolicy policy = new QuotaPolicy(config.settings(), 1);
-    BackendPool pool = new BackendPool(loop, clock, (address, handler) -> open(backends, handler),
-        config.idleLimitMs(), places, policy.listing());
+    BackendPool pool =
+        new BackendPool(
+            loop,
+            clock,
+            (address, handler) -> open(backends, handler),
+            config.idleLimitMs(),
+            places,
+            policy.listing());
     ModuleDriver driver = new ModuleDriver(loop, clock, policy, pool);
-    ClientServer clients = new ClientServer(loop, clock, driver, pool, new RequestReader(config.settings()),
-        config.limits(), places, new Lifecycle(clock));
-    CounterClient counter = new CounterClient(loop, clock, (address, handler) -> open(counters, handler),
-        config.discovery(), config.settings().allowed().countLimitMs(), driver::onCounted);
+    ClientServer clients =
+        new ClientServer(
+            loop,
+            clock,
+            driver,
+            pool,
+            new RequestReader(config.settings()),
+            config.limits(),
+            places,
+            new Lifecycle(clock));
+    CounterClient counter =
+        new CounterClient(
+            loop,
+            clock,
+            (address, handler) -> open(counters, handler),
+            config.discovery(),
+            config.settings().allowed().countLimitMs(),
+            driver::onCounted);
     counter.start();
     driver.start(counter, roster());
     for (int i = 0; i < REQUESTS && clock.now() < until; i += KEPT_FOR) {
-      EmbeddedChannel client = new EmbeddedChannel(new ChannelInitializer<Channel>() {
-        @Override
-        protected void initChannel(Channel channel) {
-          clients.adopt(channel);
-        }
-      });
+      EmbeddedChannel client =
+          new EmbeddedChannel(
+              new ChannelInitializer<Channel>() {
+                @Override
+                protected void initChannel(Channel channel) {
+                  clients.adopt(channel);
+                }
+              });
       for (int k = 0; k < KEPT_FOR; k++) {
         client.writeInbound(text(request(i + k)));
         answer(counters, "ok 1\r\n");
         answer(backends, "HTTP/1.1 200 OK\r\nX-Units-Charged: 1\r\nContent-Length: 4\r\n\r\nfine");
         ByteBuf answered = client.readOutbound();
-        served += answered != null && answered.toString(StandardCharsets.US_ASCII).startsWith("HTTP/1.1 200")
-            ? 1 : 0;
+        served +=
+            answered != null
+                    && answered.toString(StandardCharsets.US_ASCII).startsWith("HTTP/1.1 200")
+                ? 1
+                : 0;
         client.releaseOutbound();
         if (answered != null) {
           answered.release();
@@ -140,11 +174,23 @@
     RequestClass type = classes.get(number % classes.size());
     Plan plan = plans.get(number / classes.size() % plans.size());
     boolean safe = type.repeat() == Repeat.SAFE;
-    return (safe ? "GET /" : "POST /") + type.name() + "/1 HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: w"
-        + number + "\r\nRequest-Class: " + type.name() + "\r\nX-Plan: " + plan.name() + "\r\nX-Customer: "
-        + String.format("%016x", number % CUSTOMERS) + "\r\nRequest-Timeout-Ms: "
-        + (long) Math.max(1, type.deadlineMs()) + "\r\nIdempotency-Key: w" + number
-        + "\r\nX-Quota: units=1,spread=1,first=0" + (safe ? "" : "\r\nContent-Length: 4") + "\r\n\r\n"
+    return (safe ? "GET /" : "POST /")
+        + type.name()
+        + "/1 HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: w"
+        + number
+        + "\r\nRequest-Class: "
+        + type.name()
+        + "\r\nX-Plan: "
+        + plan.name()
+        + "\r\nX-Customer: "
+        + String.format("%016x", number % CUSTOMERS)
+        + "\r\nRequest-Timeout-Ms: "
+        + (long) Math.max(1, type.deadlineMs())
+        + "\r\nIdempotency-Key: w"
+        + number
+        + "\r\nX-Quota: units=1,spread=1,first=0"
+        + (safe ? "" : "\r\nContent-Length: 4")
+        + "\r\n\r\n"
         + (safe ? "" : "body");
   }
 }
