--- a/src/main/java/willowdoor/net/WatchBackoff.java
+++ b/src/main/java/willowdoor/net/WatchBackoff.java
@@ -3,22 +3,29 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * How long to wait before the next watch of the list. A watch that ended is opened again soon, as what its
- * agent has counts as told; while list after list cannot be taken, the waits grow, as every front door asks
- * for the same one again. All waits are spread by chance.
+ * How long to wait before the next watch of the list. A watch that ended is opened again soon, as
+ * what its agent has counts as told; while list after list cannot be taken, the waits grow, as
+ * every front door asks for the same one again. All waits are spread by chance.
  */
 final class WatchBackoff {
 
   private static final double LEAST_MS = 100;
-  /** What the agent has counts as told without a watch: well within the second that a drain leaves. */
+
+  /**
+   * What the agent has counts as told without a watch: well within the second that a drain leaves.
+   */
   private static final double MOST_MS = 200;
+
   /**
-   * For lists that cannot be taken. Spread by chance it is 3 s at most: the next list may be good, and what
-   * it tells counts as told 6 s after discovery had it, whatever became of calls meanwhile.
+   * For lists that cannot be taken. Spread by chance it is 3 s at most: the next list may be good,
+   * and what it tells counts as told 6 s after discovery had it, whatever became of calls
+   * meanwhile.
    */
   private static final double MOST_UNTAKEN_MS = 2_000;
+
   /** So many in a row are taken for bytes spoilt on the way. */
   private static final int SPOILT = 3;
+
   /** A watch that lasted so long was a good one; junk on each new one must not make a busy loop. */
   private static final double GOOD_MS = 5_000;
 
