--- a/src/test/java/willowdoor/scale/FleetFigures.java
+++ b/src/test/java/willowdoor/scale/FleetFigures.java
@@ -10,23 +10,32 @@
   long asked;
   long served;
   long failed;
+
   /** Refused, and of those with enough units left in the customer's store. */
   long refused;
+
   long refusedWithRoom;
+
   /** Of customers that ask for well under their quota on the mean. */
   long lightAsked;
+
   long lightRefused;
+
   /** First sends with, and without, enough units in the store. */
   long sentWithin;
+
   long sentBeyond;
+
   /** What stores would have granted if each request had drawn its units on coming. */
   long grantable;
+
   long attempts;
   long newConnections;
   long counterCalls;
   long counterBytes;
   long rosterMessages;
   long rosterBytes;
+
   /** From a request's coming to its first send. */
   final Histogram addedMicros = new Histogram(LONGEST_MICROS, 3);
 
--- a/src/test/java/willowdoor/scale/Sweep.java
+++ b/src/test/java/willowdoor/scale/Sweep.java
@@ -22,7 +22,8 @@
    * @param seed of all random numbers
    * @param secondsEach bound on the time of each size
    * @param version label of the program's version that is measured
-   * @param programClasses folder or jar of the program's classes, for tests that start it as a process
+   * @param programClasses folder or jar of the program's classes, for tests that start it as a
+   *     process
    */
   record Plan(boolean quick, long seed, double secondsEach, String version, String programClasses) {
     Measurement.Subject subject(Sweep sweep, String parameter) {
