--- a/src/main/java/willowdoor/Main.java
+++ b/src/main/java/quotagateway/Main.java
@@ -1,7 +1,8 @@
-package willowdoor;
+package quotagateway;
 
 import java.io.IOException;
-import willowdoor.net.FrontDoor;
+import quotagateway.server.GatewayServer;
+import quotagateway.simulator.SimulatorAdapter;
 
 /** Runs the module as a real front door, or on the bench's wire over standard input and output. */
 public final class Main {
@@ -12,17 +13,17 @@
     String mode = args.length == 1 ? args[0] : "";
     try {
       switch (mode) {
-        case "serve" -> FrontDoor.serve();
-        case "benchlink" -> new BenchLink(System.in, System.out).run();
+        case "serve" -> GatewayServer.serve();
+        case "simulator-adapter" -> new SimulatorAdapter(System.in, System.out).run();
         default -> {
-          System.err.println("usage: java -jar willowdoor.jar serve|benchlink");
+          System.err.println("usage: java -jar quota-gateway.jar serve|simulator-adapter");
           System.exit(2);
         }
       }
     } catch (IOException | RuntimeException e) {
       String reason = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
       System.err.println(
-          "willowdoor: " + (mode.equals("serve") ? "cannot serve: " : "bad input: ") + reason);
+          "quota-gateway: " + (mode.equals("serve") ? "cannot serve: " : "bad input: ") + reason);
       System.exit(1);
     }
   }
--- a/src/main/java/willowdoor/net/AdminServer.java
+++ b/src/main/java/quotagateway/admin/AdminServer.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.admin;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -28,13 +28,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.logging.Logger;
+import quotagateway.client.RequestDecoder;
+import quotagateway.client.RequestReader;
+import quotagateway.lifecycle.Lifecycle;
+import quotagateway.transport.SocketTransport;
 
 /**
  * The operators' calls: whether this process can serve, to drain it, and to take it back. On an
  * address and an event loop of its own, so that no load of clients' makes an operator wait; it only
  * reads and moves the {@link Lifecycle}.
  */
-final class AdminServer {
+public final class AdminServer {
 
   private static final Logger LOG = Logger.getLogger(AdminServer.class.getName());
 
@@ -42,7 +46,7 @@
   private static final int CALLERS = 8;
 
   /** The loop's own, the listening socket, the callers, and one that is being taken. */
-  static final int DESCRIPTORS = CALLERS + 5;
+  public static final int DESCRIPTORS = CALLERS + 5;
 
   /** A call is a few bytes from close by: one that is not whole by then will not be. */
   private static final long CALL_MS = 1_000;
@@ -50,7 +54,7 @@
   private static final int MOST_BODY = 4_096;
 
   private final EventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
+      new MultiThreadIoEventLoopGroup(1, SocketTransport.BEST.ioHandler());
   private final Lifecycle lifecycle;
   private final BooleanSupplier ready;
 
@@ -60,14 +64,14 @@
   private final Channel listening;
 
   /** Opens it; whether the front door can serve is asked on this server's thread. */
-  AdminServer(InetSocketAddress address, Lifecycle lifecycle, BooleanSupplier ready)
+  public AdminServer(InetSocketAddress address, Lifecycle lifecycle, BooleanSupplier ready)
       throws IOException {
     this.lifecycle = lifecycle;
     this.ready = ready;
     ChannelFuture bound =
         new ServerBootstrap()
             .group(group)
-            .channel(Transport.BEST.serverSocket())
+            .channel(SocketTransport.BEST.serverSocket())
             .option(ChannelOption.SO_REUSEADDR, true)
             .childHandler(
                 new ChannelInitializer<Channel>() {
@@ -101,11 +105,11 @@
             new Call());
   }
 
-  SocketAddress address() {
+  public SocketAddress address() {
     return listening.localAddress();
   }
 
-  void close() {
+  public void close() {
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
   }
 
--- a/src/main/java/willowdoor/net/Attempt.java
+++ b/src/main/java/quotagateway/backend/Attempt.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.backend;
 
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpContent;
@@ -6,13 +6,14 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.util.concurrent.Future;
-import willowdoor.GatewayApi.Status;
+import quotagateway.policy.event.Status;
+import quotagateway.transport.ProtocolHeaders;
 
 /** One attempt of a request at one backend, from the module's send to its one outcome. */
-abstract class Attempt {
+public abstract class Attempt {
 
   final HttpRequest head;
-  final Body body;
+  final RequestBody body;
 
   /** Infinite while the body is still to come: the time counts from its end. */
   final double timeoutMs;
@@ -29,7 +30,7 @@
   /**
    * True once the request's last byte went to the kernel: from then on the backend may have run it.
    */
-  boolean written;
+  public boolean written;
 
   /** Fires when the attempt's time is up. */
   Future<?> timer;
@@ -39,7 +40,7 @@
 
   private boolean ended;
 
-  Attempt(HttpRequest head, Body body, double timeoutMs) {
+  public Attempt(HttpRequest head, RequestBody body, double timeoutMs) {
     this.head = head;
     this.body = body;
     this.timeoutMs = timeoutMs;
@@ -51,14 +52,14 @@
    */
   final boolean once() {
     return head.method().equals(HttpMethod.POST)
-        && !head.headers().contains(Headers.IDEMPOTENCY_KEY);
+        && !head.headers().contains(ProtocolHeaders.IDEMPOTENCY_KEY);
   }
 
-  final boolean ended() {
+  public final boolean ended() {
     return ended;
   }
 
-  final boolean begun() {
+  public final boolean begun() {
     return begun;
   }
 
@@ -68,9 +69,9 @@
    */
   final Status broken(boolean stale) {
     if (!written) {
-      return Status.BROKEN;
+      return Status.WRITE_INCOMPLETE;
     }
-    return stale ? Status.SPOILT : Status.RESET;
+    return stale ? Status.MALFORMED_RESPONSE : Status.RESET;
   }
 
   /**
@@ -78,11 +79,13 @@
    * backend, and of one that was not written whole nothing ran.
    */
   final Status overdue() {
-    return written ? Status.TIMED_OUT : connection == null ? Status.NOT_SENT : Status.BROKEN;
+    return written
+        ? Status.TIMED_OUT
+        : connection == null ? Status.NOT_SENT : Status.WRITE_INCOMPLETE;
   }
 
   /** How calling it off ends this attempt. */
-  final Status cancelled() {
+  public final Status cancelled() {
     return written ? Status.CANCELLED : overdue();
   }
 
@@ -97,7 +100,7 @@
   }
 
   /** The client takes more of its answer. */
-  final void resume() {
+  public final void resume() {
     if (!ended && connection != null) {
       connection.resume();
     }
@@ -125,7 +128,7 @@
    * end may make the module send the next attempt at once: one copy at a time is out on an open
    * connection.
    */
-  final void abandon(Status status) {
+  public final void abandon(Status status) {
     if (ended) {
       return;
     }
@@ -140,20 +143,20 @@
    * waits for its answer any more. Guards the rule on clients that have left: a loop that was held
    * up, or that has paused reading, has not heard of it yet.
    */
-  boolean wanted() {
+  public boolean wanted() {
     return !ended;
   }
 
   /** An answer begins that is too large to be held; true if it is wanted. */
-  boolean onBegin(HttpResponse answer) {
+  public boolean onBegin(HttpResponse answer) {
     return false;
   }
 
   /** A piece of that answer, only lent; true while more is wanted now. */
-  boolean onPiece(HttpContent piece) {
+  public boolean onPiece(HttpContent piece) {
     return false;
   }
 
   /** The answer is only lent, and null unless the status is OK and the answer was held. */
-  abstract void onEnd(Status status, FullHttpResponse answer);
+  public abstract void onEnd(Status status, FullHttpResponse answer);
 }
--- a/src/main/java/willowdoor/net/BackendConnection.java
+++ b/src/main/java/quotagateway/backend/BackendConnection.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.backend;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -24,10 +24,12 @@
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
-import willowdoor.GatewayApi.Status;
+import quotagateway.policy.event.Status;
+import quotagateway.transport.ProtocolHeaders;
 
 /** One connection to a backend: at most one attempt at a time, and what its answer means. */
-final class BackendConnection extends SimpleChannelInboundHandler<HttpObject> implements Body.Sink {
+final class BackendConnection extends SimpleChannelInboundHandler<HttpObject>
+    implements RequestBody.Sink {
 
   /**
    * An answer within this is held whole, so that another can take its place; a larger one is passed
@@ -53,9 +55,9 @@
    */
   private static final double PASSED_STOPPED_MS = 10_000;
 
-  private final BackendPool pool;
+  private final BackendConnectionPool pool;
   private final ResponseDecoder decoder;
-  final BackendPool.Backend backend;
+  final BackendConnectionPool.Backend backend;
 
   /** Where it leads; its backend may move. */
   final InetSocketAddress place;
@@ -91,7 +93,8 @@
   /** The client takes no more for now. */
   private boolean paused;
 
-  BackendConnection(BackendPool pool, BackendPool.Backend backend, ResponseDecoder decoder) {
+  BackendConnection(
+      BackendConnectionPool pool, BackendConnectionPool.Backend backend, ResponseDecoder decoder) {
     this.pool = pool;
     this.backend = backend;
     this.place = backend.place;
@@ -132,7 +135,7 @@
     HttpRequest head = attempt.head;
     if (attempt.dueAt < Double.POSITIVE_INFINITY) {
       double left = Math.max(1, attempt.dueAt - pool.now());
-      head.headers().set(Headers.TIMEOUT_MS, Long.toString((long) Math.ceil(left)));
+      head.headers().set(ProtocolHeaders.TIMEOUT_MS, Long.toString((long) Math.ceil(left)));
     }
     if (attempt.body.whole()) {
       lastWrite(
@@ -159,7 +162,7 @@
             (ChannelFuture f) -> {
               attempt.written = f.isSuccess();
               if (!f.isSuccess()) {
-                attempt.end(Status.BROKEN, null);
+                attempt.end(Status.WRITE_INCOMPLETE, null);
                 channel.close();
               }
             });
@@ -344,7 +347,7 @@
             && HttpUtil.isKeepAlive(head)
             && channel.isActive();
     // An answer ahead of the request's end is none to this request.
-    Status status = inStep ? status(head) : Status.BROKEN;
+    Status status = inStep ? status(head) : Status.WRITE_INCOMPLETE;
     current = null;
     forget();
     if (reusable) {
@@ -372,7 +375,10 @@
     channel.close();
     if (attempt != null) {
       attempt.end(
-          !attempt.written ? Status.BROKEN : attempt.begun() ? Status.RESET : Status.SPOILT, null);
+          !attempt.written
+              ? Status.WRITE_INCOMPLETE
+              : attempt.begun() ? Status.RESET : Status.MALFORMED_RESPONSE,
+          null);
     }
   }
 
@@ -401,7 +407,7 @@
     boolean turnedAway =
         (code.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                 || code.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
-            && "1".equals(answer.headers().get(Headers.NOT_STARTED));
+            && "1".equals(answer.headers().get(ProtocolHeaders.NOT_STARTED));
     return turnedAway ? Status.REJECTED : Status.ERROR;
   }
 
--- a/src/main/java/willowdoor/net/BackendPool.java
+++ b/src/main/java/quotagateway/backend/BackendConnectionPool.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.backend;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
@@ -16,16 +16,22 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import willowdoor.GatewayApi.BackendEntry;
-import willowdoor.GatewayApi.Listing;
-import willowdoor.GatewayApi.Phase;
-import willowdoor.GatewayApi.Status;
+import quotagateway.discovery.EndpointUpdate;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointState;
+import quotagateway.endpoint.ServingEndpoints;
+import quotagateway.policy.event.Status;
+import quotagateway.transport.BackendAddress;
+import quotagateway.transport.ConnectionBudget;
+import quotagateway.transport.Dialer;
+import quotagateway.transport.MonotonicClock;
+import quotagateway.transport.PeriodicTask;
 
 /**
  * The connections to the backends, and the attempts on them. It picks no backend and repeats
  * nothing.
  */
-final class BackendPool {
+public final class BackendConnectionPool {
 
   /**
    * An idle connection is retired at this share of the backends' own limit, well before they close
@@ -59,22 +65,22 @@
 
     Backend(long place, double startedMs) {
       listedPlace = place;
-      this.place = Place.address(place);
+      this.place = BackendAddress.address(place);
       this.startedMs = startedMs;
     }
 
     private void release(List<Attempt> unsent) {
-      Sweep.each(idle, BackendConnection::close);
+      PeriodicTask.each(idle, BackendConnection::close);
       unsent.addAll(connecting);
     }
   }
 
   private final EventLoop loop;
-  private final Clock clock;
+  private final MonotonicClock clock;
   private final Dialer dialer;
   private final double idleLimitMs;
-  private final Places places;
-  private final Listing listing;
+  private final ConnectionBudget places;
+  private final ServingEndpoints listing;
 
   /**
    * Those with connections, by identifier; of the others the listing tells the place when it is
@@ -85,22 +91,22 @@
   /** Read by the admin server too. */
   private volatile boolean knowsAny;
 
-  final IdleTrust trust = new IdleTrust();
+  final IdleConnectionReuse trust = new IdleConnectionReuse();
 
-  BackendPool(
+  public BackendConnectionPool(
       EventLoop loop,
-      Clock clock,
+      MonotonicClock clock,
       Dialer dialer,
       double idleLimitMs,
-      Places places,
-      Listing listing) {
+      ConnectionBudget places,
+      ServingEndpoints listing) {
     this.loop = loop;
     this.clock = clock;
     this.idleLimitMs = idleLimitMs * RETIRE_AT;
     this.places = places;
     this.listing = listing;
     this.dialer = dialer;
-    Sweep.every(loop, SWEEP_MS, this::retireIdle);
+    PeriodicTask.every(loop, SWEEP_MS, this::retireIdle);
   }
 
   /**
@@ -108,29 +114,29 @@
    * leads to nobody any more where a backend drains or is gone, or has moved or started again:
    * another may live at its old place.
    */
-  void onRoster(RosterNews news) {
+  public void onRoster(EndpointUpdate news) {
     List<Backend> left = new ArrayList<>();
     news.entries().forEach(e -> look(e, left));
     if (news.full()) {
       List.copyOf(backends.keySet()).stream()
-          .filter(id -> listing.place(id) == BackendEntry.NOWHERE)
+          .filter(id -> listing.address(id) == Endpoint.NO_ADDRESS)
           .forEach(id -> remove(id, left));
     }
-    knowsAny = listing.any();
+    knowsAny = listing.anyServing();
     // Only now, as what is given up may go to any backend of the list at once.
     List<Attempt> unsent = new ArrayList<>();
     left.forEach(b -> b.release(unsent));
-    Sweep.each(unsent, a -> a.abandon(Status.NOT_SENT));
+    PeriodicTask.each(unsent, a -> a.abandon(Status.NOT_SENT));
   }
 
-  private void look(BackendEntry e, List<Backend> left) {
+  private void look(Endpoint e, List<Backend> left) {
     Backend b = backends.get(e.id());
-    if (b != null && e.phase() != Phase.SERVING) {
+    if (b != null && e.state() != EndpointState.SERVING) {
       remove(e.id(), left);
-    } else if (b != null && (e.place() != b.listedPlace || e.startedMs() != b.startedMs)) {
+    } else if (b != null && (e.address() != b.listedPlace || e.startedMs() != b.startedMs)) {
       left.add(b);
-      b.listedPlace = e.place();
-      b.place = Place.address(e.place());
+      b.listedPlace = e.address();
+      b.place = BackendAddress.address(e.address());
       b.startedMs = e.startedMs();
     }
   }
@@ -147,7 +153,7 @@
     }
   }
 
-  boolean knowsAny() {
+  public boolean knowsAny() {
     return knowsAny;
   }
 
@@ -156,7 +162,7 @@
   }
 
   /** Gives an attempt up after that time, if it is known. */
-  void limit(Attempt attempt, double timeoutMs) {
+  public void limit(Attempt attempt, double timeoutMs) {
     if (timeoutMs < Double.POSITIVE_INFINITY) {
       attempt.timer =
           loop.schedule(
@@ -169,8 +175,8 @@
   /** The backend with its connections, or null for one that does not serve. */
   private Backend backend(long id) {
     Backend b = backends.get(id);
-    long place = b == null ? listing.place(id) : BackendEntry.NOWHERE;
-    if (place != BackendEntry.NOWHERE) {
+    long place = b == null ? listing.address(id) : Endpoint.NO_ADDRESS;
+    if (place != Endpoint.NO_ADDRESS) {
       b = new Backend(place, listing.startedMs(id));
       backends.put(id, b);
     }
@@ -198,7 +204,7 @@
    * Starts an attempt on an idle connection, or on a new one; it is written whole in startMs, or
    * fails.
    */
-  void start(long id, Attempt attempt, double startMs) {
+  public void start(long id, Attempt attempt, double startMs) {
     Backend b = backend(id);
     if (b == null || startMs <= 0 || attempt.timeoutMs <= 0) {
       attempt.end(Status.NOT_SENT, null);
@@ -315,8 +321,8 @@
       return Status.NOT_SENT;
     }
     return String.valueOf(cause.getMessage()).contains("reset")
-        ? Status.BROKEN
-        : Status.UNREACHABLE;
+        ? Status.WRITE_INCOMPLETE
+        : Status.CONNECT_FAILED;
   }
 
   void release(BackendConnection c) {
--- a/src/main/java/willowdoor/net/IdleTrust.java
+++ b/src/main/java/quotagateway/backend/IdleConnectionReuse.java
@@ -1,11 +1,11 @@
-package willowdoor.net;
+package quotagateway.backend;
 
 /**
  * For how long a kept connection may have been idle and still be trusted with a request that cannot
  * go out again. Something on the way may forget connections far sooner than the backends say that
  * they close them, and tells nobody until something is written.
  */
-final class IdleTrust {
+final class IdleConnectionReuse {
 
   /**
    * Weight of the newest death, and how much each survivor of more than the bound adds to it again.
--- a/src/main/java/willowdoor/net/Body.java
+++ b/src/main/java/quotagateway/backend/RequestBody.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.backend;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -9,12 +9,12 @@
  * so that it can go out again. A larger one is handed through as it comes, as fast as both sides
  * go, and not kept.
  */
-final class Body {
+public final class RequestBody {
 
-  static final int MOST_HELD = 64 * 1024;
+  public static final int MOST_HELD = 64 * 1024;
 
   /** Where it comes from. */
-  interface Source {
+  public interface Source {
     void wants(boolean more);
   }
 
@@ -36,21 +36,21 @@
   private boolean dropped;
 
   /** What is held of it, and given back, is told to the account. */
-  Body(Source source, IntConsumer account) {
+  public RequestBody(Source source, IntConsumer account) {
     this.source = source;
     this.account = account;
   }
 
   /** A whole body of these bytes. */
-  static Body of(ByteBuf bytes) {
-    Body body = new Body(more -> {}, change -> {});
+  public static RequestBody of(ByteBuf bytes) {
+    RequestBody body = new RequestBody(more -> {}, change -> {});
     body.add(bytes);
     body.end();
     return body;
   }
 
   /** More has come; the bytes are only lent. */
-  void add(ByteBuf bytes) {
+  public void add(ByteBuf bytes) {
     if (dropped || !bytes.isReadable()) {
       return;
     }
@@ -74,7 +74,7 @@
    * may be those at which reading paused, and no room for more of this body will be told of any
    * more. Harm: none.
    */
-  void end() {
+  public void end() {
     whole = true;
     source.wants(true);
     if (sink != null) {
@@ -82,17 +82,17 @@
     }
   }
 
-  boolean whole() {
+  public boolean whole() {
     return whole;
   }
 
   /** More is held than is to be. */
-  boolean large() {
+  public boolean large() {
     return held.readableBytes() > MOST_HELD;
   }
 
   /** All of it where it is whole; only lent. */
-  ByteBuf held() {
+  public ByteBuf held() {
     return held;
   }
 
@@ -125,7 +125,7 @@
   }
 
   /** Nothing of it is needed any more. */
-  void release() {
+  public void release() {
     dropped = true;
     ByteBuf last = held;
     give();
--- a/src/main/java/willowdoor/net/ResponseDecoder.java
+++ b/src/main/java/quotagateway/backend/ResponseDecoder.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.backend;
 
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpMessage;
--- a/src/main/java/willowdoor/net/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.client;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -31,7 +31,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import willowdoor.GatewayApi.Request;
+import quotagateway.backend.Attempt;
+import quotagateway.backend.RequestBody;
+import quotagateway.driver.PolicyDriver;
+import quotagateway.policy.event.RequestReceived;
+import quotagateway.transport.ProtocolHeaders;
+import quotagateway.transport.SocketTransport;
 
 /** One client's connection: a request at a time, each with the one final answer. */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
@@ -127,7 +132,7 @@
   /** A request as it comes. */
   private final class Incoming {
     final HttpRequest head;
-    final Body body = new Body(ClientConnection.this::read, server::hold);
+    final RequestBody body = new RequestBody(ClientConnection.this::read, server::hold);
 
     /** When its last byte came to this machine: from then on its time counts. */
     double arrivedAt;
@@ -303,7 +308,7 @@
       return;
     }
     coming = next;
-    if (next.tooLarge() || HttpUtil.getContentLength(head, 0L) > Body.MOST_HELD) {
+    if (next.tooLarge() || HttpUtil.getContentLength(head, 0L) > RequestBody.MOST_HELD) {
       queue(next);
     }
     encourage();
@@ -353,7 +358,7 @@
     if (content instanceof LastHttpContent) {
       coming = null;
       receivingSince = Double.NaN;
-      in.arrivedAt = server.now() - Transport.waitedMs(channel);
+      in.arrivedAt = server.now() - SocketTransport.waitedMs(channel);
       in.body.end();
       if (in.taken && handled == in && current != null) {
         server.driver().bodyWhole(current, in.arrivedAt + in.timeoutMs);
@@ -447,7 +452,7 @@
   }
 
   private void take(Incoming in) {
-    Request request;
+    RequestReceived request;
     try {
       request = server.read(in.head, in.arrivedAt);
     } catch (RequestReader.BadRequest e) {
@@ -455,16 +460,16 @@
       answer(HttpResponseStatus.BAD_REQUEST, e.getMessage());
       return;
     }
-    in.timeoutMs = request.giveUpMs() - in.arrivedAt;
-    current = request.id();
+    in.timeoutMs = request.deadlineAtMs() - in.arrivedAt;
+    current = request.requestId();
     in.taken = true;
     server
         .driver()
         .take(
-            in.body.whole() ? request : request.withoutLimit(),
+            in.body.whole() ? request : request.withoutDeadline(),
             onward(in),
             in.body,
-            new ModuleDriver.Client() {
+            new PolicyDriver.Client() {
               @Override
               public boolean left() {
                 boolean left = ClientConnection.this.left();
@@ -515,7 +520,7 @@
    * yet.
    */
   private boolean left() {
-    if (channel.isActive() && Transport.endedByPeer(channel)) {
+    if (channel.isActive() && SocketTransport.endedByPeer(channel)) {
       channel.close();
     }
     return !channel.isActive();
@@ -530,11 +535,11 @@
     for (CharSequence name :
         new CharSequence[] {
           HttpHeaderNames.HOST,
-          Headers.REQUEST_ID,
-          Headers.REQUEST_CLASS,
-          Headers.IDEMPOTENCY_KEY,
+          ProtocolHeaders.REQUEST_ID,
+          ProtocolHeaders.REQUEST_CLASS,
+          ProtocolHeaders.IDEMPOTENCY_KEY,
           HttpHeaderNames.CONTENT_TYPE,
-          Headers.TIMEOUT_MS
+          ProtocolHeaders.TIMEOUT_MS
         }) {
       String value = from.get(name);
       if (value != null) {
@@ -617,7 +622,7 @@
     if (!whole) {
       ending = true;
       dropWaiting();
-      Transport.reset(channel);
+      SocketTransport.reset(channel);
     } else if (keepAlive) {
       proceed();
     } else {
--- a/src/main/java/willowdoor/net/ClientServer.java
+++ b/src/main/java/quotagateway/client/ClientServer.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.client;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -16,10 +16,18 @@
 import java.net.InetSocketAddress;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import willowdoor.GatewayApi.Request;
+import quotagateway.backend.BackendConnectionPool;
+import quotagateway.config.ResourceLimits;
+import quotagateway.driver.PolicyDriver;
+import quotagateway.lifecycle.Lifecycle;
+import quotagateway.policy.event.RequestReceived;
+import quotagateway.transport.ConnectionBudget;
+import quotagateway.transport.MonotonicClock;
+import quotagateway.transport.PeriodicTask;
+import quotagateway.transport.SocketTransport;
 
 /** Accepts clients, and tells their connections what all of them share. */
-final class ClientServer {
+public final class ClientServer {
 
   /**
    * Of the connections, this part is over the bound: those are still told so, any more end at once.
@@ -41,19 +49,19 @@
   /**
    * So long after it is told to drain, the front has heard the no, and sends no new connections.
    */
-  static final double NOTICED_MS = 550;
+  public static final double NOTICED_MS = 550;
 
-  private final Clock clock;
-  private final ModuleDriver driver;
-  private final BackendPool backends;
+  private final MonotonicClock clock;
+  private final PolicyDriver driver;
+  private final BackendConnectionPool backends;
   private RequestReader reader;
 
   /** By the settings before, while clients may still ask by those. */
   private RequestReader former;
 
   private double formerUntil = Double.NEGATIVE_INFINITY;
-  private final Bounds bounds;
-  private final Places places;
+  private final ResourceLimits bounds;
+  private final ConnectionBudget places;
 
   /** In the order of their opening. */
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
@@ -67,14 +75,14 @@
   /** There is no time left for a further request. */
   private boolean over;
 
-  ClientServer(
+  public ClientServer(
       EventLoop loop,
-      Clock clock,
-      ModuleDriver driver,
-      BackendPool backends,
+      MonotonicClock clock,
+      PolicyDriver driver,
+      BackendConnectionPool backends,
       RequestReader reader,
-      Bounds bounds,
-      Places places,
+      ResourceLimits bounds,
+      ConnectionBudget places,
       Lifecycle lifecycle) {
     this.clock = clock;
     this.driver = driver;
@@ -83,21 +91,21 @@
     this.bounds = bounds;
     this.places = places;
     this.lifecycle = lifecycle;
-    Sweep.every(loop, SWEEP_MS, this::endOverdue);
+    PeriodicTask.every(loop, SWEEP_MS, this::endOverdue);
   }
 
-  ChannelFuture listen(EventLoopGroup group, InetSocketAddress address) {
+  public ChannelFuture listen(EventLoopGroup group, InetSocketAddress address) {
     ChannelFuture bound =
         new ServerBootstrap()
             .group(group)
-            .channel(Transport.BEST.serverSocket())
+            .channel(SocketTransport.BEST.serverSocket())
             .option(ChannelOption.SO_BACKLOG, 512)
             .option(ChannelOption.SO_REUSEADDR, true)
-            .option(Transport.BEST.reusePort(), true)
+            .option(SocketTransport.BEST.reusePort(), true)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Transport.FEW_WAITING)
-            .childOption(ChannelOption.SO_SNDBUF, Transport.FEW_SENT)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.smallReads())
+            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, SocketTransport.FEW_WAITING)
+            .childOption(ChannelOption.SO_SNDBUF, SocketTransport.FEW_SENT)
+            .childOption(ChannelOption.RECVBUF_ALLOCATOR, SocketTransport.smallReads())
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
@@ -111,7 +119,7 @@
   }
 
   /** Makes a channel a client's connection. */
-  void adopt(Channel channel) {
+  public void adopt(Channel channel) {
     ClientConnection connection = new ClientConnection(this);
     RequestDecoder decoder = new RequestDecoder();
     channel
@@ -143,12 +151,12 @@
     }
   }
 
-  ModuleDriver driver() {
+  public PolicyDriver driver() {
     return driver;
   }
 
-  Request read(HttpRequest message, double arrivedAt) throws RequestReader.BadRequest {
-    Request request;
+  RequestReceived read(HttpRequest message, double arrivedAt) throws RequestReader.BadRequest {
+    RequestReceived request;
     try {
       request = reader.read(message, arrivedAt);
     } catch (RequestReader.BadRequest e) {
@@ -157,21 +165,21 @@
       }
       request = former.read(message, arrivedAt);
     }
-    if (driver.holds(request.id())) {
+    if (driver.holds(request.requestId())) {
       throw new RequestReader.BadRequest("Request-Id is in use");
     }
     return request;
   }
 
   /** New settings hold for what is read from now on. */
-  void read(RequestReader by) {
+  public void read(RequestReader by) {
     former = reader;
     formerUntil = clock.now() + FORMER_MS;
     reader = by;
   }
 
   /** Whether it takes clients' requests; asked by the admin server too, from its own thread. */
-  boolean ready() {
+  public boolean ready() {
     return lifecycle.serving() && backends.knowsAny();
   }
 
@@ -241,13 +249,13 @@
 
   private void endOverdue() {
     double now = clock.now();
-    Sweep.each(connections, c -> c.endIfOverdue(now));
+    PeriodicTask.each(connections, c -> c.endIfOverdue(now));
   }
 
   /** Takes what waits to be taken, and no more connections. */
-  void stopAccepting() {
+  public void stopAccepting() {
     if (listening != null) {
-      Transport.acceptWaiting(listening);
+      SocketTransport.acceptWaiting(listening);
       listening.close();
     }
   }
@@ -256,17 +264,17 @@
    * The last call: what was taken is failed, and each connection ends, with an answer to what it
    * began.
    */
-  void end() {
+  public void end() {
     over = true;
     driver.failAll();
-    Sweep.each(connections, ClientConnection::endUnasked);
+    PeriodicTask.each(connections, ClientConnection::endUnasked);
   }
 
   boolean over() {
     return over;
   }
 
-  boolean idle() {
+  public boolean idle() {
     return connections.isEmpty();
   }
 }
--- a/src/main/java/willowdoor/net/RequestDecoder.java
+++ b/src/main/java/quotagateway/client/RequestDecoder.java
@@ -1,17 +1,17 @@
-package willowdoor.net;
+package quotagateway.client;
 
 import io.netty.handler.codec.http.HttpDecoderConfig;
 import io.netty.handler.codec.http.HttpMessage;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /** Decodes clients' requests; what two readers could frame differently is malformed here. */
-final class RequestDecoder extends HttpRequestDecoder {
+public final class RequestDecoder extends HttpRequestDecoder {
 
   private static final int MOST_LINE = 8_192;
   private static final int MOST_HEADERS = 16_384;
   private static final int MOST_CHUNK = 64 * 1024;
 
-  RequestDecoder() {
+  public RequestDecoder() {
     super(
         new HttpDecoderConfig()
             .setMaxInitialLineLength(MOST_LINE)
--- a/src/main/java/willowdoor/net/RequestReader.java
+++ b/src/main/java/quotagateway/client/RequestReader.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.client;
 
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -7,17 +7,18 @@
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.Map;
-import willowdoor.GatewayApi.Allowed;
-import willowdoor.GatewayApi.Repeat;
-import willowdoor.GatewayApi.Request;
-import willowdoor.GatewayApi.RequestClass;
-import willowdoor.GatewayApi.Settings;
+import quotagateway.policy.event.RequestReceived;
+import quotagateway.policy.settings.Capabilities;
+import quotagateway.policy.settings.Idempotency;
+import quotagateway.policy.settings.PolicySettings;
+import quotagateway.policy.settings.RequestClass;
+import quotagateway.transport.ProtocolHeaders;
 
 /**
  * Reads a client's message as a request for the module; what is not one is refused here with its
  * reason.
  */
-final class RequestReader {
+public final class RequestReader {
 
   private static final int MOST_ID = 128;
   private static final long CUSTOMERS = 1L << 33;
@@ -51,59 +52,61 @@
   private final Map<String, ?> plans;
   private final int gateways;
   private final double mostUnits;
-  private final Allowed allowed;
+  private final Capabilities allowed;
 
-  RequestReader(Settings settings) {
-    settings.classes().forEach(c -> classes.put(c.name(), c));
+  public RequestReader(PolicySettings settings) {
+    settings.requestClasses().forEach(c -> classes.put(c.name(), c));
     Map<String, Object> named = new HashMap<>();
     settings.plans().forEach(p -> named.put(p.name(), p));
     plans = named;
-    allowed = settings.allowed();
-    gateways = settings.gateways();
-    mostUnits = settings.maxUnits() > 0 ? settings.maxUnits() : Double.POSITIVE_INFINITY;
+    allowed = settings.capabilities();
+    gateways = settings.gatewayCount();
+    mostUnits =
+        settings.maxRequestUnits() > 0 ? settings.maxRequestUnits() : Double.POSITIVE_INFINITY;
   }
 
-  Request read(HttpRequest message, double now) throws BadRequest {
+  RequestReceived read(HttpRequest message, double now) throws BadRequest {
     HttpHeaders headers = message.headers();
     if (headers.contains(HttpHeaderNames.HOST)
         && text(headers, HttpHeaderNames.HOST).length() > MOST_HOST) {
       throw new BadRequest("Host is too long");
     }
-    String id = text(headers, Headers.REQUEST_ID);
+    String id = text(headers, ProtocolHeaders.REQUEST_ID);
     if (id.length() > MOST_ID) {
       throw new BadRequest("Request-Id is too long");
     }
-    RequestClass type = classes.get(text(headers, Headers.REQUEST_CLASS));
+    RequestClass type = classes.get(text(headers, ProtocolHeaders.REQUEST_CLASS));
     if (type == null || !type.name().equals(firstPart(path(message.uri())))) {
       throw new BadRequest("unknown class");
     }
-    boolean safe = type.repeat() == Repeat.SAFE;
+    boolean safe = type.idempotency() == Idempotency.IDEMPOTENT;
     if (!message.method().equals(safe ? HttpMethod.GET : HttpMethod.POST)) {
       throw new BadRequest("method does not fit the class");
     }
-    if (type.repeat() == Repeat.KEYED) {
-      text(headers, Headers.IDEMPOTENCY_KEY);
+    if (type.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
+      text(headers, ProtocolHeaders.IDEMPOTENCY_KEY);
     }
-    String plan = text(headers, Headers.PLAN);
+    String plan = text(headers, ProtocolHeaders.PLAN);
     if (!plans.containsKey(plan)) {
       throw new BadRequest("unknown plan");
     }
-    double timeout = number(text(headers, Headers.TIMEOUT_MS), 10, Headers.TIMEOUT_MS);
+    double timeout =
+        number(text(headers, ProtocolHeaders.TIMEOUT_MS), 10, ProtocolHeaders.TIMEOUT_MS);
     if (timeout <= 0 || timeout > Math.ceil(type.deadlineMs())) {
       throw new BadRequest("Request-Timeout-Ms is out of range");
     }
-    long customer = number(text(headers, Headers.CUSTOMER), 16, Headers.CUSTOMER);
+    long customer = number(text(headers, ProtocolHeaders.CUSTOMER), 16, ProtocolHeaders.CUSTOMER);
     if (customer >= CUSTOMERS) {
       throw new BadRequest("X-Customer is out of range");
     }
-    return quota(text(headers, Headers.QUOTA), id, type, plan, customer, now + timeout);
+    return quota(text(headers, ProtocolHeaders.QUOTA), id, type, plan, customer, now + timeout);
   }
 
   /**
    * The field {@code units=2,spread=3,first=1}. What is out of range is refused, not clipped: the
    * request may bear another customer's name, and that customer's account must not move by it.
    */
-  private Request quota(
+  private RequestReceived quota(
       String field, String id, RequestClass type, String plan, long customer, double giveUpMs)
       throws BadRequest {
     long units = 0;
@@ -112,7 +115,7 @@
     for (String part : field.split(",", -1)) {
       int equals = part.indexOf('=');
       String name = equals < 0 ? "" : part.substring(0, equals).trim();
-      long value = number(part.substring(equals + 1).trim(), 10, Headers.QUOTA);
+      long value = number(part.substring(equals + 1).trim(), 10, ProtocolHeaders.QUOTA);
       switch (name) {
         case "units" -> units = value;
         case "spread" -> spread = value;
@@ -128,11 +131,11 @@
         || first >= gateways) {
       throw new BadRequest("X-Quota is out of range");
     }
-    return new Request(id, type, plan, customer, (int) spread, units, giveUpMs, allowed);
+    return new RequestReceived(id, type, plan, customer, (int) spread, units, giveUpMs, allowed);
   }
 
   /** The path and query, also where the request names its target in absolute form. */
-  static String path(String uri) {
+  public static String path(String uri) {
     int scheme = uri.regionMatches(true, 0, HTTP, 0, HTTP.length()) ? HTTP.length() : -1;
     int slash = scheme < 0 ? 0 : uri.indexOf('/', scheme);
     return slash <= 0 ? uri : uri.substring(slash);
--- a/src/main/java/willowdoor/net/Config.java
+++ b/src/main/java/quotagateway/config/GatewayConfig.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -13,22 +13,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import willowdoor.GatewayApi.Settings;
-import willowdoor.JsonFields;
-import willowdoor.WireSettings;
+import quotagateway.discovery.EndpointUpdate;
+import quotagateway.policy.settings.PolicySettings;
 
 /** What a front door is told at its start: the file that {@code GW_CONFIG} names. */
-record Config(
+public record GatewayConfig(
     InetSocketAddress listen,
     InetSocketAddress mgmt,
     InetSocketAddress discovery,
     InetSocketAddress counter,
     long seed,
-    Settings settings,
-    Bounds limits,
+    PolicySettings settings,
+    ResourceLimits limits,
     double connectLimitMs,
     double idleLimitMs,
-    RosterNews known,
+    EndpointUpdate known,
     Map<String, Object> fields) {
 
   private static final Set<String> REPEATS = Set.of("pure", "token", "side_effect");
@@ -40,12 +39,12 @@
    * Reads the file; anything that keeps the front door from serving is an IOException in plain
    * words.
    */
-  static Config read(Path file) throws IOException {
+  public static GatewayConfig read(Path file) throws IOException {
     return of(fields(file));
   }
 
   /** Reads a replaced file, which is to have every key that the one in use has. */
-  static Config reread(Path file, Config inUse) throws IOException {
+  public static GatewayConfig reread(Path file, GatewayConfig inUse) throws IOException {
     Map<String, Object> fields = fields(file);
     complete(fields, inUse.fields, "");
     return of(fields);
@@ -77,10 +76,10 @@
   /**
    * The environment is each process's own, while two may share the file: what it names goes first.
    */
-  Config withMgmt(String address) throws IOException {
+  public GatewayConfig withMgmt(String address) throws IOException {
     return address == null
         ? this
-        : new Config(
+        : new GatewayConfig(
             listen,
             address(Map.of("mgmt", address), "mgmt"),
             discovery,
@@ -107,10 +106,10 @@
     }
   }
 
-  static Config of(Map<String, Object> fields) throws IOException {
+  public static GatewayConfig of(Map<String, Object> fields) throws IOException {
     Map<String, Object> settings = JsonFields.child(fields, "settings");
-    Settings parsed = WireSettings.read(settings);
-    if (parsed.classes().isEmpty() || parsed.plans().isEmpty()) {
+    PolicySettings parsed = SettingsParser.read(settings);
+    if (parsed.requestClasses().isEmpty() || parsed.plans().isEmpty()) {
       throw new IOException("settings name no classes or no plans");
     }
     Map<String, Object> bounds = JsonFields.child(settings, "Bounds");
@@ -132,18 +131,18 @@
       }
     }
     Map<String, Object> limits = JsonFields.child(fields, "limits");
-    Bounds held =
-        Bounds.of(
-            JsonFields.number(limits, "sockets", Bounds.USUAL_SOCKETS),
-            JsonFields.number(limits, "memory_mb", Bounds.USUAL_MEMORY_MB),
-            JsonFields.number(limits, "cores", Bounds.USUAL_CORES));
+    ResourceLimits held =
+        ResourceLimits.of(
+            JsonFields.number(limits, "sockets", ResourceLimits.USUAL_SOCKETS),
+            JsonFields.number(limits, "memory_mb", ResourceLimits.USUAL_MEMORY_MB),
+            JsonFields.number(limits, "cores", ResourceLimits.USUAL_CORES));
     InetSocketAddress counter =
-        fields.get("counter") == null && !parsed.allowed().sharedCount()
+        fields.get("counter") == null && !parsed.capabilities().sharedCounter()
             ? null
             : address(fields, "counter");
     InetSocketAddress listen = address(fields, "listen");
     InetSocketAddress mgmt = fields.get("mgmt") == null ? null : address(fields, "mgmt");
-    return new Config(
+    return new GatewayConfig(
         listen,
         mgmt,
         address(fields, "discovery"),
@@ -153,7 +152,7 @@
         held,
         JsonFields.number(bounds, "DialTimeoutMs", 250),
         JsonFields.number(bounds, "ConnIdleMs", 15_000),
-        RosterNews.of(JsonFields.child(fields, "known")),
+        EndpointUpdate.of(JsonFields.child(fields, "known")),
         fields);
   }
 
@@ -169,7 +168,7 @@
   private static InetSocketAddress address(Map<String, Object> fields, String name)
       throws IOException {
     String text = JsonFields.text(fields, name);
-    InetSocketAddress address = RosterNews.address(text);
+    InetSocketAddress address = EndpointUpdate.address(text);
     if (address == null) {
       throw new IOException(name + " is not an address and port: '" + text + "'");
     }
--- a/src/main/java/willowdoor/JsonFields.java
+++ b/src/main/java/quotagateway/config/JsonFields.java
@@ -1,4 +1,4 @@
-package willowdoor;
+package quotagateway.config;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
--- a/src/main/java/willowdoor/net/Bounds.java
+++ b/src/main/java/quotagateway/config/ResourceLimits.java
@@ -1,4 +1,7 @@
-package willowdoor.net;
+package quotagateway.config;
+
+import quotagateway.admin.AdminServer;
+import quotagateway.counter.CounterClient;
 
 /**
  * What the process may hold, from the limits that its configuration tells. Descriptors that run out
@@ -6,7 +9,7 @@
  * fitting parts; smaller ones while a second process beside this one has the same limits, as in an
  * upgrade.
  */
-record Bounds(
+public record ResourceLimits(
     int places, int placesBeside, int bodyBytes, int passing, int backends, double cores) {
 
   /**
@@ -50,8 +53,8 @@
         (Math.min(memoryMb * (1 << 20) * BACKENDS_PART, heapBytes * HEAP_PART) / BACKEND_BYTES);
   }
 
-  static Bounds of(double sockets, double memoryMb, double cores) {
-    return new Bounds(
+  public static ResourceLimits of(double sockets, double memoryMb, double cores) {
+    return new ResourceLimits(
         Math.max(16, (int) sockets - OWN - PEERS - AdminServer.DESCRIPTORS - MARGIN),
         Math.max(16, (int) sockets / 2 - OWN - PEERS / 2 - AdminServer.DESCRIPTORS),
         (int) (memoryMb * BODY_PART * (1 << 20)),
--- a/src/main/java/willowdoor/WireSettings.java
+++ b/src/main/java/quotagateway/config/SettingsParser.java
@@ -1,30 +1,30 @@
-package willowdoor;
+package quotagateway.config;
 
-import static willowdoor.JsonFields.child;
-import static willowdoor.JsonFields.children;
-import static willowdoor.JsonFields.flag;
-import static willowdoor.JsonFields.number;
-import static willowdoor.JsonFields.text;
+import static quotagateway.config.JsonFields.child;
+import static quotagateway.config.JsonFields.children;
+import static quotagateway.config.JsonFields.flag;
+import static quotagateway.config.JsonFields.number;
+import static quotagateway.config.JsonFields.text;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import willowdoor.GatewayApi.Allowed;
-import willowdoor.GatewayApi.Group;
-import willowdoor.GatewayApi.Plan;
-import willowdoor.GatewayApi.Repeat;
-import willowdoor.GatewayApi.RequestClass;
-import willowdoor.GatewayApi.Rules;
-import willowdoor.GatewayApi.Settings;
+import quotagateway.policy.settings.Capabilities;
+import quotagateway.policy.settings.DeduplicationScope;
+import quotagateway.policy.settings.Idempotency;
+import quotagateway.policy.settings.Plan;
+import quotagateway.policy.settings.PolicySettings;
+import quotagateway.policy.settings.RequestClass;
+import quotagateway.policy.settings.ServiceRules;
 
 /**
  * The settings object as the wire names it; the adapter and the real front door read the same one.
  */
-public final class WireSettings {
+public final class SettingsParser {
 
-  private WireSettings() {}
+  private SettingsParser() {}
 
-  public static Settings read(Map<String, Object> s) {
+  public static PolicySettings read(Map<String, Object> s) {
     Map<String, Object> bounds = child(s, "Bounds");
     Map<String, Object> extra = child(s, "Extra");
     Map<String, Object> rules = child(s, "Rules");
@@ -38,14 +38,14 @@
               number(c, "AimMs"),
               number(c, "DeadlineMs"),
               switch (text(c, "Repeat")) {
-                case "pure" -> Repeat.SAFE;
-                case "token" -> Repeat.KEYED;
-                default -> Repeat.UNSAFE;
+                case "pure" -> Idempotency.IDEMPOTENT;
+                case "token" -> Idempotency.IDEMPOTENT_WITH_KEY;
+                default -> Idempotency.NOT_IDEMPOTENT;
               },
               switch (text(c, "Group")) {
-                case "all" -> Group.ALL;
-                case "zone" -> Group.ZONE;
-                default -> Group.CELL;
+                case "all" -> DeduplicationScope.ALL;
+                case "zone" -> DeduplicationScope.ZONE;
+                default -> DeduplicationScope.CELL;
               },
               number(c, "RepeatWindowMs"),
               flag(c, "Stream")));
@@ -66,7 +66,7 @@
               number(p, "HardSlack")));
     }
     String weights = text(s, "WeightKind");
-    return new Settings(
+    return new PolicySettings(
         (int) number(s, "Balancers", 1),
         (int) number(s, "SelfIndex"),
         text(s, "MyZone"),
@@ -75,7 +75,7 @@
         weights.equals("nominal") || weights.equals("rough"),
         classes,
         plans,
-        new Allowed(
+        new Capabilities(
             flag(extra, "Counter"),
             number(extra, "CountLimitMs"),
             flag(bounds, "Cancel"),
@@ -85,7 +85,7 @@
             flag(bounds, "RetryAfter"),
             number(bounds, "MaxRetryAfterMs"),
             text(s, "Discovery").equals("ask")),
-        new Rules(
+        new ServiceRules(
             number(rules, "AnswerSlackMs"),
             number(rules, "ColdFrom", 1),
             number(rules, "ColdMs"),
--- a/src/main/java/willowdoor/net/CounterClient.java
+++ b/src/main/java/quotagateway/counter/CounterClient.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.counter;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -21,18 +21,21 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import willowdoor.GatewayApi.Counted;
-import willowdoor.GatewayApi.Status;
+import quotagateway.policy.event.CounterReplied;
+import quotagateway.policy.event.Status;
+import quotagateway.transport.Dialer;
+import quotagateway.transport.MonotonicClock;
+import quotagateway.transport.PeriodicTask;
 
 /**
  * Calls to the counter, pipelined on a few kept connections. A call goes to the connection with the
  * fewest answers owed, so that one slow part of the counter holds up only what already waits behind
  * it; calls for one name keep their order.
  */
-final class CounterClient {
+public final class CounterClient {
 
-  static final int CONNECTIONS = 12;
-  static final double CONNECT_LIMIT_MS = 250;
+  public static final int CONNECTIONS = 12;
+  public static final double CONNECT_LIMIT_MS = 250;
 
   /** Answers that one connection may owe; beyond that a call is turned away here. */
   private static final int MOST_OWED = 256;
@@ -75,9 +78,9 @@
   }
 
   private final EventLoop loop;
-  private final Clock clock;
+  private final MonotonicClock clock;
   private final double limitMs;
-  private final Consumer<Counted> listener;
+  private final Consumer<CounterReplied> listener;
   private final Dialer dialer;
   private final List<Link> links = new ArrayList<>(CONNECTIONS);
 
@@ -92,13 +95,13 @@
   private final Map<String, Call> lastOfName = new HashMap<>();
   private boolean watching;
 
-  CounterClient(
+  public CounterClient(
       EventLoop loop,
-      Clock clock,
+      MonotonicClock clock,
       Dialer dialer,
       InetSocketAddress counter,
       double limitMs,
-      Consumer<Counted> listener) {
+      Consumer<CounterReplied> listener) {
     this.loop = loop;
     this.clock = clock;
     this.limitMs = limitMs;
@@ -107,11 +110,11 @@
     this.dialer = dialer;
   }
 
-  void start() {
+  public void start() {
     if (counter != null) {
       open();
     }
-    Sweep.every(loop, SWEEP_MS, this::sweep);
+    PeriodicTask.every(loop, SWEEP_MS, this::sweep);
   }
 
   private void open() {
@@ -123,25 +126,25 @@
   }
 
   /** Opens connections to another address; those to the old one finish what they owe. */
-  void moveTo(InetSocketAddress other) {
+  public void moveTo(InetSocketAddress other) {
     if (other == null || other.equals(counter)) {
       return;
     }
     counter = other;
-    Sweep.each(leaving, Link::close);
+    PeriodicTask.each(leaving, Link::close);
     leaving.addAll(links);
     links.clear();
     open();
     List<Link> old = List.copyOf(leaving);
-    loop.schedule(() -> Sweep.each(old, Link::close), LEAVE_MS, TimeUnit.MILLISECONDS);
+    loop.schedule(() -> PeriodicTask.each(old, Link::close), LEAVE_MS, TimeUnit.MILLISECONDS);
   }
 
-  void add(String name, double amount, double ttlMs) {
+  public void add(String name, double amount, double ttlMs) {
     Call call = new Call(name, clock.now());
     Call before = lastOfName.get(name);
     Link link = before != null ? before.link : leastOwing();
     if (link == null || !link.open() || link.owed.size() >= MOST_OWED) {
-      listener.accept(new Counted(name, Status.UNREACHABLE, 0, 0));
+      listener.accept(new CounterReplied(name, Status.CONNECT_FAILED, 0, 0));
       return;
     }
     lastOfName.put(name, call);
@@ -152,7 +155,7 @@
   }
 
   /** Decimal digits without an exponent, which the counter does not read. */
-  static String plain(double amount) {
+  public static String plain(double amount) {
     if (amount == Math.rint(amount) && Math.abs(amount) < 1e9) {
       return Long.toString((long) amount);
     }
@@ -181,7 +184,7 @@
     call.done = true;
     lastOfName.remove(call.name, call);
     if (call.name != null) {
-      listener.accept(new Counted(call.name, status, total, clock.now() - call.startedAt));
+      listener.accept(new CounterReplied(call.name, status, total, clock.now() - call.startedAt));
     }
   }
 
@@ -208,7 +211,7 @@
 
   private void sweep() {
     double now = clock.now();
-    Sweep.each(links, l -> l.check(now));
+    PeriodicTask.each(links, l -> l.check(now));
   }
 
   /** The lines of one connection. */
@@ -390,7 +393,7 @@
         used.close();
       }
       if (call != null) {
-        finish(call, Status.SPOILT, 0);
+        finish(call, Status.MALFORMED_RESPONSE, 0);
       }
     }
 
@@ -399,7 +402,7 @@
       channel = null;
       while (!owed.isEmpty()) {
         Call call = owed.poll();
-        finish(call, call.written ? Status.RESET : Status.UNREACHABLE, 0);
+        finish(call, call.written ? Status.RESET : Status.CONNECT_FAILED, 0);
       }
       later();
     }
--- a/src/main/java/willowdoor/net/DiscoveryClient.java
+++ b/src/main/java/quotagateway/discovery/DiscoveryClient.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.discovery;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -26,6 +26,8 @@
 import java.util.function.Consumer;
 import java.util.logging.Level;
 import java.util.logging.Logger;
+import quotagateway.transport.Dialer;
+import quotagateway.transport.MonotonicClock;
 
 /**
  * Watches the list of backends; while the watch is down the last list stays in use.
@@ -48,7 +50,7 @@
  * well. A watch that falls silent, one more that tells nothing and one that does not come up make
  * 5,800 ms.
  */
-final class DiscoveryClient {
+public final class DiscoveryClient {
 
   private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
 
@@ -75,8 +77,8 @@
   private static final long WHOLE_MS = 300;
 
   private final EventLoop loop;
-  private final Clock clock;
-  private final RosterFeed feed;
+  private final MonotonicClock clock;
+  private final EndpointUpdateDispatcher feed;
   private final Dialer dialer;
   private final int mostBackends;
   private long version;
@@ -91,36 +93,36 @@
   private Watch before;
 
   /** Asks for what came after that version, in lists of so many backends at most. */
-  DiscoveryClient(
+  public DiscoveryClient(
       EventLoop loop,
-      Clock clock,
+      MonotonicClock clock,
       Dialer dialer,
       InetSocketAddress agent,
       long version,
       int mostBackends,
-      Consumer<RosterNews> listener) {
+      Consumer<EndpointUpdate> listener) {
     this.loop = loop;
     this.clock = clock;
     this.dialer = dialer;
     this.version = version;
     this.mostBackends = mostBackends;
-    feed = new RosterFeed(loop, listener);
+    feed = new EndpointUpdateDispatcher(loop, listener);
     watch = new Watch(agent);
   }
 
   /** Sockets to the agent, which come up within the time in which it has to answer. */
-  static Dialer sockets(EventLoop loop) {
+  public static Dialer sockets(EventLoop loop) {
     FixedRecvByteBufAllocator reads = new FixedRecvByteBufAllocator(READ_BYTES);
     reads.maxMessagesPerRead(1);
     return Dialer.sockets(loop, BEGIN_MS, reads);
   }
 
-  void start() {
+  public void start() {
     watch.connect();
   }
 
   /** Watches at another address; the old watch goes on until the new one tells something. */
-  void moveTo(InetSocketAddress other) {
+  public void moveTo(InetSocketAddress other) {
     if (!other.equals(watch.agent)) {
       backoff.reset();
       replace(other);
@@ -168,13 +170,13 @@
      */
     private double heardAt = since;
 
-    private final RosterReader reader;
+    private final EndpointListReader reader;
     private boolean begun;
     private Channel channel;
 
     Watch(InetSocketAddress agent) {
       this.agent = agent;
-      reader = new RosterReader(mostBackends, DiscoveryClient.this::take);
+      reader = new EndpointListReader(mostBackends, DiscoveryClient.this::take);
     }
 
     void connect() {
@@ -256,7 +258,7 @@
     }
   }
 
-  private void take(RosterNews news) {
+  private void take(EndpointUpdate news) {
     // A version that is none must not be asked for: the watch would be refused for good.
     if (news.version() > 0) {
       version = news.version();
--- a/src/main/java/willowdoor/net/RosterEntry.java
+++ b/src/main/java/quotagateway/discovery/EndpointFields.java
@@ -1,17 +1,18 @@
-package willowdoor.net;
+package quotagateway.discovery;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import willowdoor.GatewayApi.BackendEntry;
-import willowdoor.GatewayApi.Phase;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointState;
+import quotagateway.transport.BackendAddress;
 
 /**
  * The fields of one entry of a list as they are read; what is missing or of another kind is as
  * usual.
  */
-final class RosterEntry {
+final class EndpointFields {
 
   private String id = "";
   private String address = "";
@@ -50,18 +51,18 @@
   }
 
   /** The entry, or null where it cannot be used. */
-  BackendEntry read() {
-    Phase phase =
+  Endpoint read() {
+    EndpointState phase =
         switch (state) {
-          case "active" -> Phase.SERVING;
-          case "left" -> Phase.REMOVED;
-          default -> Phase.DRAINING;
+          case "active" -> EndpointState.SERVING;
+          case "left" -> EndpointState.REMOVED;
+          default -> EndpointState.DRAINING;
         };
-    long place = Place.of(RosterNews.address(address));
-    if (id.isEmpty() || place == BackendEntry.NOWHERE && phase == Phase.SERVING) {
+    long place = BackendAddress.of(EndpointUpdate.address(address));
+    if (id.isEmpty() || place == Endpoint.NO_ADDRESS && phase == EndpointState.SERVING) {
       return null;
     }
-    return new BackendEntry(hash(id), zone, (int) cell, phase, weight, startedMs, place);
+    return new Endpoint(hash(id), zone, (int) cell, phase, weight, startedMs, place);
   }
 
   /**
--- a/src/main/java/willowdoor/net/RosterReader.java
+++ b/src/main/java/quotagateway/discovery/EndpointListReader.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.discovery;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -9,14 +9,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import willowdoor.GatewayApi.BackendEntry;
+import quotagateway.endpoint.Endpoint;
 
 /**
  * Reads the messages of a watch as their bytes come, entry by entry, and hands each on once it is
  * whole: one that is cut or spoilt changes nothing. Until then its entries are held, not its text.
  * Only the end of a message shows its version, and whether it is the whole list.
  */
-final class RosterReader {
+public final class EndpointListReader {
 
   private static final JsonFactory JSON = new JsonFactory();
   private static final String LIST = "servers";
@@ -30,7 +30,7 @@
   private static final int ENTRY = 3;
 
   private final int mostBackends;
-  private final Consumer<RosterNews> listener;
+  private final Consumer<EndpointUpdate> listener;
   private final JsonParser parser;
   private final ByteArrayFeeder feeder;
   private int depth;
@@ -43,13 +43,13 @@
   private boolean listed;
   private boolean inList;
   private int backends;
-  private List<BackendEntry> entries = new ArrayList<>();
+  private List<Endpoint> entries = new ArrayList<>();
 
   /** The entry that is being read, or null. */
-  private RosterEntry entry;
+  private EndpointFields entry;
 
   /** For lists of so many backends at most. */
-  RosterReader(int mostBackends, Consumer<RosterNews> listener) {
+  public EndpointListReader(int mostBackends, Consumer<EndpointUpdate> listener) {
     this.mostBackends = mostBackends;
     this.listener = listener;
     try {
@@ -64,7 +64,7 @@
    * Takes the next bytes; an IOException shows a message that cannot be taken: nothing can be read
    * then.
    */
-  void read(byte[] bytes) throws IOException {
+  public void read(byte[] bytes) throws IOException {
     feeder.feedInput(bytes, 0, bytes.length);
     JsonToken token = parser.nextToken();
     while (token != JsonToken.NOT_AVAILABLE) {
@@ -109,7 +109,7 @@
       inList = true;
       listed = true;
     } else if (depth == ELEMENT && inList && object) {
-      entry = new RosterEntry();
+      entry = new EndpointFields();
     }
   }
 
@@ -133,13 +133,13 @@
       // gone.
       throw new IOException("a message without a list");
     } else if (depth == 0) {
-      List<BackendEntry> told = entries;
+      List<Endpoint> told = entries;
       entries = new ArrayList<>();
-      listener.accept(new RosterNews(version, full, told));
+      listener.accept(new EndpointUpdate(version, full, told));
     }
   }
 
-  private void add(BackendEntry read) throws IOException {
+  private void add(Endpoint read) throws IOException {
     backends++;
     if (backends > mostBackends) {
       throw new IOException("a list of more than " + mostBackends + " backends");
--- a/src/main/java/willowdoor/net/RosterNews.java
+++ b/src/main/java/quotagateway/discovery/EndpointUpdate.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.discovery;
 
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
@@ -7,27 +7,27 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import willowdoor.GatewayApi.BackendEntry;
-import willowdoor.GatewayApi.RosterForm;
-import willowdoor.JsonFields;
+import quotagateway.config.JsonFields;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointListForm;
 
 /** One message of discovery, or a piece of one; the version is 0 where it is not told. */
-record RosterNews(long version, RosterForm form, List<BackendEntry> entries) {
+public record EndpointUpdate(long version, EndpointListForm form, List<Endpoint> entries) {
 
-  RosterNews(long version, boolean full, List<BackendEntry> entries) {
-    this(version, full ? RosterForm.COMPLETE : RosterForm.CHANGES, entries);
+  public EndpointUpdate(long version, boolean full, List<Endpoint> entries) {
+    this(version, full ? EndpointListForm.SNAPSHOT : EndpointListForm.DELTA, entries);
   }
 
   /** Whether it is the whole list, or the end of one. */
-  boolean full() {
-    return form == RosterForm.COMPLETE;
+  public boolean full() {
+    return form == EndpointListForm.SNAPSHOT;
   }
 
   /** The list of a configuration. */
-  static RosterNews of(Map<String, Object> message) {
-    List<BackendEntry> entries = new ArrayList<>();
+  public static EndpointUpdate of(Map<String, Object> message) {
+    List<Endpoint> entries = new ArrayList<>();
     for (Map<String, Object> fields : JsonFields.children(message, "servers")) {
-      RosterEntry entry = new RosterEntry();
+      EndpointFields entry = new EndpointFields();
       fields.forEach(
           (name, value) -> {
             if (value instanceof String text) {
@@ -36,19 +36,19 @@
               entry.number(name, number.doubleValue());
             }
           });
-      BackendEntry read = entry.read();
+      Endpoint read = entry.read();
       if (read != null) {
         entries.add(read);
       }
     }
-    return new RosterNews(
+    return new EndpointUpdate(
         (long) JsonFields.number(message, "version"),
         Boolean.TRUE.equals(message.get("full")),
         entries);
   }
 
   /** A numeric address and port, or null; names are not looked up, as there is no DNS. */
-  static InetSocketAddress address(String text) {
+  public static InetSocketAddress address(String text) {
     int colon = text.lastIndexOf(':');
     byte[] ip =
         colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
--- a/src/main/java/willowdoor/net/RosterFeed.java
+++ b/src/main/java/quotagateway/discovery/EndpointUpdateDispatcher.java
@@ -1,17 +1,17 @@
-package willowdoor.net;
+package quotagateway.discovery;
 
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
-import willowdoor.GatewayApi.BackendEntry;
-import willowdoor.GatewayApi.RosterForm;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointListForm;
 
 /**
  * Hands messages of discovery on in their order, a long one in pieces, each in a turn of the event
  * loop of its own, so that requests do not wait until a long list is applied.
  */
-final class RosterFeed {
+public final class EndpointUpdateDispatcher {
 
   /**
    * Entries of one piece: applying one takes 10 us or less, so a piece takes about a millisecond.
@@ -19,11 +19,11 @@
   static final int PIECE_ENTRIES = 128;
 
   private final Executor loop;
-  private final Consumer<RosterNews> listener;
-  private final ArrayDeque<RosterNews> pieces = new ArrayDeque<>();
+  private final Consumer<EndpointUpdate> listener;
+  private final ArrayDeque<EndpointUpdate> pieces = new ArrayDeque<>();
   private boolean busy;
 
-  RosterFeed(Executor loop, Consumer<RosterNews> listener) {
+  public EndpointUpdateDispatcher(Executor loop, Consumer<EndpointUpdate> listener) {
     this.loop = loop;
     this.listener = listener;
   }
@@ -32,13 +32,16 @@
    * Takes a whole message; one of a single piece is handed on at once, unless others are still
    * waiting.
    */
-  void take(RosterNews news) {
-    List<BackendEntry> entries = news.entries();
+  public void take(EndpointUpdate news) {
+    List<Endpoint> entries = news.entries();
     int at = 0;
     for (; entries.size() - at > PIECE_ENTRIES; at += PIECE_ENTRIES) {
-      pieces.add(new RosterNews(0, RosterForm.PART, entries.subList(at, at + PIECE_ENTRIES)));
+      pieces.add(
+          new EndpointUpdate(
+              0, EndpointListForm.FRAGMENT, entries.subList(at, at + PIECE_ENTRIES)));
     }
-    pieces.add(new RosterNews(news.version(), news.form(), entries.subList(at, entries.size())));
+    pieces.add(
+        new EndpointUpdate(news.version(), news.form(), entries.subList(at, entries.size())));
     if (!busy) {
       handOn();
     }
--- a/src/main/java/willowdoor/net/WatchBackoff.java
+++ b/src/main/java/quotagateway/discovery/WatchBackoff.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.discovery;
 
 import java.util.function.DoubleSupplier;
 
--- a/src/main/java/willowdoor/net/ModuleDriver.java
+++ b/src/main/java/quotagateway/driver/PolicyDriver.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.driver;
 
 import io.netty.channel.EventLoop;
 import io.netty.handler.codec.http.FullHttpResponse;
@@ -14,35 +14,43 @@
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import willowdoor.GatewayApi.Action;
-import willowdoor.GatewayApi.Add;
-import willowdoor.GatewayApi.BodyWhole;
-import willowdoor.GatewayApi.Cancel;
-import willowdoor.GatewayApi.ClientLeft;
-import willowdoor.GatewayApi.Counted;
-import willowdoor.GatewayApi.Event;
-import willowdoor.GatewayApi.Fail;
-import willowdoor.GatewayApi.Outcome;
-import willowdoor.GatewayApi.Reconfigured;
-import willowdoor.GatewayApi.Refuse;
-import willowdoor.GatewayApi.Request;
-import willowdoor.GatewayApi.Roster;
-import willowdoor.GatewayApi.RosterForm;
-import willowdoor.GatewayApi.Send;
-import willowdoor.GatewayApi.Settings;
-import willowdoor.GatewayApi.Status;
-import willowdoor.GatewayApi.StreamBegan;
-import willowdoor.GatewayApi.WakeAt;
-import willowdoor.GatewayApi.Woken;
-import willowdoor.QuotaPolicy;
+import quotagateway.backend.Attempt;
+import quotagateway.backend.BackendConnectionPool;
+import quotagateway.backend.RequestBody;
+import quotagateway.counter.CounterClient;
+import quotagateway.discovery.EndpointUpdate;
+import quotagateway.endpoint.EndpointListForm;
+import quotagateway.policy.GatewayPolicy;
+import quotagateway.policy.action.Action;
+import quotagateway.policy.action.CancelAttempt;
+import quotagateway.policy.action.FailRequest;
+import quotagateway.policy.action.IncrementCounter;
+import quotagateway.policy.action.RejectRequest;
+import quotagateway.policy.action.ScheduleTimer;
+import quotagateway.policy.action.StartAttempt;
+import quotagateway.policy.event.AttemptEnded;
+import quotagateway.policy.event.ClientDisconnected;
+import quotagateway.policy.event.CounterReplied;
+import quotagateway.policy.event.EndpointsUpdated;
+import quotagateway.policy.event.Event;
+import quotagateway.policy.event.RequestBodyComplete;
+import quotagateway.policy.event.RequestReceived;
+import quotagateway.policy.event.ResponseStarted;
+import quotagateway.policy.event.SettingsChanged;
+import quotagateway.policy.event.Status;
+import quotagateway.policy.event.TimerFired;
+import quotagateway.policy.settings.PolicySettings;
+import quotagateway.transport.MonotonicClock;
+import quotagateway.transport.PeriodicTask;
+import quotagateway.transport.ProtocolHeaders;
 
 /**
  * Takes events to the module and its actions to the sockets; the only caller of the module. Holds
  * the table of requests taken and attempts out. All on the event loop's thread.
  */
-final class ModuleDriver {
+public final class PolicyDriver {
 
-  private static final Logger LOG = Logger.getLogger(ModuleDriver.class.getName());
+  private static final Logger LOG = Logger.getLogger(PolicyDriver.class.getName());
 
   /**
    * The last moment for a final answer, ahead of the client's own: later than any answer of the
@@ -54,7 +62,7 @@
   private static final long WAKE_AGAIN_MS = 100;
 
   /** Who waits for the one final answer. */
-  interface Client {
+  public interface Client {
     /** Whether it has closed its connection, as far as this machine can know by now. */
     boolean left();
 
@@ -76,9 +84,9 @@
 
   /** One request from its taking until it is answered and none of its attempts is out. */
   private final class Live {
-    final Request request;
+    final RequestReceived request;
     final HttpRequest head;
-    final Body body;
+    final RequestBody body;
     final Client client;
     final List<Attempt> attempts = new ArrayList<>(1);
 
@@ -95,7 +103,7 @@
     double begunAt;
     int out;
 
-    Live(Request request, HttpRequest head, Body body, Client client) {
+    Live(RequestReceived request, HttpRequest head, RequestBody body, Client client) {
       this.request = request;
       this.head = head;
       this.body = body;
@@ -137,47 +145,48 @@
      * outcome.
      */
     void forgetIfDone() {
-      if (finished && out == 0 && live.remove(request.id(), this)) {
+      if (finished && out == 0 && live.remove(request.requestId(), this)) {
         body.release();
       }
     }
   }
 
   private final EventLoop loop;
-  private final Clock clock;
-  private final QuotaPolicy policy;
-  private final BackendPool backends;
+  private final MonotonicClock clock;
+  private final GatewayPolicy policy;
+  private final BackendConnectionPool backends;
   private CounterClient counter;
   private final Map<String, Live> live = new HashMap<>();
   private final ArrayDeque<Event> inbox = new ArrayDeque<>();
   private int passing;
   private boolean delivering;
 
-  ModuleDriver(EventLoop loop, Clock clock, QuotaPolicy policy, BackendPool backends) {
+  public PolicyDriver(
+      EventLoop loop, MonotonicClock clock, GatewayPolicy policy, BackendConnectionPool backends) {
     this.loop = loop;
     this.clock = clock;
     this.policy = policy;
     this.backends = backends;
   }
 
-  void start(CounterClient counter, RosterNews known) {
+  public void start(CounterClient counter, EndpointUpdate known) {
     this.counter = counter;
     double decidedAt = clock.now();
     policy.start(decidedAt).forEach(action -> execute(action, decidedAt));
-    deliver(new Roster(RosterForm.REMEMBERED, known.entries()));
+    deliver(new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, known.entries()));
     backends.onRoster(known);
   }
 
-  int held() {
+  public int held() {
     return live.size();
   }
 
   /** How many answers are being passed on. */
-  int passing() {
+  public int passing() {
     return passing;
   }
 
-  boolean holds(String id) {
+  public boolean holds(String id) {
     return live.containsKey(id);
   }
 
@@ -185,29 +194,29 @@
    * Takes a request, and its body for good; without a time to give up at while the body is still
    * coming.
    */
-  void take(Request request, HttpRequest head, Body body, Client client) {
+  public void take(RequestReceived request, HttpRequest head, RequestBody body, Client client) {
     Live r = new Live(request, head, body, client);
-    live.put(request.id(), r);
-    r.giveUpMs = request.giveUpMs();
+    live.put(request.requestId(), r);
+    r.giveUpMs = request.deadlineAtMs();
     if (body.whole()) {
-      r.limit(request.giveUpMs());
+      r.limit(request.deadlineAtMs());
     }
     deliver(request);
   }
 
   /** The last byte of the request has come. */
-  void bodyWhole(String id, double giveUpMs) {
+  public void bodyWhole(String id, double giveUpMs) {
     Live r = live.get(id);
     if (r != null && !r.finished) {
       r.limit(giveUpMs);
       if (r.out > 0) {
         backends.limit(r.attempts.get(r.attempts.size() - 1), giveUpMs - r.wholeAt);
       }
-      deliver(new BodyWhole(id, giveUpMs));
+      deliver(new RequestBodyComplete(id, giveUpMs));
     }
   }
 
-  void clientLeft(String id) {
+  public void clientLeft(String id) {
     Live r = live.get(id);
     if (r == null) {
       return;
@@ -217,30 +226,30 @@
     // take it.
     r.callOff(!r.body.whole() || r.begun);
     if (open) {
-      deliver(new ClientLeft(id));
+      deliver(new ClientDisconnected(id));
     }
     r.forgetIfDone();
   }
 
-  void onSettings(Settings settings) {
-    deliver(new Reconfigured(settings));
+  public void onSettings(PolicySettings settings) {
+    deliver(new SettingsChanged(settings));
   }
 
-  void onCounted(Counted counted) {
+  public void onCounted(CounterReplied counted) {
     deliver(counted);
   }
 
   /**
    * The module hears it first: it chooses anew for attempts that the pool gives up because of it.
    */
-  void onRoster(RosterNews news) {
-    deliver(new Roster(news.form(), news.entries()));
+  public void onRoster(EndpointUpdate news) {
+    deliver(new EndpointsUpdated(news.form(), news.entries()));
     backends.onRoster(news);
   }
 
   /** Fails all that is still unanswered: the process is about to end. */
-  void failAll() {
-    Sweep.each(live.values(), this::fail);
+  public void failAll() {
+    PeriodicTask.each(live.values(), this::fail);
   }
 
   /**
@@ -251,7 +260,7 @@
     if (r.finish()) {
       r.client.failed();
       r.callOff(false);
-      deliver(new ClientLeft(r.request.id()));
+      deliver(new ClientDisconnected(r.request.requestId()));
       r.forgetIfDone();
     }
   }
@@ -296,11 +305,11 @@
 
   /** A fault in the module costs the request it came up with, never the process. */
   private void recover(Event event) {
-    if (event instanceof Request e) {
-      failId(e.id());
-    } else if (event instanceof Outcome e) {
-      failId(e.request());
-    } else if (event instanceof Woken) {
+    if (event instanceof RequestReceived e) {
+      failId(e.requestId());
+    } else if (event instanceof AttemptEnded e) {
+      failId(e.requestId());
+    } else if (event instanceof TimerFired) {
       loop.schedule(() -> deliver(event), WAKE_AGAIN_MS, TimeUnit.MILLISECONDS);
     }
   }
@@ -313,26 +322,26 @@
   }
 
   private void execute(Action action, double decidedAt) {
-    if (action instanceof Send a) {
+    if (action instanceof StartAttempt a) {
       send(a, decidedAt);
-    } else if (action instanceof Add a) {
-      counter.add(a.name(), a.amount(), a.ttlMs());
-    } else if (action instanceof WakeAt a) {
+    } else if (action instanceof IncrementCounter a) {
+      counter.add(a.counterName(), a.amount(), a.ttlMs());
+    } else if (action instanceof ScheduleTimer a) {
       wake(a);
-    } else if (action instanceof Refuse a) {
-      Live r = live.get(a.request());
+    } else if (action instanceof RejectRequest a) {
+      Live r = live.get(a.requestId());
       if (r != null && r.finish()) {
-        r.client.refused(a.holdOffMs());
+        r.client.refused(a.retryAfterMs());
         r.forgetIfDone();
       }
-    } else if (action instanceof Fail a) {
-      Live r = live.get(a.request());
+    } else if (action instanceof FailRequest a) {
+      Live r = live.get(a.requestId());
       if (r != null && r.finish()) {
         r.client.failed();
         r.forgetIfDone();
       }
-    } else if (action instanceof Cancel a) {
-      Live r = live.get(a.request());
+    } else if (action instanceof CancelAttempt a) {
+      Live r = live.get(a.requestId());
       if (r != null && a.attempt() < r.attempts.size()) {
         Attempt off = r.attempts.get(a.attempt());
         off.abandon(off.cancelled());
@@ -345,10 +354,10 @@
    * Never early: the module lets a wake-up pass that comes before its time, and then none would
    * follow.
    */
-  private void wake(WakeAt a) {
+  private void wake(ScheduleTimer a) {
     double wait = Math.max(0, a.atMs() - clock.now());
     loop.schedule(
-        () -> deliver(new Woken(a.label())),
+        () -> deliver(new TimerFired(a.timer())),
         (long) Math.ceil(wait * 1000) + 1,
         TimeUnit.MICROSECONDS);
   }
@@ -357,11 +366,13 @@
    * The module's times count from its decision; a batch of actions may take long on a share of a
    * core.
    */
-  private void send(Send a, double decidedAt) {
-    Live r = live.get(a.request());
+  private void send(StartAttempt a, double decidedAt) {
+    Live r = live.get(a.requestId());
     if (r == null || r.finished) {
       int attempt = r == null ? 0 : r.attempts.size();
-      deliver(new Outcome(a.request(), attempt, a.backend(), Status.NOT_SENT, 0, true, 0, null));
+      deliver(
+          new AttemptEnded(
+              a.requestId(), attempt, a.endpointId(), Status.NOT_SENT, 0, true, 0, null));
       return;
     }
     int number = r.attempts.size();
@@ -373,32 +384,33 @@
           private double units;
 
           @Override
-          boolean wanted() {
+          public boolean wanted() {
             if (!ended() && !r.finished && r.client.left()) {
-              clientLeft(r.request.id());
+              clientLeft(r.request.requestId());
             }
             return super.wanted();
           }
 
           @Override
-          boolean onBegin(HttpResponse answer) {
-            units = units(answer.headers().get(Headers.UNITS_CHARGED));
+          public boolean onBegin(HttpResponse answer) {
+            units = units(answer.headers().get(ProtocolHeaders.UNITS_CHARGED));
             return attemptBegan(r, number, answer, this);
           }
 
           @Override
-          boolean onPiece(HttpContent piece) {
+          public boolean onPiece(HttpContent piece) {
             return r.client.piece(piece);
           }
 
           @Override
-          void onEnd(Status status, FullHttpResponse answer) {
-            units = answer == null ? units : units(answer.headers().get(Headers.UNITS_CHARGED));
+          public void onEnd(Status status, FullHttpResponse answer) {
+            units =
+                answer == null ? units : units(answer.headers().get(ProtocolHeaders.UNITS_CHARGED));
             double until = begun() && r.begun ? r.begunAt : clock.now();
             attemptEnded(
                 r,
                 number,
-                a.backend(),
+                a.endpointId(),
                 status,
                 Math.max(0, until - Math.max(sentAt, r.wholeAt)),
                 units,
@@ -407,7 +419,7 @@
         };
     r.attempts.add(attempt);
     r.out++;
-    backends.start(a.backend(), attempt, a.startMs() - lateness);
+    backends.start(a.endpointId(), attempt, a.maxStartDelayMs() - lateness);
   }
 
   private boolean attemptBegan(Live r, int number, HttpResponse answer, Attempt attempt) {
@@ -418,7 +430,7 @@
     r.begunAt = clock.now();
     passing++;
     r.client.begins(answer, attempt);
-    deliver(new StreamBegan(r.request.id(), number));
+    deliver(new ResponseStarted(r.request.requestId(), number));
     return true;
   }
 
@@ -438,7 +450,8 @@
       r.client.served(answer);
     }
     deliver(
-        new Outcome(r.request.id(), number, backend, status, latencyMs, r.finished, units, null));
+        new AttemptEnded(
+            r.request.requestId(), number, backend, status, latencyMs, r.finished, units, null));
     r.forgetIfDone();
   }
 
--- a/src/main/java/willowdoor/BackendIndex.java
+++ b/src/main/java/quotagateway/endpoint/EndpointIndex.java
@@ -1,4 +1,4 @@
-package willowdoor;
+package quotagateway.endpoint;
 
 import it.unimi.dsi.fastutil.doubles.DoubleArrayList;
 import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
@@ -12,19 +12,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.IntConsumer;
-import willowdoor.GatewayApi.BackendEntry;
-import willowdoor.GatewayApi.Listing;
-import willowdoor.GatewayApi.Phase;
+import quotagateway.policy.GatewayState;
 
 /**
  * What discovery tells of all backends, in columns of a few dozen bytes for each, and the orders
  * that choices are made in. A backend is known by its slot, a small number that is free for another
  * once it is removed. A change costs the logarithm of the list. Nothing is decided here.
  */
-class BackendIndex implements Listing {
+public class EndpointIndex implements ServingEndpoints {
 
-  static final int NONE = SortedSlots.NONE;
-  private static final SortedSlots EMPTY = new SortedSlots(slot -> 0);
+  public static final int NONE = OrderedSlots.NONE;
+  private static final OrderedSlots EMPTY = new OrderedSlots(slot -> 0);
 
   /** Sizes beyond these are junk, which would pass for nearly all or none of the fleet. */
   private static final double LEAST_SIZE = 1e-6;
@@ -38,7 +36,7 @@
   private static final int PHASE_BITS = 2;
 
   private static final int PHASE_MASK = (1 << PHASE_BITS) - 1;
-  private static final Phase[] PHASES = Phase.values();
+  private static final EndpointState[] PHASES = EndpointState.values();
 
   private final LongArrayList ids = new LongArrayList();
   private final LongArrayList places = new LongArrayList();
@@ -53,13 +51,13 @@
    */
   private final Long2IntOpenHashMap notServing = new Long2IntOpenHashMap();
 
-  private final SortedSlots serving = new SortedSlots(this::id);
+  private final OrderedSlots serving = new OrderedSlots(this::id);
 
   /** By the time of their start, which is positive, so that its bits have the same order. */
-  private final SortedSlots starting =
-      new SortedSlots(slot -> Double.doubleToLongBits(startedMs(slot)));
+  private final OrderedSlots starting =
+      new OrderedSlots(slot -> Double.doubleToLongBits(startedMs(slot)));
 
-  private SortedSlots ranked;
+  private OrderedSlots ranked;
   private long gateway;
   private final Map<String, Zone> zones = new HashMap<>();
   private final List<Cell> cells = new ArrayList<>();
@@ -80,7 +78,7 @@
   /** The backends of one zone, and its cells. */
   private final class Zone {
     final String name;
-    final SortedSlots serving = new SortedSlots(BackendIndex.this::id);
+    final OrderedSlots serving = new OrderedSlots(EndpointIndex.this::id);
 
     /** The numbers of its cells in the list of all, by the numbers that they have here. */
     final Int2IntOpenHashMap groups = new Int2IntOpenHashMap();
@@ -97,7 +95,7 @@
     final int inZone;
 
     /** Null until it is asked for: few cells are, and there may be tens of thousands. */
-    SortedSlots serving;
+    OrderedSlots serving;
 
     Cell(Zone zone, int inZone) {
       this.zone = zone;
@@ -106,60 +104,60 @@
   }
 
   /** For one gateway, whose order of ranks differs from those of others. */
-  BackendIndex(long gateway) {
+  public EndpointIndex(long gateway) {
     notServing.defaultReturnValue(NONE);
     rankFor(gateway);
   }
 
   /** Orders the ranks anew for a gateway. */
-  void rankFor(long other) {
+  public void rankFor(long other) {
     gateway = other;
-    ranked = new SortedSlots(slot -> GatewayState.rank(id(slot), other));
+    ranked = new OrderedSlots(slot -> GatewayState.rank(id(slot), other));
     for (int i = 0; i < serving.size(); i++) {
       ranked.add(serving.get(i));
     }
   }
 
-  long gateway() {
+  public long gateway() {
     return gateway;
   }
 
   // ---- Finding ----
 
   /** The slot of a backend, or {@link #NONE}. */
-  int find(long id) {
+  public int find(long id) {
     int slot = serving.find(id);
     return slot == NONE ? notServing.get(id) : slot;
   }
 
   /** All backends that serve, by identifier. */
-  SortedSlots serving() {
+  public OrderedSlots serving() {
     return serving;
   }
 
   /** The same in the gateway's own order. */
-  SortedSlots ranked() {
+  public OrderedSlots ranked() {
     return ranked;
   }
 
   /** Those of them in a zone, by identifier. */
-  SortedSlots inZone(String zone) {
+  public OrderedSlots inZone(String zone) {
     Zone found = zones.get(zone);
     return found == null ? EMPTY : found.serving;
   }
 
   /** Those of them in a cell of a zone, by identifier. */
-  SortedSlots inCell(String zone, int cell) {
+  public OrderedSlots inCell(String zone, int cell) {
     Zone found = zones.get(zone);
     int group = found == null ? NONE : found.groups.get(cell);
     return group == NONE ? EMPTY : inCell(cells.get(group));
   }
 
   /** The first call for a cell looks through its zone. */
-  private SortedSlots inCell(Cell cell) {
+  private OrderedSlots inCell(Cell cell) {
     if (cell.serving == null) {
-      cell.serving = new SortedSlots(this::id);
-      SortedSlots inZone = cell.zone.serving;
+      cell.serving = new OrderedSlots(this::id);
+      OrderedSlots inZone = cell.zone.serving;
       for (int i = 0; i < inZone.size(); i++) {
         int slot = inZone.get(i);
         if (cells.get(group(slot)) == cell) {
@@ -171,10 +169,10 @@
   }
 
   @Override
-  public long place(long id) {
+  public long address(long id) {
     int slot = find(id);
-    boolean serves = slot != NONE && phase(slot) == Phase.SERVING && !hasLeft(slot);
-    return serves ? places.getLong(slot) : BackendEntry.NOWHERE;
+    boolean serves = slot != NONE && phase(slot) == EndpointState.SERVING && !hasLeft(slot);
+    return serves ? places.getLong(slot) : Endpoint.NO_ADDRESS;
   }
 
   @Override
@@ -184,50 +182,50 @@
   }
 
   @Override
-  public boolean any() {
+  public boolean anyServing() {
     return serving.size() > 0;
   }
 
-  long id(int slot) {
+  public long id(int slot) {
     return ids.getLong(slot);
   }
 
-  double size(int slot) {
+  public double size(int slot) {
     return sizes.getDouble(slot);
   }
 
   /** When it started, as it is taken for; 0 when that was long ago. */
-  double startedMs(int slot) {
+  public double startedMs(int slot) {
     return starts.getDouble(slot);
   }
 
-  Phase phase(int slot) {
+  public EndpointState phase(int slot) {
     return PHASES[groupsAndPhases.getInt(slot) & PHASE_MASK];
   }
 
   /** The number of its zone and cell. */
-  int group(int slot) {
+  public int group(int slot) {
     return groupsAndPhases.getInt(slot) >>> PHASE_BITS;
   }
 
-  String zone(int group) {
+  public String zone(int group) {
     return cells.get(group).zone.name;
   }
 
-  int cell(int group) {
+  public int cell(int group) {
     return cells.get(group).inZone;
   }
 
   /** Whether a backend is among the first so many in the gateway's own order. */
-  boolean isAmong(int first, int slot) {
+  public boolean isAmong(int first, int slot) {
     return first > 0
-        && phase(slot) == Phase.SERVING
+        && phase(slot) == EndpointState.SERVING
         && GatewayState.rank(id(slot), gateway)
             <= GatewayState.rank(id(ranked.get(first - 1)), gateway);
   }
 
   /** The mean size of those that serve; 1 where none does. */
-  double meanSize() {
+  public double meanSize() {
     if (!meanKnown) {
       meanSize = serving.size() == 0 ? 1 : total.doubleValue() / serving.size();
       meanKnown = true;
@@ -236,31 +234,31 @@
   }
 
   /** How many of those that serve started no less than so long ago. */
-  int warm(double coldMs, double now) {
+  public int warm(double coldMs, double now) {
     while (starting.size() > 0 && !cold(starting.get(0), coldMs, now)) {
       starting.remove(starting.get(0));
     }
     return serving.size() - starting.size();
   }
 
-  boolean cold(int slot, double coldMs, double now) {
+  public boolean cold(int slot, double coldMs, double now) {
     double started = starts.getDouble(slot);
     return started > 0 && now - started < coldMs;
   }
 
-  int capacity() {
+  public int capacity() {
     return ids.size();
   }
 
   /** Whether a backend has this slot; a free one's group is negative. */
-  boolean isUsed(int slot) {
+  public boolean isUsed(int slot) {
     return groupsAndPhases.getInt(slot) >= 0;
   }
 
   // ---- Changing ----
 
   /** The number of a zone and cell; a new one gets the next higher number, the first 0. */
-  int group(String zone, int cell) {
+  public int group(String zone, int cell) {
     Zone in = zones.get(zone);
     if (in == null) {
       in = new Zone(zone);
@@ -278,10 +276,10 @@
   /**
    * Makes room for a backend that is not known yet; it counts as removed until it is {@link #set}.
    */
-  int add(long id, int group) {
+  public int add(long id, int group) {
     int slot = free.isEmpty() ? appendSlot() : free.popInt();
     ids.set(slot, id);
-    groupsAndPhases.set(slot, group << PHASE_BITS | Phase.REMOVED.ordinal());
+    groupsAndPhases.set(slot, group << PHASE_BITS | EndpointState.REMOVED.ordinal());
     notServing.put(id, slot);
     return slot;
   }
@@ -299,7 +297,7 @@
       groupsAndPhases.ensureCapacity(more);
     }
     ids.add(0);
-    places.add(BackendEntry.NOWHERE);
+    places.add(Endpoint.NO_ADDRESS);
     sizes.add(0);
     starts.add(0);
     groupsAndPhases.add(-1);
@@ -307,18 +305,24 @@
   }
 
   /** Takes where it listens. */
-  void setPlace(int slot, long place) {
+  public void setPlace(int slot, long place) {
     places.set(slot, place);
   }
 
   /** Takes what is told of a backend now; coldMs is for how long it then counts as starting. */
-  void set(
-      int slot, int group, Phase phase, double size, double startedMs, double coldMs, double now) {
+  public void set(
+      int slot,
+      int group,
+      EndpointState phase,
+      double size,
+      double startedMs,
+      double coldMs,
+      double now) {
     if (kept != null) {
       kept.set(slot);
     }
-    boolean served = phase(slot) == Phase.SERVING;
-    boolean serves = phase == Phase.SERVING;
+    boolean served = phase(slot) == EndpointState.SERVING;
+    boolean serves = phase == EndpointState.SERVING;
     boolean moved = served != serves || group(slot) != group;
     if (served) {
       starting.remove(slot);
@@ -346,7 +350,7 @@
    * All backends but those whose slots are named, and those that are told from now on, have left:
    * they do not serve any more, and {@link #sweep} removes them.
    */
-  void keepOnly(BitSet named) {
+  public void keepOnly(BitSet named) {
     kept = named;
     swept = 0;
   }
@@ -354,14 +358,14 @@
   /**
    * Removes up to so many of those that have left, and hands over their slots; true if any remain.
    */
-  boolean sweep(int most, IntConsumer removed) {
+  public boolean sweep(int most, IntConsumer removed) {
     int count = 0;
     while (kept != null && count < most) {
       swept = kept.nextClearBit(swept);
       if (swept >= ids.size()) {
         kept = null;
-      } else if (isUsed(swept) && phase(swept) != Phase.REMOVED) {
-        set(swept, group(swept), Phase.REMOVED, size(swept), startedMs(swept), 0, 0);
+      } else if (isUsed(swept) && phase(swept) != EndpointState.REMOVED) {
+        set(swept, group(swept), EndpointState.REMOVED, size(swept), startedMs(swept), 0, 0);
         removed.accept(swept);
         count++;
         swept++;
@@ -373,21 +377,21 @@
   }
 
   /** Whether a backend has left, though its orders still have it. */
-  boolean hasLeft(int slot) {
+  public boolean hasLeft(int slot) {
     return kept != null && slot >= swept && !kept.get(slot);
   }
 
   /** Takes a backend for started then, whatever was told. */
-  void start(int slot, double startedMs, double coldMs, double now) {
+  public void start(int slot, double startedMs, double coldMs, double now) {
     starting.remove(slot);
     starts.set(slot, startedMs);
-    if (phase(slot) == Phase.SERVING) {
+    if (phase(slot) == EndpointState.SERVING) {
       noteStart(slot, coldMs, now);
     }
   }
 
   /** Looks anew at which backends are starting, as another time holds for that. */
-  void recountStarting(double coldMs, double now) {
+  public void recountStarting(double coldMs, double now) {
     for (int i = 0; i < serving.size(); i++) {
       int slot = serving.get(i);
       starting.remove(slot);
@@ -396,7 +400,7 @@
   }
 
   /** Forgets a backend that does not serve; its slot is free. */
-  void remove(int slot) {
+  public void remove(int slot) {
     notServing.remove(id(slot));
     groupsAndPhases.set(slot, -1);
     free.push(slot);
--- a/src/main/java/willowdoor/SortedSlots.java
+++ b/src/main/java/quotagateway/endpoint/OrderedSlots.java
@@ -1,4 +1,4 @@
-package willowdoor;
+package quotagateway.endpoint;
 
 import java.util.Arrays;
 
@@ -9,7 +9,7 @@
  * Some six bytes a slot, as the leaves hold no keys; the other nodes hold the first of each child,
  * so that a search looks up few.
  */
-final class SortedSlots {
+public final class OrderedSlots {
 
   static final int NONE = -1;
 
@@ -151,16 +151,16 @@
   private final Key key;
   private Node root = Node.leaf();
 
-  SortedSlots(Key key) {
+  OrderedSlots(Key key) {
     this.key = key;
   }
 
-  int size() {
+  public int size() {
     return root.count;
   }
 
   /** The slot at that place in the order. */
-  int get(int place) {
+  public int get(int place) {
     if (place < 0 || place >= root.count) {
       throw new IndexOutOfBoundsException("place " + place + " of " + root.count);
     }
--- /dev/null
+++ b/src/main/java/quotagateway/endpoint/ServingEndpoints.java
@@ -0,0 +1,13 @@
+package quotagateway.endpoint;
+
+/** What the network code looks up about the endpoints that take requests. */
+public interface ServingEndpoints {
+  /** Where an endpoint listens; {@link Endpoint#NO_ADDRESS} for one that does not serve. */
+  long address(long id);
+
+  /** When a serving endpoint started, as it is assumed to have, in Unix milliseconds. */
+  double startedMs(long id);
+
+  /** Whether any endpoint serves. */
+  boolean anyServing();
+}
--- a/src/main/java/willowdoor/net/Lifecycle.java
+++ b/src/main/java/quotagateway/lifecycle/Lifecycle.java
@@ -1,12 +1,13 @@
-package willowdoor.net;
+package quotagateway.lifecycle;
 
 import java.util.concurrent.atomic.AtomicReference;
+import quotagateway.transport.MonotonicClock;
 
 /**
  * Where a front door is between its start and its end. The admin server and the end of the process
  * move it from threads of their own; all that depends on it reads it here.
  */
-final class Lifecycle {
+public final class Lifecycle {
 
   enum State {
     STARTING,
@@ -18,44 +19,44 @@
   /** A state and when it was entered. */
   private record Phase(State state, double sinceMs) {}
 
-  private final Clock clock;
+  private final MonotonicClock clock;
   private final AtomicReference<Phase> phase;
 
-  Lifecycle(Clock clock) {
+  public Lifecycle(MonotonicClock clock) {
     this.clock = clock;
     phase = new AtomicReference<>(new Phase(State.STARTING, clock.now()));
   }
 
-  State state() {
+  public State state() {
     return phase.get().state;
   }
 
-  boolean serving() {
+  public boolean serving() {
     return state() == State.SERVING;
   }
 
   /** For how long it has been draining or ending, or 0. */
-  double drainingMs() {
+  public double drainingMs() {
     Phase p = phase.get();
     return p.state == State.DRAINING || p.state == State.ENDING ? clock.now() - p.sinceMs : 0;
   }
 
-  void started() {
+  public void started() {
     move(State.STARTING, State.SERVING);
   }
 
   /** True when it is draining now, whether by this call or by an earlier one. */
-  boolean drain() {
+  public boolean drain() {
     return move(State.SERVING, State.DRAINING) || state() == State.DRAINING;
   }
 
   /** True when it is serving now. */
-  boolean undrain() {
+  public boolean undrain() {
     return move(State.DRAINING, State.SERVING) || serving();
   }
 
   /** The process is about to end: nothing leads back. */
-  void end() {
+  public void end() {
     phase.set(new Phase(State.ENDING, clock.now()));
   }
 
--- a/src/main/java/willowdoor/QuotaPolicy.java
+++ b/src/main/java/quotagateway/policy/GatewayPolicy.java
@@ -1,10 +1,47 @@
-package willowdoor;
+package quotagateway.policy;
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 import java.util.*;
-import willowdoor.GatewayApi.*;
-import willowdoor.GatewayState.*;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointIndex;
+import quotagateway.endpoint.EndpointListForm;
+import quotagateway.endpoint.EndpointState;
+import quotagateway.endpoint.OrderedSlots;
+import quotagateway.endpoint.ServingEndpoints;
+import quotagateway.policy.GatewayState.AccountState;
+import quotagateway.policy.GatewayState.BackendState;
+import quotagateway.policy.GatewayState.GroupReaches;
+import quotagateway.policy.GatewayState.JobState;
+import quotagateway.policy.GatewayState.Mean;
+import quotagateway.policy.GatewayState.Reach;
+import quotagateway.policy.action.Action;
+import quotagateway.policy.action.CancelAttempt;
+import quotagateway.policy.action.FailRequest;
+import quotagateway.policy.action.IncrementCounter;
+import quotagateway.policy.action.RejectRequest;
+import quotagateway.policy.action.ScheduleTimer;
+import quotagateway.policy.action.StartAttempt;
+import quotagateway.policy.action.Timer;
+import quotagateway.policy.action.WatchEndpoints;
+import quotagateway.policy.event.AttemptEnded;
+import quotagateway.policy.event.ClientDisconnected;
+import quotagateway.policy.event.CounterReplied;
+import quotagateway.policy.event.EndpointsUpdated;
+import quotagateway.policy.event.Event;
+import quotagateway.policy.event.LoadReport;
+import quotagateway.policy.event.RequestBodyComplete;
+import quotagateway.policy.event.RequestReceived;
+import quotagateway.policy.event.ResponseStarted;
+import quotagateway.policy.event.SettingsChanged;
+import quotagateway.policy.event.Status;
+import quotagateway.policy.event.TimerFired;
+import quotagateway.policy.settings.Capabilities;
+import quotagateway.policy.settings.DeduplicationScope;
+import quotagateway.policy.settings.Idempotency;
+import quotagateway.policy.settings.Plan;
+import quotagateway.policy.settings.PolicySettings;
+import quotagateway.policy.settings.RequestClass;
 
 /**
  * All decisions of one gateway. Its interface (settings, events, actions) is GatewayApi.java in
@@ -13,7 +50,7 @@
  * on open requests has a count of its own in the same way, settled by giving the place back. One
  * instance a gateway, one thread; time comes with the events.
  */
-public final class QuotaPolicy {
+public final class GatewayPolicy {
 
   // ---- Constants ----
 
@@ -206,27 +243,27 @@
   /** What a backend is taken to need before anything was seen of it. */
   private static final double UNKNOWN_SERVICE_MS = 100;
 
-  private Settings settings;
+  private PolicySettings settings;
   private final SplittableRandom random;
   private final Map<String, Plan> plans = new HashMap<>();
   private List<Action> out = new ArrayList<>();
   private double now, startedAt;
 
-  public QuotaPolicy(Settings settings, long seed) {
-    this(settings, seed, new BackendIndex(settings.self()));
+  public GatewayPolicy(PolicySettings settings, long seed) {
+    this(settings, seed, new EndpointIndex(settings.gatewayIndex()));
   }
 
-  QuotaPolicy(Settings settings, long seed, BackendIndex index) {
+  public GatewayPolicy(PolicySettings settings, long seed, EndpointIndex index) {
     this.settings = settings;
     this.random = new SplittableRandom(seed);
     this.index = index;
-    retriesSaved = Math.max(1, FLEET_RETRIES_SAVED / Math.max(1, settings.gateways()));
+    retriesSaved = Math.max(1, FLEET_RETRIES_SAVED / Math.max(1, settings.gatewayCount()));
     retryTokens = retriesSaved;
     settings.plans().forEach(p -> plans.put(p.name(), p));
   }
 
   /** What is known of the backends, always as of the last event. */
-  public Listing listing() {
+  public ServingEndpoints listing() {
     return index;
   }
 
@@ -236,8 +273,8 @@
     startedAt = nowMs;
     out = new ArrayList<>();
     arm(TICK_MS);
-    if (settings.allowed().rosterOnRequest()) {
-      out.add(new FollowRoster());
+    if (settings.capabilities().pollsDiscovery()) {
+      out.add(new WatchEndpoints());
     }
     return out;
   }
@@ -247,38 +284,38 @@
     now = nowMs;
     out = new ArrayList<>();
     noteStall();
-    if (event instanceof Request e) {
+    if (event instanceof RequestReceived e) {
       onRequest(e);
       if (wakeAt > now + TICK_MS && !open.isEmpty()) {
         arm(TICK_MS);
       }
-    } else if (event instanceof Outcome e) {
+    } else if (event instanceof AttemptEnded e) {
       onOutcome(e);
-    } else if (event instanceof Counted e) {
+    } else if (event instanceof CounterReplied e) {
       onCounted(e);
-    } else if (event instanceof Woken e) {
+    } else if (event instanceof TimerFired e) {
       onWoken(e);
-    } else if (event instanceof Roster e) {
+    } else if (event instanceof EndpointsUpdated e) {
       onRoster(e);
-    } else if (event instanceof ClientLeft e) {
-      onClientLeft(e.request());
-    } else if (event instanceof Reconfigured e) {
+    } else if (event instanceof ClientDisconnected e) {
+      onClientLeft(e.requestId());
+    } else if (event instanceof SettingsChanged e) {
       onSettings(e.settings());
-    } else if (event instanceof StreamBegan e) {
+    } else if (event instanceof ResponseStarted e) {
       onStreamBegan(e);
-    } else if (event instanceof BodyWhole e && open.containsKey(e.request())) {
-      onBodyWhole(open.get(e.request()), e.giveUpMs());
+    } else if (event instanceof RequestBodyComplete e && open.containsKey(e.requestId())) {
+      onBodyWhole(open.get(e.requestId()), e.deadlineAtMs());
     }
     return out;
   }
 
   /** Takes new settings; counts, health and open requests live on. */
-  private void onSettings(Settings changed) {
-    if (changed.self() != index.gateway()) {
-      index.rankFor(changed.self());
+  private void onSettings(PolicySettings changed) {
+    if (changed.gatewayIndex() != index.gateway()) {
+      index.rankFor(changed.gatewayIndex());
     }
-    if (changed.rules().coldMs() != settings.rules().coldMs()) {
-      index.recountStarting(changed.rules().coldMs(), now);
+    if (changed.rules().warmUpMs() != settings.rules().warmUpMs()) {
+      index.recountStarting(changed.rules().warmUpMs(), now);
     }
     settings = changed;
     plans.clear();
@@ -288,7 +325,7 @@
       if (!p.equals(a.plan)) {
         a.advance();
         a.follow(p);
-        a.level = Math.min(a.level, p.burst());
+        a.level = Math.min(a.level, p.burstUnits());
       }
     }
   }
@@ -301,24 +338,29 @@
    */
   private final class Account extends AccountState {
     Account(long customer, Plan plan, int gateways) {
-      super(customer, plan, Math.max(1, Math.min(gateways, settings.gateways())), now);
+      super(customer, plan, Math.max(1, Math.min(gateways, settings.gatewayCount())), now);
       follow(plan);
       phase = Math.floorMod(customer * 0x9E3779B97F4A7C15L, (long) WINDOW_MS);
-      level = settings.allowed().sharedCount() ? plan.burst() : plan.burst() / this.gateways;
+      level =
+          settings.capabilities().sharedCounter()
+              ? plan.burstUnits()
+              : plan.burstUnits() / this.gateways;
       fillCeiling((now - startedAt) / 1000);
-      part = random.nextDouble() * settings.maxUnits();
+      part = random.nextDouble() * settings.maxRequestUnits();
       // Most customers use little of their cap, so one that is met for the first time is let in.
       openPart = 1;
-      othersRate = plan.rate() * (plain ? USUAL_USE : 1 - 1.0 / this.gateways);
+      othersRate = plan.unitsPerSecond() * (plain ? USUAL_USE : 1 - 1.0 / this.gateways);
     }
 
     /** Binds it to a plan, which settles the windows of its counts. */
     void follow(Plan followed) {
       plan = followed;
-      double refillMs = plan.rate() > 0 ? 1000 * plan.burst() / plan.rate() : 0;
-      double longest = plan.ceilingRate() > 0 ? WINDOW_MS : WINDOW_MS * FOLLOWING / gateways;
+      double refillMs =
+          plan.unitsPerSecond() > 0 ? 1000 * plan.burstUnits() / plan.unitsPerSecond() : 0;
+      double longest =
+          plan.hardLimitUnitsPerSecond() > 0 ? WINDOW_MS : WINDOW_MS * FOLLOWING / gateways;
       windowMs = Math.max(refillMs, Math.min(WINDOW_MS, longest));
-      plain = windowMs < 2 * refillMs && settings.allowed().sharedCount();
+      plain = windowMs < 2 * refillMs && settings.capabilities().sharedCounter();
     }
 
     /**
@@ -327,23 +369,29 @@
      */
     double ownShare() {
       return Math.min(
-          1, Math.max(2.0 / gateways, gateways * settings.maxUnits() / plan.ceilingBurst()));
+          1,
+          Math.max(
+              2.0 / gateways, gateways * settings.maxRequestUnits() / plan.hardLimitBurstUnits()));
     }
 
     void fillCeiling(double dt) {
-      double burst = plan.ceilingBurst() + plan.ceilingSlack() / 2;
+      double burst = plan.hardLimitBurstUnits() + plan.hardLimitSlackUnits() / 2;
       counted =
-          Math.min(burst * (1 - ownShare()), counted + plan.ceilingRate() * (1 - ownShare()) * dt);
+          Math.min(
+              burst * (1 - ownShare()),
+              counted + plan.hardLimitUnitsPerSecond() * (1 - ownShare()) * dt);
       own =
           Math.min(
-              burst * ownShare() / gateways, own + plan.ceilingRate() * ownShare() / gateways * dt);
+              burst * ownShare() / gateways,
+              own + plan.hardLimitUnitsPerSecond() * ownShare() / gateways * dt);
     }
 
     /** This gateway's even part of the quota: what it may send on unasked. */
     void fillPart(double dt) {
-      double most = Math.max(plan.burst() / gateways, settings.maxUnits());
-      part = Math.min(most, part + plan.rate() / gateways * dt);
-      openPart = Math.min(1, openPart + plan.openLimit() / (fleetService / 1000) / gateways * dt);
+      double most = Math.max(plan.burstUnits() / gateways, settings.maxRequestUnits());
+      part = Math.min(most, part + plan.unitsPerSecond() / gateways * dt);
+      openPart =
+          Math.min(1, openPart + plan.concurrencyLimit() / (fleetService / 1000) / gateways * dt);
     }
 
     /**
@@ -361,13 +409,14 @@
         expectUse(dt);
         return;
       }
-      double least = plan.rate() * 0.05;
+      double least = plan.unitsPerSecond() * 0.05;
       double share = (ownRate + least) / (ownRate + othersRate + least * gateways);
-      boolean shared = settings.allowed().sharedCount();
-      double others = shared ? Math.min(othersRate, plan.rate() * (1 - share)) : othersRate;
-      double cap = shared ? plan.burst() : plan.burst() / gateways;
-      double full = Math.min(cap, level + plan.rate() * dt);
-      level = Math.min(cap, level + (plan.rate() - others) * dt);
+      boolean shared = settings.capabilities().sharedCounter();
+      double others =
+          shared ? Math.min(othersRate, plan.unitsPerSecond() * (1 - share)) : othersRate;
+      double cap = shared ? plan.burstUnits() : plan.burstUnits() / gateways;
+      double full = Math.min(cap, level + plan.unitsPerSecond() * dt);
+      level = Math.min(cap, level + (plan.unitsPerSecond() - others) * dt);
       assumed += full - level;
       fillCeiling(dt);
     }
@@ -379,8 +428,8 @@
     void expectUse(double dt) {
       double begun = now - windowStart(now);
       double span = Math.min(begun, dt * 1000);
-      level = span == begun ? plan.burst() : level;
-      double usual = USUAL_USE * plan.rate();
+      level = span == begun ? plan.burstUnits() : level;
+      double usual = USUAL_USE * plan.unitsPerSecond();
       double known = Double.isNaN(syncedAt) ? 0 : Math.exp((syncedAt - now) / SPELL_MS);
       level -= (usual + known * (othersRate - usual)) * span / 1000;
     }
@@ -390,15 +439,15 @@
      * load.
      */
     boolean surelySpent(double units) {
-      boolean told = window == windowNow(now) && seen >= plan.burst();
+      boolean told = window == windowNow(now) && seen >= plan.burstUnits();
       return plain
-          ? level < (told ? units : -SURELY_SPENT * plan.burst())
+          ? level < (told ? units : -SURELY_SPENT * plan.burstUnits())
           : most() < units && now - syncedAt < SPENT_RECHECK_MS;
     }
 
     /** The most the bucket can hold if the others have spent nothing since the last answer. */
     double most() {
-      return Math.min(plan.burst(), level + assumed) - flying;
+      return Math.min(plan.burstUnits(), level + assumed) - flying;
     }
   }
 
@@ -425,32 +474,34 @@
   private double pacedAt = Double.NEGATIVE_INFINITY, trialAt = Double.NEGATIVE_INFINITY, answeredAt;
   private int callsFailed;
 
-  private Account account(Request r) {
+  private Account account(RequestReceived r) {
     Account a =
         accounts.computeIfAbsent(
             r.customer(),
             c ->
                 new Account(
-                    c, plans.getOrDefault(r.planName(), mostCarefulPlan()), r.entryPoints()));
+                    c,
+                    plans.getOrDefault(r.planName(), mostCarefulPlan()),
+                    r.gatewaysOfCustomer()));
     a.advance();
     return a;
   }
 
   private Plan mostCarefulPlan() {
     return settings.plans().stream()
-        .filter(p -> p.rate() > 0)
-        .min(Comparator.comparingDouble(Plan::rate))
+        .filter(p -> p.unitsPerSecond() > 0)
+        .min(Comparator.comparingDouble(Plan::unitsPerSecond))
         .orElse(new Plan("", 0, 0, 0, 0, 0, 0, 0, 0, 0));
   }
 
   private void check(Job job) {
     Account a = job.account;
-    int most = a.plan.openLimit();
+    int most = a.plan.concurrencyLimit();
     // With no more gateways than places an even split holds the limit without a call.
     if (most > 0
         && a.gateways > most
         && a.out < most
-        && settings.allowed().sharedCount()
+        && settings.capabilities().sharedCounter()
         && mayCall()) {
       claim(job);
     } else {
@@ -464,7 +515,7 @@
    */
   private void checkAlone(Job job) {
     Account a = job.account;
-    int most = a.plan.openLimit();
+    int most = a.plan.concurrencyLimit();
     boolean split = most > 0 && a.gateways > most;
     if (most > 0 && a.out >= Math.max(1, most / a.gateways) || split && a.openPart < 1) {
       beyondQuota(job);
@@ -487,23 +538,23 @@
 
   private void add(String name, Call call) {
     calls.computeIfAbsent(name, n -> new ArrayDeque<>()).add(call);
-    out.add(new Add(name, call.amount, COUNT_TTL_MS));
+    out.add(new IncrementCounter(name, call.amount, COUNT_TTL_MS));
   }
 
-  private void onClaimed(Call call, Counted e) {
+  private void onClaimed(Call call, CounterReplied e) {
     Job job = call.job;
     if (job == null) {
       return;
     }
     job.claimed = false;
-    job.place = e.status().provesNotRun() ? null : job.place;
+    job.place = e.status().provesNotExecuted() ? null : job.place;
     if (job.ended) {
       giveBack(job);
     } else if (job.claiming) {
       job.claiming = false;
       if (e.status() != Status.OK) {
         checkAlone(job);
-      } else if (e.total() > job.account.plan.openLimit()) {
+      } else if (e.total() > job.account.plan.concurrencyLimit()) {
         giveBack(job);
         beyondQuota(job);
       } else {
@@ -532,9 +583,9 @@
   private void checkRate(Job job) {
     Account a = job.account;
     double units = job.request.units();
-    if (a.plan.rate() <= 0 && a.plan.ceilingRate() <= 0) {
+    if (a.plan.unitsPerSecond() <= 0 && a.plan.hardLimitUnitsPerSecond() <= 0) {
       dispatch(job);
-    } else if (!settings.allowed().sharedCount()) {
+    } else if (!settings.capabilities().sharedCounter()) {
       decide(job, false);
     } else if (a.surelySpent(units)) {
       beyondQuota(job);
@@ -573,14 +624,14 @@
     a.owed = 0;
   }
 
-  private void onCounted(Counted e) {
-    ArrayDeque<Call> queue = calls.get(e.name());
+  private void onCounted(CounterReplied e) {
+    ArrayDeque<Call> queue = calls.get(e.counterName());
     if (queue == null) {
       return;
     }
     Call call = queue.poll();
     if (queue.isEmpty()) {
-      calls.remove(e.name());
+      calls.remove(e.counterName());
     }
     Account a = call.account;
     Job job = call.job;
@@ -591,12 +642,12 @@
       return;
     }
     if (cutOff(e.status()) && job.waiting && !job.reread) {
-      readAgain(e.name(), call);
+      readAgain(e.counterName(), call);
       return;
     }
     a.flying -= job.asked;
     judge(e);
-    boolean added = job.reread || !e.status().provesNotRun();
+    boolean added = job.reread || !e.status().provesNotExecuted();
     if (e.status() == Status.OK) {
       observe(a, call, e.total());
     } else if (added) {
@@ -619,7 +670,7 @@
    * amount.
    */
   private static boolean cutOff(Status status) {
-    return status == Status.SPOILT || status == Status.RESET;
+    return status == Status.MALFORMED_RESPONSE || status == Status.RESET;
   }
 
   /**
@@ -633,17 +684,17 @@
     add(name, new Call(call.account, call.window, 0, call.job, false));
   }
 
-  private void judge(Counted e) {
+  private void judge(CounterReplied e) {
     if (!stalled() && e.status() != Status.RESET || e.status() == Status.OK) {
       judgeCounter(e);
     }
   }
 
-  private void judgeCounter(Counted e) {
+  private void judgeCounter(CounterReplied e) {
     boolean away = callsFailed >= COUNTER_AWAY_AFTER;
     callsFailed = e.status() == Status.OK ? 0 : callsFailed + 1;
     if (e.status() != Status.OK) {
-      pace *= now - pacedAt > settings.allowed().countLimitMs() ? PACE_CUT : 1;
+      pace *= now - pacedAt > settings.capabilities().counterTimeoutMs() ? PACE_CUT : 1;
       trialAt = callsFailed == COUNTER_AWAY_AFTER ? nextTrial() : trialAt;
     } else if (away) {
       pace = PACE_BACK;
@@ -651,7 +702,7 @@
       pace += PACE_STEP + PACE_STEP_PER_S * Math.min(1, (now - answeredAt) / 1000);
     }
     pacedAt =
-        e.status() == Status.OK || now - pacedAt <= settings.allowed().countLimitMs()
+        e.status() == Status.OK || now - pacedAt <= settings.capabilities().counterTimeoutMs()
             ? pacedAt
             : now;
     answeredAt = e.status() == Status.OK ? now : answeredAt;
@@ -663,7 +714,7 @@
    * seconds.
    */
   private double nextTrial() {
-    double spacing = Math.max(TRIAL_MS, FLEET_TRIAL_MS * settings.gateways());
+    double spacing = Math.max(TRIAL_MS, FLEET_TRIAL_MS * settings.gatewayCount());
     return now + spacing * (0.75 + 0.5 * random.nextDouble());
   }
 
@@ -690,16 +741,19 @@
     a.seen = total;
     if (a.plain) {
       a.level =
-          call.window == a.windowNow(now) ? a.plan.burst() - (total - call.job.asked) : a.level;
+          call.window == a.windowNow(now)
+              ? a.plan.burstUnits() - (total - call.job.asked)
+              : a.level;
       learnRates(a, Math.max(0, others), since);
       return;
     }
     a.owed += missing;
     if (carried) {
       double replaced = a.assumed * Math.min(1, since / Math.max(1, now - a.syncedAt));
-      a.level = Math.min(a.plan.burst(), a.level + replaced - others);
+      a.level = Math.min(a.plan.burstUnits(), a.level + replaced - others);
     } else {
-      a.level = Math.min(a.plan.burst(), a.level + a.plan.rate() * since / 1000 - others);
+      a.level =
+          Math.min(a.plan.burstUnits(), a.level + a.plan.unitsPerSecond() * since / 1000 - others);
     }
     a.counted -= others;
     a.fillCeiling(0);
@@ -725,9 +779,9 @@
     Account a = job.account;
     double units = job.request.units();
     double room = answered || a.plain ? a.level : a.level - a.flying + (job.called ? job.asked : 0);
-    boolean unasked = settings.allowed().sharedCount() && !answered;
+    boolean unasked = settings.capabilities().sharedCounter() && !answered;
     boolean within = room >= units && (!unasked || !a.plain || a.part >= units);
-    boolean barred = a.plan.rate() > 0 && !within || unasked && pressed(job, UNCONFIRMED);
+    boolean barred = a.plan.unitsPerSecond() > 0 && !within || unasked && pressed(job, UNCONFIRMED);
     if (barred || !holdsCeiling(a, units, answered)) {
       a.owed -= job.added && !a.plain ? units : 0;
       job.added = false;
@@ -748,7 +802,7 @@
    * forgets.
    */
   private boolean holdsCeiling(Account a, double units, boolean answered) {
-    if (a.plan.ceilingRate() <= 0) {
+    if (a.plan.hardLimitUnitsPerSecond() <= 0) {
       return true;
     }
     boolean together = answered && a.counted >= units;
@@ -764,14 +818,18 @@
    */
   private void beyondQuota(Job job) {
     Plan plan = job.account.plan;
-    if (plan.beyondEarns() > plan.beyondCost()
-        && plan.ceilingRate() <= 0
+    if (plan.overQuotaRevenue() > plan.overQuotaCost()
+        && plan.hardLimitUnitsPerSecond() <= 0
         && expectedOfAim() < PRESSED_LOW - UNCONFIRMED) {
       dispatch(job);
     } else {
       double missing = job.request.units() - job.account.level;
       // Where only open attempts are bounded, one of them ends after about a service time.
-      refuse(job, plan.rate() > 0 ? Math.max(TICK_MS, missing / plan.rate() * 1000) : fleetService);
+      refuse(
+          job,
+          plan.unitsPerSecond() > 0
+              ? Math.max(TICK_MS, missing / plan.unitsPerSecond() * 1000)
+              : fleetService);
     }
   }
 
@@ -780,7 +838,7 @@
     if (job.inQuota && trueUnits > 0) {
       double gap = trueUnits - job.request.units();
       a.advance();
-      if (gap < 0 && a.plan.ceilingRate() > 0 && a.ownShare() < 1) {
+      if (gap < 0 && a.plan.hardLimitUnitsPerSecond() > 0 && a.ownShare() < 1) {
         double covered = Math.min(-gap, a.own);
         a.own -= covered;
         gap = -covered;
@@ -818,7 +876,7 @@
     boolean forgettable() {
       return out.isEmpty()
           && startedMs == toldStart
-          && !index.cold(slot, settings.rules().coldMs(), now)
+          && !index.cold(slot, settings.rules().warmUpMs(), now)
           && now > restUntil + REST_MEMORY_MS
           && remembered() < FORGOTTEN
           && !index.isAmong(usual, slot);
@@ -830,7 +888,7 @@
      */
     double held() {
       double usual =
-          outMean.value / Math.max(1, index.serving().size()) * (settings.gateways() - 1);
+          outMean.value / Math.max(1, index.serving().size()) * (settings.gatewayCount() - 1);
       if (Double.isNaN(reported)) {
         return out.size() + usual;
       }
@@ -886,7 +944,7 @@
     }
   }
 
-  private final BackendIndex index;
+  private final EndpointIndex index;
 
   /** Full state of those that are kept to, cold, or were looked at, by their slots in the index. */
   private final Int2ObjectOpenHashMap<Backend> states = new Int2ObjectOpenHashMap<>();
@@ -909,23 +967,23 @@
   private double warmAt = Double.NEGATIVE_INFINITY, forgotAt = warmAt, sendRate, sendsAt;
 
   /** How many backends' full state is kept. */
-  int fullStates() {
+  public int fullStates() {
     return states.size();
   }
 
-  private void onRoster(Roster e) {
-    if (e.form() == RosterForm.FAILED) {
-      out.add(new WakeAt(now + 1000, "follow"));
+  private void onRoster(EndpointsUpdated e) {
+    if (e.form() == EndpointListForm.FAILED) {
+      out.add(new ScheduleTimer(now + 1000, Timer.ENDPOINT_WATCH));
       return;
     }
-    if (listed == null && e.form() != RosterForm.CHANGES) {
+    if (listed == null && e.form() != EndpointListForm.DELTA) {
       listed = new BitSet(index.capacity());
     }
-    e.entries().forEach(this::take);
-    if (e.form() == RosterForm.COMPLETE || e.form() == RosterForm.REMEMBERED) {
+    e.endpoints().forEach(this::take);
+    if (e.form() == EndpointListForm.SNAPSHOT || e.form() == EndpointListForm.CACHED_SNAPSHOT) {
       index.keepOnly(listed);
     }
-    listed = e.form() == RosterForm.PART ? listed : null;
+    listed = e.form() == EndpointListForm.FRAGMENT ? listed : null;
     sweep();
   }
 
@@ -936,35 +994,36 @@
   private void sweep() {
     boolean more = index.sweep(SWEPT_AT_ONCE, gone::add);
     if (more && !sweeping) {
-      out.add(new WakeAt(now + 1, "sweep"));
+      out.add(new ScheduleTimer(now + 1, Timer.ENDPOINT_SWEEP));
     }
     sweeping = more;
     gone.removeIf(this::forget);
     usual =
         Math.min(
             index.serving().size(),
-            Math.max(SUBSET, SUBSET * index.serving().size() / Math.max(1, settings.gateways())));
+            Math.max(
+                SUBSET, SUBSET * index.serving().size() / Math.max(1, settings.gatewayCount())));
     warmAt = Double.NEGATIVE_INFINITY;
   }
 
   /** Takes one entry; one that has started again is a new backend. */
-  private void take(BackendEntry x) {
+  private void take(Endpoint x) {
     int group = index.group(x.zone(), x.cell());
     int known = index.find(x.id());
-    int slot = known == BackendIndex.NONE ? index.add(x.id(), group) : known;
+    int slot = known == EndpointIndex.NONE ? index.add(x.id(), group) : known;
     Backend b = states.get(slot);
     double toldStart = b == null ? index.startedMs(slot) : b.toldStart;
-    boolean same = known != BackendIndex.NONE && toldStart == x.startedMs();
+    boolean same = known != EndpointIndex.NONE && toldStart == x.startedMs();
     double startedMs = same ? index.startedMs(slot) : x.startedMs();
-    double size = settings.sizesTold() ? x.size() : 1;
-    index.setPlace(slot, x.place());
-    index.set(slot, group, x.phase(), size, startedMs, settings.rules().coldMs(), now);
+    double size = settings.endpointWeightsTold() ? x.weight() : 1;
+    index.setPlace(slot, x.address());
+    index.set(slot, group, x.state(), size, startedMs, settings.rules().warmUpMs(), now);
     if (!same) {
       renew(slot);
     } else if (b != null) {
       b.join(index, slot, reaches);
     }
-    if (x.phase() == Phase.REMOVED) {
+    if (x.state() == EndpointState.REMOVED) {
       gone.add(slot);
     }
     if (listed != null) {
@@ -979,7 +1038,7 @@
   private void renew(int slot) {
     double coldTokens = random.nextDouble();
     states.remove(slot);
-    if (index.cold(slot, settings.rules().coldMs(), now) && states.size() < usual + MOST_STATES) {
+    if (index.cold(slot, settings.rules().warmUpMs(), now) && states.size() < usual + MOST_STATES) {
       states.put(slot, new Backend(slot, coldTokens));
     }
   }
@@ -994,7 +1053,7 @@
         forgotAt = now;
         states.values().removeIf(Backend::forgettable);
       }
-      b = new Backend(slot, index.cold(slot, settings.rules().coldMs(), now) ? 0 : 1);
+      b = new Backend(slot, index.cold(slot, settings.rules().warmUpMs(), now) ? 0 : 1);
       // It has been listed since the start, as good as always: what comes later is cold at first.
       b.answeredAt = startedAt;
       states.put(slot, b);
@@ -1007,7 +1066,7 @@
    * again.
    */
   private boolean forget(int slot) {
-    if (!index.isUsed(slot) || index.phase(slot) != Phase.REMOVED) {
+    if (!index.isUsed(slot) || index.phase(slot) != EndpointState.REMOVED) {
       return true;
     }
     if (states.containsKey(slot) && !states.get(slot).out.isEmpty()) {
@@ -1024,10 +1083,11 @@
    * rest.
    */
   private Backend pick(Job job) {
-    boolean bound = job.keyedTo != null && job.type.group() != Group.ALL;
-    SortedSlots among = bound ? groupOf(job) : index.ranked();
+    boolean bound = job.keyedTo != null && job.type.deduplicationScope() != DeduplicationScope.ALL;
+    OrderedSlots among = bound ? groupOf(job) : index.ranked();
     int kept = bound ? among.size() : usual;
-    int wanted = (int) Math.max(2, Math.ceil(FLEET_CANDIDATES / Math.max(2, settings.gateways())));
+    int wanted =
+        (int) Math.max(2, Math.ceil(FLEET_CANDIDATES / Math.max(2, settings.gatewayCount())));
     Backend best = bestOf(among, kept, job, wanted, false);
     best =
         best != null || bound
@@ -1037,15 +1097,15 @@
   }
 
   /** Those that drop the request's repeats. */
-  private SortedSlots groupOf(Job job) {
+  private OrderedSlots groupOf(Job job) {
     Backend first = job.keyedTo;
-    return job.type.group() == Group.ZONE
+    return job.type.deduplicationScope() == DeduplicationScope.ZONE
         ? index.inZone(first.zone)
         : index.inCell(first.zone, first.cell);
   }
 
   /** Chooses among the first so many in an order. */
-  private Backend bestOf(SortedSlots among, int size, Job job, int wanted, boolean ignoreRest) {
+  private Backend bestOf(OrderedSlots among, int size, Job job, int wanted, boolean ignoreRest) {
     Backend best = null;
     double bestWait = Double.POSITIVE_INFINITY;
     boolean all = size <= wanted;
@@ -1066,7 +1126,8 @@
   }
 
   private boolean usable(Backend b, Job job, boolean ignoreRest) {
-    boolean trialBarred = b.trial && (!b.out.isEmpty() || job.type.repeat() == Repeat.UNSAFE);
+    boolean trialBarred =
+        b.trial && (!b.out.isEmpty() || job.type.idempotency() == Idempotency.NOT_IDEMPOTENT);
     boolean resting =
         !ignoreRest && (now < b.restUntil || trialBarred || b.nearFailing(now) > FAILING_SHARE);
     return !index.hasLeft(b.slot)
@@ -1083,9 +1144,9 @@
    * gateways have saved up cannot come all at once. Harm: slower use of a fleet that comes back.
    */
   private boolean coldRoom(Backend b) {
-    double floor = 1000 / Math.max(1, fleetService) / settings.gateways();
+    double floor = 1000 / Math.max(1, fleetService) / settings.gatewayCount();
     double rate = Math.max(sendsPerBackend(), floor) * b.warmShare(settings.rules(), now);
-    double lapsed = 1 + rate * settings.rules().tipAfterMs() / 1000;
+    double lapsed = 1 + rate * settings.rules().overloadWindowMs() / 1000;
     b.coldTokens = (b.coldTokens + rate * (now - b.coldAt) / 1000) % lapsed;
     b.coldAt = now;
     return b.coldTokens >= 1;
@@ -1093,14 +1154,14 @@
 
   private double sendsPerBackend() {
     if (now - warmAt > 500) {
-      warm = index.warm(settings.rules().coldMs(), now);
+      warm = index.warm(settings.rules().warmUpMs(), now);
       warmAt = now;
     }
     return warm == 0 ? 0 : sendRate * Math.exp((sendsAt - now) / PRESSURE_LIFE_MS) / warm;
   }
 
-  private void learn(Backend b, Attempt attempt, Outcome e) {
-    Load load = e.load();
+  private void learn(Backend b, Attempt attempt, AttemptEnded e) {
+    LoadReport load = e.loadReport();
     if (load != null && !Double.isNaN(load.inFlight())) {
       b.reported = load.inFlight();
       b.reportedOwn = b.out.size();
@@ -1108,7 +1169,7 @@
     }
     boolean bad =
         switch (e.status()) {
-          case ERROR, RESET, UNREACHABLE -> true;
+          case ERROR, RESET, CONNECT_FAILED -> true;
           case TIMED_OUT, CANCELLED ->
               b.answeredAt <= attempt.sentAt && attempt.sentAt > stalledUntil;
           default -> false;
@@ -1136,7 +1197,7 @@
     } else if (e.status() == Status.REJECTED) {
       b.fullUntil = now + 2 * fleetService;
     } else if (bad) {
-      if (e.status() == Status.UNREACHABLE && !b.cold(settings.rules(), now)) {
+      if (e.status() == Status.CONNECT_FAILED && !b.cold(settings.rules(), now)) {
         b.coldAt = b.doubtedAt = now;
         b.coldTokens = random.nextDouble();
         takeForStarted(b, now);
@@ -1169,7 +1230,7 @@
     return status == Status.OK
         || status == Status.ERROR
         || status == Status.REJECTED
-        || status == Status.SPOILT;
+        || status == Status.MALFORMED_RESPONSE;
   }
 
   /**
@@ -1190,7 +1251,7 @@
   private void takeForStarted(Backend b, double startedMs) {
     b.startedMs = startedMs;
     if (states.get(b.slot) == b) {
-      index.start(b.slot, startedMs, settings.rules().coldMs(), now);
+      index.start(b.slot, startedMs, settings.rules().warmUpMs(), now);
     }
   }
 
@@ -1202,13 +1263,17 @@
     Attempt live;
     Backend keyedTo, lastBackend;
 
-    Job(Request request, RequestClass type, Account account) {
-      super(request, type, request.allowed() == null ? settings.allowed() : request.allowed(), now);
+    Job(RequestReceived request, RequestClass type, Account account) {
+      super(
+          request,
+          type,
+          request.capabilities() == null ? settings.capabilities() : request.capabilities(),
+          now);
       this.account = account;
     }
 
     double worth() {
-      return type.value() * account.plan.worthFactor();
+      return type.priorityWeight() * account.plan.priorityFactor();
     }
   }
 
@@ -1224,20 +1289,29 @@
   private int outNow;
 
   /** A class not in the settings is treated as one that must never run twice. */
-  private RequestClass type(Request r) {
-    double left = r.giveUpMs() - now;
-    return r.type() != null
-        ? r.type()
-        : new RequestClass("", 1, 0, left / 2, left, Repeat.UNSAFE, Group.CELL, 0, false);
-  }
-
-  private void onRequest(Request r) {
+  private RequestClass type(RequestReceived r) {
+    double left = r.deadlineAtMs() - now;
+    return r.requestClass() != null
+        ? r.requestClass()
+        : new RequestClass(
+            "",
+            1,
+            0,
+            left / 2,
+            left,
+            Idempotency.NOT_IDEMPOTENT,
+            DeduplicationScope.CELL,
+            0,
+            false);
+  }
+
+  private void onRequest(RequestReceived r) {
     outMean.add(outNow, now);
     Job job = new Job(r, type(r), account(r));
-    open.put(r.id(), job);
+    open.put(r.requestId(), job);
     double worth = job.worth();
     meanWorth = Double.isNaN(meanWorth) ? worth : meanWorth + 0.01 * (worth - meanWorth);
-    if (open.size() >= settings.allowed().open() || late(job) || pressed(job, 0)) {
+    if (open.size() >= settings.capabilities().maxOpenRequests() || late(job) || pressed(job, 0)) {
       refuse(job, 0);
     } else {
       check(job);
@@ -1259,7 +1333,7 @@
    * now.
    */
   private double expectedOfAim() {
-    double held = settings.gateways() / (double) Math.max(1, index.serving().size());
+    double held = settings.gatewayCount() / (double) Math.max(1, index.serving().size());
     double more = IDLE_HELD / Math.max(1, index.serving().size());
     double ratio =
         (outMean.value * held + more) / (Math.max(outThen.value * held, IDLE_HELD) + more);
@@ -1271,7 +1345,7 @@
    * while others were answered lost its answer: that tells of no wait. Harm: a few slow backends
    * stay unseen here.
    */
-  private void measureWait(Attempt attempt, Outcome e) {
+  private void measureWait(Attempt attempt, AttemptEnded e) {
     boolean lost = e.status() == Status.TIMED_OUT && okAt > attempt.sentAt;
     okAt = e.status() == Status.OK ? now : okAt;
     if (e.status() == Status.OK
@@ -1301,9 +1375,9 @@
     double left = job.giveUpMs - now - GUARD_MS;
     // A repeat that waits for a backend, or for its connection, must not outlast the window of
     // repeats.
-    boolean repeat = job.mayHaveRun && job.type.repeat() == Repeat.KEYED;
+    boolean repeat = job.mayHaveRun && job.type.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
     double startMs = repeat ? job.keyedUntil - GUARD_MS - now : Double.POSITIVE_INFINITY;
-    int most = Math.min(job.allowed.attempts(), settings.allowed().attempts());
+    int most = Math.min(job.allowed.maxAttempts(), settings.capabilities().maxAttempts());
     if (left <= 0 || startMs <= 0 || job.attempts >= most) {
       giveUp(job);
       return;
@@ -1323,8 +1397,8 @@
     if (!job.coming) {
       count(attempt);
     }
-    attempts.put(job.request.id() + "#" + attempt.number, attempt);
-    out.add(new Send(job.request.id(), b.id, left, startMs));
+    attempts.put(job.request.requestId() + "#" + attempt.number, attempt);
+    out.add(new StartAttempt(job.request.requestId(), b.id, left, startMs));
   }
 
   /**
@@ -1361,8 +1435,8 @@
   }
 
   /** The backend has done its work: what follows is a matter of how fast its client reads. */
-  private void onStreamBegan(StreamBegan e) {
-    Attempt attempt = attempts.get(e.request() + "#" + e.attempt());
+  private void onStreamBegan(ResponseStarted e) {
+    Attempt attempt = attempts.get(e.requestId() + "#" + e.attempt());
     if (attempt != null && !attempt.job.streaming) {
       attempt.job.streaming = true;
       attempt.backend.out.remove(attempt);
@@ -1372,8 +1446,8 @@
     }
   }
 
-  private void onOutcome(Outcome e) {
-    Attempt attempt = attempts.remove(e.request() + "#" + e.attempt());
+  private void onOutcome(AttemptEnded e) {
+    Attempt attempt = attempts.remove(e.requestId() + "#" + e.attempt());
     if (attempt == null) {
       return;
     }
@@ -1385,24 +1459,27 @@
     job.live = job.live == attempt ? null : job.live;
     learn(attempt.backend, attempt, e);
     if (e.status() == Status.OK) {
-      settle(job, e.trueUnits());
+      settle(job, e.chargedUnits());
     }
-    job.mayHaveRun |= !e.status().provesNotRun();
-    if (job.mayHaveRun && job.type.repeat() == Repeat.KEYED && job.keyedTo == null) {
+    job.mayHaveRun |= !e.status().provesNotExecuted();
+    if (job.mayHaveRun
+        && job.type.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+        && job.keyedTo == null) {
       job.keyedTo = attempt.backend;
-      job.keyedUntil = attempt.sentAt + job.type.repeatWindowMs();
+      job.keyedUntil = attempt.sentAt + job.type.deduplicationWindowMs();
     }
     // None of these tells of overload, against which the budget of further attempts guards.
     job.unreached =
-        e.status() == Status.UNREACHABLE
-            || e.status() == Status.BROKEN
+        e.status() == Status.CONNECT_FAILED
+            || e.status() == Status.WRITE_INCOMPLETE
             || e.status() == Status.NOT_SENT
-            || e.status() == Status.SPOILT;
-    job.handed |= job.handedOn && e.status() != Status.UNREACHABLE && e.status() != Status.NOT_SENT;
-    if (e.over()) {
-      open.remove(e.request());
+            || e.status() == Status.MALFORMED_RESPONSE;
+    job.handed |=
+        job.handedOn && e.status() != Status.CONNECT_FAILED && e.status() != Status.NOT_SENT;
+    if (e.requestFinished()) {
+      open.remove(e.requestId());
       ended(job);
-    } else if (open.containsKey(e.request())) {
+    } else if (open.containsKey(e.requestId())) {
       again(job);
     }
   }
@@ -1410,8 +1487,9 @@
   private void again(Job job) {
     boolean allowed =
         !job.mayHaveRun
-            || job.type.repeat() == Repeat.SAFE
-            || job.type.repeat() == Repeat.KEYED && now < job.keyedUntil - GUARD_MS;
+            || job.type.idempotency() == Idempotency.IDEMPOTENT
+            || job.type.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                && now < job.keyedUntil - GUARD_MS;
     double left = job.giveUpMs - now;
     if (job.handed
         || !allowed
@@ -1430,35 +1508,38 @@
   private void giveUp(Job job) {
     boolean harmless =
         !job.mayHaveRun
-            || job.type.repeat() == Repeat.SAFE
-            || job.type.repeat() == Repeat.KEYED
-                && job.type.group() == Group.ALL
+            || job.type.idempotency() == Idempotency.IDEMPOTENT
+            || job.type.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                && job.type.deduplicationScope() == DeduplicationScope.ALL
                 && now < job.keyedUntil;
     if (harmless) {
       refuse(job, 0);
     } else {
-      open.remove(job.request.id());
+      open.remove(job.request.requestId());
       ended(job);
-      out.add(new Fail(job.request.id()));
+      out.add(new FailRequest(job.request.requestId()));
     }
   }
 
   private void refuse(Job job, double holdOffMs) {
     takeBack(job);
-    open.remove(job.request.id());
+    open.remove(job.request.requestId());
     ended(job);
-    Allowed a = job.allowed;
-    out.add(new Refuse(job.request.id(), a.holdOff() ? Math.min(holdOffMs, a.maxHoldOffMs()) : 0));
+    Capabilities a = job.allowed;
+    out.add(
+        new RejectRequest(
+            job.request.requestId(),
+            a.retryAfter() ? Math.min(holdOffMs, a.maxRetryAfterMs()) : 0));
   }
 
   // ---- Timers ----
 
   private double wakeAt, stalledFrom, stalledUntil = Double.NEGATIVE_INFINITY;
 
-  private void onWoken(Woken e) {
-    if (e.label().equals("follow")) {
-      out.add(new FollowRoster());
-    } else if (e.label().equals("sweep")) {
+  private void onWoken(TimerFired e) {
+    if (e.timer() == Timer.ENDPOINT_WATCH) {
+      out.add(new WatchEndpoints());
+    } else if (e.timer() == Timer.ENDPOINT_SWEEP) {
       sweeping = false;
       sweep();
     } else if (now >= wakeAt) {
@@ -1469,7 +1550,7 @@
 
   private void arm(double ms) {
     wakeAt = now + ms;
-    out.add(new WakeAt(wakeAt, "tick"));
+    out.add(new ScheduleTimer(wakeAt, Timer.REQUEST_CHECK));
   }
 
   /**
@@ -1528,11 +1609,11 @@
         && !job.abandoned
         && !job.streaming
         && !job.handedOn
-        && job.allowed.cancel()
-        && job.type.repeat() != Repeat.UNSAFE
+        && job.allowed.cancellation()
+        && job.type.idempotency() != Idempotency.NOT_IDEMPOTENT
         && retryTokens >= 1) {
       job.abandoned = true;
-      out.add(new Cancel(job.request.id(), a.number));
+      out.add(new CancelAttempt(job.request.requestId(), a.number));
     }
   }
 }
--- a/src/main/java/willowdoor/GatewayState.java
+++ b/src/main/java/quotagateway/policy/GatewayState.java
@@ -1,17 +1,18 @@
-package willowdoor;
+package quotagateway.policy;
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Supplier;
-import willowdoor.GatewayApi.Allowed;
-import willowdoor.GatewayApi.Plan;
-import willowdoor.GatewayApi.Request;
-import willowdoor.GatewayApi.RequestClass;
-import willowdoor.GatewayApi.Rules;
+import quotagateway.endpoint.EndpointIndex;
+import quotagateway.policy.event.RequestReceived;
+import quotagateway.policy.settings.Capabilities;
+import quotagateway.policy.settings.Plan;
+import quotagateway.policy.settings.RequestClass;
+import quotagateway.policy.settings.ServiceRules;
 
-/** What {@link QuotaPolicy} remembers, without any decision: all of those are in the module. */
-final class GatewayState {
+/** What {@link GatewayPolicy} remembers, without any decision: all of those are in the module. */
+public final class GatewayState {
 
   private GatewayState() {}
 
@@ -23,7 +24,7 @@
   }
 
   /** A backend's place in the order of one gateway, which differs from the orders of others. */
-  static long rank(long id, long gateway) {
+  public static long rank(long id, long gateway) {
     return mix(id + (gateway << 32));
   }
 
@@ -218,7 +219,7 @@
     }
 
     /** Takes its zone and cell as the index has them. */
-    final void join(BackendIndex index, int slot, GroupReaches reaches) {
+    final void join(EndpointIndex index, int slot, GroupReaches reaches) {
       int group = index.group(slot);
       zone = index.zone(group);
       cell = index.cell(group);
@@ -231,20 +232,22 @@
       return Math.max(zoneReach.lost.fresh(now), cellReach.lost.fresh(now));
     }
 
-    boolean cold(Rules rules, double now) {
-      return startedMs > 0 && now - startedMs < rules.coldMs();
+    boolean cold(ServiceRules rules, double now) {
+      return startedMs > 0 && now - startedMs < rules.warmUpMs();
     }
 
     /** The part of its capacity that the rules promise by now. */
-    double warmShare(Rules rules, double now) {
+    double warmShare(ServiceRules rules, double now) {
       return Math.min(
-          1, rules.coldFrom() + (1 - rules.coldFrom()) * (now - startedMs) / rules.coldMs());
+          1,
+          rules.warmUpInitialShare()
+              + (1 - rules.warmUpInitialShare()) * (now - startedMs) / rules.warmUpMs());
     }
   }
 
   /** One request taken and not yet finally answered. */
   static class JobState {
-    final Request request;
+    final RequestReceived request;
     final RequestClass type;
 
     /** When it came, or the last of its body, if it was taken before. */
@@ -261,7 +264,7 @@
     boolean handed;
 
     /** By the settings that it was read by. */
-    final Allowed allowed;
+    final Capabilities allowed;
 
     /**
      * Waits for the counter; its call is unanswered; its units are, or may be, in the shared count.
@@ -300,18 +303,20 @@
     double keyedUntil = Double.POSITIVE_INFINITY;
     int attempts;
 
-    JobState(Request request, RequestClass type, Allowed allowed, double now) {
+    JobState(RequestReceived request, RequestClass type, Capabilities allowed, double now) {
       this.request = request;
       this.allowed = allowed;
       this.type = type;
       this.takenAt = now;
-      giveUpMs = request.giveUpMs();
+      giveUpMs = request.deadlineAtMs();
       coming = Double.isInfinite(giveUpMs);
       handedOn = coming;
     }
 
     double aim() {
-      return type.aimMs() > 0 ? type.aimMs() : Math.max(1, giveUpMs - takenAt);
+      return type.latencyObjectiveMs() > 0
+          ? type.latencyObjectiveMs()
+          : Math.max(1, giveUpMs - takenAt);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/quotagateway/policy/action/CancelAttempt.java
@@ -0,0 +1,9 @@
+package quotagateway.policy.action;
+
+/**
+ * Cancel an attempt that is in flight.
+ *
+ * @param requestId the request
+ * @param attempt its number
+ */
+public record CancelAttempt(String requestId, int attempt) implements Action {}
--- /dev/null
+++ b/src/main/java/quotagateway/policy/action/FailRequest.java
@@ -0,0 +1,8 @@
+package quotagateway.policy.action;
+
+/**
+ * Final response: failed, with no promise about its effect.
+ *
+ * @param requestId the request
+ */
+public record FailRequest(String requestId) implements Action {}
--- /dev/null
+++ b/src/main/java/quotagateway/policy/action/ScheduleTimer.java
@@ -0,0 +1,9 @@
+package quotagateway.policy.action;
+
+/**
+ * Tell the policy when a time has come.
+ *
+ * @param atMs the time, in Unix milliseconds
+ * @param timer which timer that is
+ */
+public record ScheduleTimer(double atMs, Timer timer) implements Action {}
--- /dev/null
+++ b/src/main/java/quotagateway/policy/action/package-info.java
@@ -0,0 +1,2 @@
+/** What a policy has its gateway do. */
+package quotagateway.policy.action;
--- /dev/null
+++ b/src/main/java/quotagateway/policy/event/EndpointsUpdated.java
@@ -0,0 +1,13 @@
+package quotagateway.policy.event;
+
+import java.util.List;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointListForm;
+
+/**
+ * Discovery told of endpoints.
+ *
+ * @param form what the message stands for
+ * @param endpoints the endpoints that it names
+ */
+public record EndpointsUpdated(EndpointListForm form, List<Endpoint> endpoints) implements Event {}
--- /dev/null
+++ b/src/main/java/quotagateway/policy/event/Event.java
@@ -0,0 +1,13 @@
+package quotagateway.policy.event;
+
+/** What a gateway tells its policy. */
+public sealed interface Event
+    permits AttemptEnded,
+        ClientDisconnected,
+        CounterReplied,
+        EndpointsUpdated,
+        RequestBodyComplete,
+        RequestReceived,
+        ResponseStarted,
+        SettingsChanged,
+        TimerFired {}
--- /dev/null
+++ b/src/main/java/quotagateway/policy/event/package-info.java
@@ -0,0 +1,2 @@
+/** What a gateway tells its policy; every time is in milliseconds of one monotonic Unix clock. */
+package quotagateway.policy.event;
--- /dev/null
+++ b/src/main/java/quotagateway/policy/settings/RequestClass.java
@@ -0,0 +1,26 @@
+package quotagateway.policy.settings;
+
+/**
+ * One class of requests and its service level.
+ *
+ * @param name as clients give it
+ * @param priorityWeight what a response within the latency objective is worth, relative to others
+ * @param latePriorityWeight what a response between objective and deadline is worth
+ * @param latencyObjectiveMs time from the request's last byte within which a response has its full
+ *     worth; 0 if there is no such time
+ * @param deadlineMs the longest time that a client of this class waits
+ * @param idempotency whether a request may be executed again
+ * @param deduplicationScope which backends drop repeated executions by their key
+ * @param deduplicationWindowMs for how long after the first attempt they do
+ * @param streamed whether the first bytes of a response count, not its end
+ */
+public record RequestClass(
+    String name,
+    double priorityWeight,
+    double latePriorityWeight,
+    double latencyObjectiveMs,
+    double deadlineMs,
+    Idempotency idempotency,
+    DeduplicationScope deduplicationScope,
+    double deduplicationWindowMs,
+    boolean streamed) {}
--- /dev/null
+++ b/src/main/java/quotagateway/policy/settings/package-info.java
@@ -0,0 +1,2 @@
+/** The settings that decisions depend on: immutable, in the units that their names tell. */
+package quotagateway.policy.settings;
--- a/src/main/java/willowdoor/net/FrontDoor.java
+++ b/src/main/java/quotagateway/server/GatewayServer.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -10,13 +10,26 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Logger;
-import willowdoor.GatewayApi.RequestClass;
-import willowdoor.QuotaPolicy;
+import quotagateway.admin.AdminServer;
+import quotagateway.backend.BackendConnectionPool;
+import quotagateway.client.ClientServer;
+import quotagateway.client.RequestReader;
+import quotagateway.config.GatewayConfig;
+import quotagateway.counter.CounterClient;
+import quotagateway.discovery.DiscoveryClient;
+import quotagateway.driver.PolicyDriver;
+import quotagateway.lifecycle.Lifecycle;
+import quotagateway.policy.GatewayPolicy;
+import quotagateway.policy.settings.RequestClass;
+import quotagateway.transport.ConnectionBudget;
+import quotagateway.transport.Dialer;
+import quotagateway.transport.MonotonicClock;
+import quotagateway.transport.SocketTransport;
 
 /** One real front door: its wiring, its start and its planned end. */
-public final class FrontDoor {
+public final class GatewayServer {
 
-  private static final Logger LOG = Logger.getLogger(FrontDoor.class.getName());
+  private static final Logger LOG = Logger.getLogger(GatewayServer.class.getName());
 
   /** After SIGTERM new connections go on coming for up to 0.4 s. */
   private static final long ACCEPT_MS = (long) ClientServer.NOTICED_MS;
@@ -41,11 +54,11 @@
   private static final long BESIDE_MS = 500;
 
   private final EventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
-  final EventLoop loop = group.next();
-  private final Clock clock = new Clock();
+      new MultiThreadIoEventLoopGroup(1, SocketTransport.BEST.ioHandler());
+  public final EventLoop loop = group.next();
+  private final MonotonicClock clock = new MonotonicClock();
   private final CountDownLatch drained = new CountDownLatch(1);
-  private ModuleDriver driver;
+  private PolicyDriver driver;
 
   /** Read by the admin server too, which opens before it is there. */
   private volatile ClientServer clients;
@@ -53,17 +66,17 @@
   private CounterClient counter;
   private DiscoveryClient discovery;
   private final Lifecycle lifecycle = new Lifecycle(clock);
-  private final Handover started;
-  private final Handover serving;
+  private final UpgradeCoordinator started;
+  private final UpgradeCoordinator serving;
   private AdminServer admin;
   private Channel listening;
 
   /** The one in use. */
-  private volatile Config config;
+  private volatile GatewayConfig config;
 
-  private FrontDoor(Path shared) {
-    started = new Handover(shared, "started");
-    serving = new Handover(shared, "serving");
+  private GatewayServer(Path shared) {
+    started = new UpgradeCoordinator(shared, "started");
+    serving = new UpgradeCoordinator(shared, "serving");
   }
 
   /**
@@ -76,7 +89,7 @@
       throw new IOException("GW_CONFIG is not set");
     }
     Path path = Path.of(file);
-    Config config = Config.read(path).withMgmt(System.getenv("GW_MGMT"));
+    GatewayConfig config = GatewayConfig.read(path).withMgmt(System.getenv("GW_MGMT"));
     start(
         config,
         Path.of(System.getProperty("java.io.tmpdir")),
@@ -90,11 +103,12 @@
   }
 
   private interface Preparation {
-    void of(FrontDoor wired) throws IOException;
+    void of(GatewayServer wired) throws IOException;
   }
 
   /** Its processes share the folder. */
-  static FrontDoor start(Config config, Path shared) throws IOException, InterruptedException {
+  public static GatewayServer start(GatewayConfig config, Path shared)
+      throws IOException, InterruptedException {
     return start(config, shared, wired -> {});
   }
 
@@ -102,9 +116,9 @@
    * Starts it; what is to be ready before the first client is done between its wiring and its
    * listening.
    */
-  private static FrontDoor start(Config config, Path shared, Preparation beforeListening)
+  private static GatewayServer start(GatewayConfig config, Path shared, Preparation beforeListening)
       throws IOException, InterruptedException {
-    FrontDoor door = new FrontDoor(shared);
+    GatewayServer door = new GatewayServer(shared);
     door.config = config;
     try {
       door.started.enter();
@@ -127,7 +141,7 @@
   }
 
   /** Without its admin server a front door serves all the same. */
-  private void openAdmin(Config config) {
+  private void openAdmin(GatewayConfig config) {
     if (config.mgmt() != null) {
       try {
         admin = new AdminServer(config.mgmt(), lifecycle, this::ready);
@@ -142,39 +156,39 @@
     return wired != null && wired.ready();
   }
 
-  SocketAddress address() {
+  public SocketAddress address() {
     return listening.localAddress();
   }
 
-  ClientServer clients() {
+  public ClientServer clients() {
     return clients;
   }
 
-  Lifecycle lifecycle() {
+  public Lifecycle lifecycle() {
     return lifecycle;
   }
 
-  SocketAddress adminAddress() {
+  public SocketAddress adminAddress() {
     return admin.address();
   }
 
-  private void wire(Config config) {
-    Places places = new Places(config.limits().places());
+  private void wire(GatewayConfig config) {
+    ConnectionBudget places = new ConnectionBudget(config.limits().places());
     loop.scheduleWithFixedDelay(
         () -> places.beside(started.another() ? config.limits().placesBeside() : 0),
         0,
         BESIDE_MS,
         TimeUnit.MILLISECONDS);
-    QuotaPolicy policy = new QuotaPolicy(config.settings(), config.seed());
-    BackendPool backends =
-        new BackendPool(
+    GatewayPolicy policy = new GatewayPolicy(config.settings(), config.seed());
+    BackendConnectionPool backends =
+        new BackendConnectionPool(
             loop,
             clock,
             Dialer.sockets(loop, config.connectLimitMs()),
             config.idleLimitMs(),
             places,
             policy.listing());
-    driver = new ModuleDriver(loop, clock, policy, backends);
+    driver = new PolicyDriver(loop, clock, policy, backends);
     clients =
         new ClientServer(
             loop,
@@ -191,7 +205,7 @@
             clock,
             Dialer.sockets(loop, CounterClient.CONNECT_LIMIT_MS),
             config.counter(),
-            config.settings().allowed().countLimitMs(),
+            config.settings().capabilities().counterTimeoutMs(),
             driver::onCounted);
     counter.start();
     driver.start(counter, config.known());
@@ -214,7 +228,7 @@
    */
   synchronized void reload(Path file) {
     try {
-      Config read = Config.reread(file, config);
+      GatewayConfig read = GatewayConfig.reread(file, config);
       config = read;
       loop.execute(
           () -> {
@@ -234,14 +248,14 @@
    * Where another process serves at the same address, it gets all new connections at once, and so
    * is the one that the front asks.
    */
-  void end() {
+  public void end() {
     lifecycle.end();
     long answerMs =
         ANSWER_MS
             + (long)
                 Math.min(
                     MOST_DEADLINE_MS,
-                    config.settings().classes().stream()
+                    config.settings().requestClasses().stream()
                         .mapToDouble(RequestClass::deadlineMs)
                         .max()
                         .orElse(0));
@@ -270,7 +284,7 @@
     stop();
   }
 
-  void stop() {
+  public void stop() {
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     if (admin != null) {
       admin.close();
--- a/src/main/java/willowdoor/net/ReloadSignal.java
+++ b/src/main/java/quotagateway/server/ReloadSignal.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import java.io.IOException;
 import java.lang.reflect.InvocationTargetException;
--- a/src/main/java/willowdoor/net/Handover.java
+++ b/src/main/java/quotagateway/server/UpgradeCoordinator.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import java.io.IOException;
 import java.nio.channels.FileChannel;
@@ -12,9 +12,9 @@
  * Each holds a lock in the folder that both share: a lock ends with its holder, while what a file
  * says may be stale.
  */
-final class Handover {
+final class UpgradeCoordinator {
 
-  private static final Logger LOG = Logger.getLogger(Handover.class.getName());
+  private static final Logger LOG = Logger.getLogger(UpgradeCoordinator.class.getName());
   private static final int PROCESSES = 2;
 
   private final Path folder;
@@ -25,7 +25,7 @@
   private FileChannel held;
 
   /** The state is what the lock stands for: that a process has started, say, or that it serves. */
-  Handover(Path folder, String state) {
+  UpgradeCoordinator(Path folder, String state) {
     this.folder = folder;
     this.state = state;
   }
--- a/src/main/java/willowdoor/net/WarmUp.java
+++ b/src/main/java/quotagateway/server/WarmUp.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -13,12 +13,22 @@
 import java.util.List;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import willowdoor.GatewayApi.BackendEntry;
-import willowdoor.GatewayApi.Phase;
-import willowdoor.GatewayApi.Plan;
-import willowdoor.GatewayApi.Repeat;
-import willowdoor.GatewayApi.RequestClass;
-import willowdoor.QuotaPolicy;
+import quotagateway.backend.BackendConnectionPool;
+import quotagateway.client.ClientServer;
+import quotagateway.client.RequestReader;
+import quotagateway.config.GatewayConfig;
+import quotagateway.counter.CounterClient;
+import quotagateway.discovery.EndpointUpdate;
+import quotagateway.driver.PolicyDriver;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointState;
+import quotagateway.lifecycle.Lifecycle;
+import quotagateway.policy.GatewayPolicy;
+import quotagateway.policy.settings.Idempotency;
+import quotagateway.policy.settings.Plan;
+import quotagateway.policy.settings.RequestClass;
+import quotagateway.transport.ConnectionBudget;
+import quotagateway.transport.MonotonicClock;
 
 /**
  * Takes made-up requests through a front door of its own, without sockets, so that the code is
@@ -46,8 +56,8 @@
   /** Requests on one connection. */
   private static final int KEPT_FOR = 10;
 
-  private final Config config;
-  private final Clock clock = new Clock();
+  private final GatewayConfig config;
+  private final MonotonicClock clock = new MonotonicClock();
 
   /** Its timers never run, and nothing keeps it alive afterwards. */
   private final EventLoop loop = new EmbeddedChannel().eventLoop();
@@ -56,7 +66,7 @@
   private final List<EmbeddedChannel> counters = new ArrayList<>();
   private int served;
 
-  WarmUp(Config config) {
+  WarmUp(GatewayConfig config) {
     this.config = config;
   }
 
@@ -79,17 +89,17 @@
   }
 
   private void exchange(double until) {
-    Places places = new Places(Integer.MAX_VALUE / 2);
-    QuotaPolicy policy = new QuotaPolicy(config.settings(), 1);
-    BackendPool pool =
-        new BackendPool(
+    ConnectionBudget places = new ConnectionBudget(Integer.MAX_VALUE / 2);
+    GatewayPolicy policy = new GatewayPolicy(config.settings(), 1);
+    BackendConnectionPool pool =
+        new BackendConnectionPool(
             loop,
             clock,
             (address, handler) -> open(backends, handler),
             config.idleLimitMs(),
             places,
             policy.listing());
-    ModuleDriver driver = new ModuleDriver(loop, clock, policy, pool);
+    PolicyDriver driver = new PolicyDriver(loop, clock, policy, pool);
     ClientServer clients =
         new ClientServer(
             loop,
@@ -106,7 +116,7 @@
             clock,
             (address, handler) -> open(counters, handler),
             config.discovery(),
-            config.settings().allowed().countLimitMs(),
+            config.settings().capabilities().counterTimeoutMs(),
             driver::onCounted);
     counter.start();
     driver.start(counter, roster());
@@ -160,20 +170,20 @@
     return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
   }
 
-  private static RosterNews roster() {
-    List<BackendEntry> entries = new ArrayList<>();
+  private static EndpointUpdate roster() {
+    List<Endpoint> entries = new ArrayList<>();
     for (long id = 1; id <= BACKENDS; id++) {
-      entries.add(new BackendEntry(id, id % 2 == 0 ? "a" : "b", 0, Phase.SERVING, 1, 0, id));
+      entries.add(new Endpoint(id, id % 2 == 0 ? "a" : "b", 0, EndpointState.SERVING, 1, 0, id));
     }
-    return new RosterNews(1, true, entries);
+    return new EndpointUpdate(1, true, entries);
   }
 
   private String request(int number) {
-    List<RequestClass> classes = config.settings().classes();
+    List<RequestClass> classes = config.settings().requestClasses();
     List<Plan> plans = config.settings().plans();
     RequestClass type = classes.get(number % classes.size());
     Plan plan = plans.get(number / classes.size() % plans.size());
-    boolean safe = type.repeat() == Repeat.SAFE;
+    boolean safe = type.idempotency() == Idempotency.IDEMPOTENT;
     return (safe ? "GET /" : "POST /")
         + type.name()
         + "/1 HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: w"
--- a/src/main/java/willowdoor/BenchLink.java
+++ b/src/main/java/quotagateway/simulator/SimulatorAdapter.java
@@ -1,10 +1,10 @@
-package willowdoor;
+package quotagateway.simulator;
 
-import static willowdoor.JsonFields.child;
-import static willowdoor.JsonFields.children;
-import static willowdoor.JsonFields.flag;
-import static willowdoor.JsonFields.number;
-import static willowdoor.JsonFields.text;
+import static quotagateway.config.JsonFields.child;
+import static quotagateway.config.JsonFields.children;
+import static quotagateway.config.JsonFields.flag;
+import static quotagateway.config.JsonFields.number;
+import static quotagateway.config.JsonFields.text;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -17,35 +17,39 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import willowdoor.GatewayApi.Action;
-import willowdoor.GatewayApi.Add;
-import willowdoor.GatewayApi.BackendEntry;
-import willowdoor.GatewayApi.Cancel;
-import willowdoor.GatewayApi.ClientLeft;
-import willowdoor.GatewayApi.Counted;
-import willowdoor.GatewayApi.Event;
-import willowdoor.GatewayApi.Fail;
-import willowdoor.GatewayApi.FollowRoster;
-import willowdoor.GatewayApi.Load;
-import willowdoor.GatewayApi.Outcome;
-import willowdoor.GatewayApi.Phase;
-import willowdoor.GatewayApi.Refuse;
-import willowdoor.GatewayApi.Request;
-import willowdoor.GatewayApi.RequestClass;
-import willowdoor.GatewayApi.Roster;
-import willowdoor.GatewayApi.RosterForm;
-import willowdoor.GatewayApi.Send;
-import willowdoor.GatewayApi.Settings;
-import willowdoor.GatewayApi.Status;
-import willowdoor.GatewayApi.StreamBegan;
-import willowdoor.GatewayApi.WakeAt;
-import willowdoor.GatewayApi.Woken;
+import quotagateway.config.JsonFields;
+import quotagateway.config.SettingsParser;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointListForm;
+import quotagateway.endpoint.EndpointState;
+import quotagateway.policy.GatewayPolicy;
+import quotagateway.policy.action.Action;
+import quotagateway.policy.action.CancelAttempt;
+import quotagateway.policy.action.FailRequest;
+import quotagateway.policy.action.IncrementCounter;
+import quotagateway.policy.action.RejectRequest;
+import quotagateway.policy.action.ScheduleTimer;
+import quotagateway.policy.action.StartAttempt;
+import quotagateway.policy.action.Timer;
+import quotagateway.policy.action.WatchEndpoints;
+import quotagateway.policy.event.AttemptEnded;
+import quotagateway.policy.event.ClientDisconnected;
+import quotagateway.policy.event.CounterReplied;
+import quotagateway.policy.event.EndpointsUpdated;
+import quotagateway.policy.event.Event;
+import quotagateway.policy.event.LoadReport;
+import quotagateway.policy.event.RequestReceived;
+import quotagateway.policy.event.ResponseStarted;
+import quotagateway.policy.event.Status;
+import quotagateway.policy.event.TimerFired;
+import quotagateway.policy.settings.PolicySettings;
+import quotagateway.policy.settings.RequestClass;
 
 /**
  * Turns the bench's wire into events of {@link GatewayApi} and the actions back into the wire; no
  * more.
  */
-final class BenchLink {
+public final class SimulatorAdapter {
 
   private static final Map<String, Status> STATUSES =
       Map.of(
@@ -58,7 +62,7 @@
           "DEADLINE_EXCEEDED",
           Status.TIMED_OUT,
           "UNAVAILABLE",
-          Status.UNREACHABLE,
+          Status.CONNECT_FAILED,
           "ABORTED",
           Status.RESET,
           "CANCELLED",
@@ -66,21 +70,28 @@
           "TOO_LATE",
           Status.NOT_SENT);
 
+  /** How the simulator's messages name the timers. */
+  private static final Map<Timer, String> TIMER_LABELS =
+      Map.of(
+          Timer.REQUEST_CHECK, "tick",
+          Timer.ENDPOINT_SWEEP, "sweep",
+          Timer.ENDPOINT_WATCH, "follow");
+
   private final JsonParser in;
   private final JsonGenerator out;
   private final Map<Integer, Door> doors = new HashMap<>();
-  private final Map<Integer, List<BackendEntry>> lists = new HashMap<>();
+  private final Map<Integer, List<Endpoint>> lists = new HashMap<>();
 
-  private record Door(QuotaPolicy policy, Settings settings) {
+  private record Door(GatewayPolicy policy, PolicySettings settings) {
     RequestClass type(String name) {
-      return settings.classes().stream()
+      return settings.requestClasses().stream()
           .filter(c -> c.name().equals(name))
           .findFirst()
           .orElse(null);
     }
   }
 
-  BenchLink(InputStream input, OutputStream output) throws IOException {
+  public SimulatorAdapter(InputStream input, OutputStream output) throws IOException {
     JsonFactory factory = new JsonFactory();
     in = factory.createParser(input);
     out = factory.createGenerator(new BufferedOutputStream(output, 1 << 16));
@@ -89,7 +100,7 @@
   }
 
   /** Answers batches until the input ends. */
-  void run() throws IOException {
+  public void run() throws IOException {
     double now = 0;
     long number = 0;
     boolean faulty = false;
@@ -133,8 +144,8 @@
   private List<Action> actions(int door, String name, Map<String, Object> message, double now) {
     if (name.equals("Attach")) {
       long seed = (long) number(message, "RandomSeed");
-      Settings settings = WireSettings.read(child(message, "Setup"));
-      QuotaPolicy policy = new QuotaPolicy(settings, seed);
+      PolicySettings settings = SettingsParser.read(child(message, "Setup"));
+      GatewayPolicy policy = new GatewayPolicy(settings, seed);
       doors.put(door, new Door(policy, settings));
       return policy.start(now);
     }
@@ -150,16 +161,16 @@
   private Event event(String name, Map<String, Object> m, Door at) {
     return switch (name) {
       case "Discovery" ->
-          new Roster(
+          new EndpointsUpdated(
               switch (text(m, "Form")) {
-                case "changes" -> RosterForm.CHANGES;
-                case "all" -> RosterForm.COMPLETE;
-                case "remembered" -> RosterForm.REMEMBERED;
-                default -> RosterForm.FAILED;
+                case "changes" -> EndpointListForm.DELTA;
+                case "all" -> EndpointListForm.SNAPSHOT;
+                case "remembered" -> EndpointListForm.CACHED_SNAPSHOT;
+                default -> EndpointListForm.FAILED;
               },
               lists.getOrDefault((int) number(m, "Bank"), List.of()));
       case "Req" ->
-          new Request(
+          new RequestReceived(
               text(m, "Tid"),
               at.type(text(m, "Kind")),
               text(m, "Package"),
@@ -167,9 +178,9 @@
               (int) number(m, "EntryPoints"),
               number(m, "CostUnits"),
               number(m, "GiveUpAtMs"));
-      case "Accepted" -> new StreamBegan(text(m, "Tid"), (int) number(m, "SendNo"));
+      case "Accepted" -> new ResponseStarted(text(m, "Tid"), (int) number(m, "SendNo"));
       case "Result" ->
-          new Outcome(
+          new AttemptEnded(
               text(m, "Tid"),
               (int) number(m, "SendNo"),
               (long) number(m, "Backend"),
@@ -178,39 +189,49 @@
               flag(m, "Last"),
               number(m, "FinalUnits"),
               load(child(m, "Load")));
-      case "Gone" -> new ClientLeft(text(m, "Tid"));
+      case "Gone" -> new ClientDisconnected(text(m, "Tid"));
       case "Reckoned" ->
-          new Counted(
+          new CounterReplied(
               text(m, "Book"),
               STATUSES.getOrDefault(text(m, "StateCode"), Status.ERROR),
               number(m, "Value"),
               number(m, "LatencyMs"));
-      case "Elapsed" -> new Woken(text(m, "Label"));
+      case "Elapsed" -> timerFired(text(m, "Label"));
       default -> null;
     };
   }
 
-  private static Load load(Map<String, Object> values) {
+  /** Null for a label that is none of this gateway's. */
+  private static TimerFired timerFired(String label) {
+    for (Map.Entry<Timer, String> named : TIMER_LABELS.entrySet()) {
+      if (named.getValue().equals(label)) {
+        return new TimerFired(named.getKey());
+      }
+    }
+    return null;
+  }
+
+  private static LoadReport load(Map<String, Object> values) {
     if (values.isEmpty()) {
       return null;
     }
-    return new Load(
+    return new LoadReport(
         number(values, "concurrent", Double.NaN) + number(values, "depth", 0),
         number(values, "mean_ms", Double.NaN));
   }
 
-  private static List<BackendEntry> entries(Map<String, Object> message) {
-    List<BackendEntry> entries = new ArrayList<>();
+  private static List<Endpoint> entries(Map<String, Object> message) {
+    List<Endpoint> entries = new ArrayList<>();
     for (Map<String, Object> e : children(message, "Items")) {
       entries.add(
-          new BackendEntry(
+          new Endpoint(
               (long) number(e, "Backend"),
               text(e, "RegionPart"),
               (int) number(e, "Stripe"),
               switch (text(e, "Lifecycle")) {
-                case "DRAINING" -> Phase.DRAINING;
-                case "DELETED" -> Phase.REMOVED;
-                default -> Phase.SERVING;
+                case "DRAINING" -> EndpointState.DRAINING;
+                case "DELETED" -> EndpointState.REMOVED;
+                default -> EndpointState.SERVING;
               },
               number(e, "CapacityHint", 1),
               number(e, "LaunchedMs")));
@@ -219,34 +240,34 @@
   }
 
   private void write(int door, Action action) throws IOException {
-    if (action instanceof Send a) {
+    if (action instanceof StartAttempt a) {
       begin("Relay", door);
-      out.writeStringField("Tid", a.request());
-      out.writeNumberField("Backend", a.backend());
+      out.writeStringField("Tid", a.requestId());
+      out.writeNumberField("Backend", a.endpointId());
       out.writeNumberField("TimeoutMs", a.timeoutMs());
-    } else if (action instanceof Refuse a) {
+    } else if (action instanceof RejectRequest a) {
       begin("Deny", door);
-      out.writeStringField("Tid", a.request());
-      if (a.holdOffMs() > 0) {
-        out.writeNumberField("HoldOffMs", a.holdOffMs());
+      out.writeStringField("Tid", a.requestId());
+      if (a.retryAfterMs() > 0) {
+        out.writeNumberField("HoldOffMs", a.retryAfterMs());
       }
-    } else if (action instanceof Fail a) {
+    } else if (action instanceof FailRequest a) {
       begin("Lose", door);
-      out.writeStringField("Tid", a.request());
-    } else if (action instanceof Cancel a) {
+      out.writeStringField("Tid", a.requestId());
+    } else if (action instanceof CancelAttempt a) {
       begin("UndoSend", door);
-      out.writeStringField("Tid", a.request());
+      out.writeStringField("Tid", a.requestId());
       out.writeNumberField("SendNo", a.attempt());
-    } else if (action instanceof Add a) {
+    } else if (action instanceof IncrementCounter a) {
       begin("PostAmount", door);
-      out.writeStringField("Book", a.name());
+      out.writeStringField("Book", a.counterName());
       out.writeNumberField("Qty", a.amount());
       out.writeNumberField("TtlMs", a.ttlMs());
-    } else if (action instanceof WakeAt a) {
+    } else if (action instanceof ScheduleTimer a) {
       begin("After", door);
       out.writeNumberField("InstantMs", a.atMs());
-      out.writeStringField("Label", a.label());
-    } else if (action instanceof FollowRoster) {
+      out.writeStringField("Label", TIMER_LABELS.get(a.timer()));
+    } else if (action instanceof WatchEndpoints) {
       begin("Track", door);
       out.writeBooleanField("Active", true);
     }
--- a/src/main/java/willowdoor/net/Place.java
+++ b/src/main/java/quotagateway/transport/BackendAddress.java
@@ -1,27 +1,25 @@
-package willowdoor.net;
+package quotagateway.transport;
 
 import java.net.Inet4Address;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
-import willowdoor.GatewayApi.BackendEntry;
+import quotagateway.endpoint.Endpoint;
 
 /**
  * A backend's address and port as one number, of which many can be kept: IPv4, as the sockets here.
  */
-final class Place {
+public final class BackendAddress {
 
   private static final int PORT_BITS = 16;
   private static final int PORT_MASK = (1 << PORT_BITS) - 1;
 
-  private Place() {}
+  private BackendAddress() {}
 
-  /**
-   * The number of an address and port; {@link BackendEntry#NOWHERE} for any other, and for none.
-   */
-  static long of(InetSocketAddress address) {
+  /** The number of an address and port; {@link Endpoint#NOWHERE} for any other, and for none. */
+  public static long of(InetSocketAddress address) {
     if (address == null || !(address.getAddress() instanceof Inet4Address ip)) {
-      return BackendEntry.NOWHERE;
+      return Endpoint.NO_ADDRESS;
     }
     long number = 0;
     for (byte b : ip.getAddress()) {
@@ -30,7 +28,7 @@
     return number << PORT_BITS | address.getPort();
   }
 
-  static InetSocketAddress address(long place) {
+  public static InetSocketAddress address(long place) {
     long number = place >>> PORT_BITS;
     byte[] ip = {
       (byte) (number >>> 24), (byte) (number >>> 16), (byte) (number >>> 8), (byte) number
--- a/src/main/java/willowdoor/net/Places.java
+++ b/src/main/java/quotagateway/transport/ConnectionBudget.java
@@ -1,10 +1,10 @@
-package willowdoor.net;
+package quotagateway.transport;
 
 /**
  * The connections of clients and to backends, which share what descriptors there are: a crowd of
  * clients may take what the backends do not need, and gives it back as they need more.
  */
-final class Places {
+public final class ConnectionBudget {
 
   /** Kept free for backends in any case, and beyond what they have. */
   private static final double LEAST_FOR_BACKENDS = 0.25;
@@ -19,34 +19,34 @@
   private int clients;
   private int backends;
 
-  Places(int all) {
+  public ConnectionBudget(int all) {
     this.alone = all;
     this.all = all;
   }
 
   /** So many there are while another process has its part of the descriptors; 0: there is none. */
-  void beside(int places) {
+  public void beside(int places) {
     all = places > 0 ? Math.min(alone, places) : alone;
   }
 
-  void client(int change) {
+  public void client(int change) {
     clients += change;
   }
 
-  void backend(int change) {
+  public void backend(int change) {
     backends += change;
   }
 
-  int clients() {
+  public int clients() {
     return clients;
   }
 
   /** How many clients there may be by now. */
-  int mostClients() {
+  public int mostClients() {
     return all - (int) (Math.max(all * LEAST_FOR_BACKENDS, backends + all * AHEAD_FOR_BACKENDS));
   }
 
-  boolean roomForBackend() {
+  public boolean roomForBackend() {
     return backends < all * MOST_FOR_BACKENDS && clients + backends < all;
   }
 }
--- a/src/main/java/willowdoor/net/Dialer.java
+++ b/src/main/java/quotagateway/transport/Dialer.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.transport;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
@@ -9,14 +9,14 @@
 import java.net.InetSocketAddress;
 
 /** Opens connections to backends, to the counter and to discovery. */
-interface Dialer {
+public interface Dialer {
 
   /** Connects; the handler sets the new channel up. */
   ChannelFuture dial(InetSocketAddress address, ChannelHandler handler);
 
   /** Real ones, driven by the loop, that come up within the limit or not at all. */
   static Dialer sockets(EventLoop loop, double limitMs) {
-    return sockets(loop, limitMs, Transport.smallReads());
+    return sockets(loop, limitMs, SocketTransport.smallReads());
   }
 
   /** The same, which read as the allocator says. */
@@ -24,10 +24,10 @@
     Bootstrap bootstrap =
         new Bootstrap()
             .group(loop)
-            .channel(Transport.BEST.socket())
+            .channel(SocketTransport.BEST.socket())
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, Transport.FEW_WAITING)
-            .option(ChannelOption.SO_SNDBUF, Transport.FEW_SENT)
+            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, SocketTransport.FEW_WAITING)
+            .option(ChannelOption.SO_SNDBUF, SocketTransport.FEW_SENT)
             .option(ChannelOption.RECVBUF_ALLOCATOR, reads)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(limitMs));
     return (address, handler) -> bootstrap.clone().handler(handler).connect(address);
--- a/src/main/java/willowdoor/net/Clock.java
+++ b/src/main/java/quotagateway/transport/MonotonicClock.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.transport;
 
 import java.time.Instant;
 import java.util.function.LongSupplier;
@@ -8,24 +8,24 @@
  * since. The names of the shared counts' windows come from it, so a step of the system's time must
  * not reach them.
  */
-final class Clock {
+public final class MonotonicClock {
 
   private final LongSupplier nanos;
   private final double startMs;
   private final long startNanos;
 
-  Clock() {
+  public MonotonicClock() {
     this(System::nanoTime);
   }
 
-  Clock(LongSupplier nanos) {
+  public MonotonicClock(LongSupplier nanos) {
     this.nanos = nanos;
     Instant start = Instant.now();
     startNanos = nanos.getAsLong();
     startMs = start.getEpochSecond() * 1e3 + start.getNano() / 1e6;
   }
 
-  double now() {
+  public double now() {
     return startMs + (nanos.getAsLong() - startNanos) / 1e6;
   }
 }
--- a/src/main/java/willowdoor/net/Sweep.java
+++ b/src/main/java/quotagateway/transport/PeriodicTask.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.transport;
 
 import io.netty.channel.EventLoop;
 import java.util.Collection;
@@ -13,19 +13,19 @@
  * on the others nor the rounds to come; a task that throws is never run again by its loop, and
  * nothing tells so.
  */
-final class Sweep {
+public final class PeriodicTask {
 
-  private static final Logger LOG = Logger.getLogger(Sweep.class.getName());
+  private static final Logger LOG = Logger.getLogger(PeriodicTask.class.getName());
 
-  private Sweep() {}
+  private PeriodicTask() {}
 
   /** Has the loop run a round again and again, so long after the one before. */
-  static void every(EventLoop loop, long pauseMs, Runnable round) {
+  public static void every(EventLoop loop, long pauseMs, Runnable round) {
     loop.scheduleWithFixedDelay(() -> guarded(round), pauseMs, pauseMs, TimeUnit.MILLISECONDS);
   }
 
   /** Works on all that are there by now; the collection may change meanwhile. */
-  static <T> void each(Collection<T> all, Consumer<? super T> work) {
+  public static <T> void each(Collection<T> all, Consumer<? super T> work) {
     List.copyOf(all).forEach(one -> guarded(() -> work.accept(one)));
   }
 
--- a/src/main/java/willowdoor/net/Transport.java
+++ b/src/main/java/quotagateway/transport/SocketTransport.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.transport;
 
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.Channel;
@@ -27,39 +27,40 @@
  * The sockets that the event loop drives: native epoll, which took a quarter less CPU on a calm
  * day, or NIO where its library cannot be loaded.
  */
-record Transport(
+public record SocketTransport(
     IoHandlerFactory ioHandler,
     Class<? extends SocketChannel> socket,
     Class<? extends ServerSocketChannel> serverSocket,
     ChannelOption<Boolean> reusePort) {
 
-  static final Transport BEST =
+  public static final SocketTransport BEST =
       Epoll.isAvailable()
-          ? new Transport(
+          ? new SocketTransport(
               StaleEventFilter.newFactory(),
               EpollSocketChannel.class,
               EpollServerSocketChannel.class,
               EpollChannelOption.SO_REUSEPORT)
-          : new Transport(
+          : new SocketTransport(
               NioIoHandler.newFactory(),
               NioSocketChannel.class,
               NioServerSocketChannel.class,
               NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT));
 
   /** What one side of a large body or answer may have waiting before the other stops reading. */
-  static final WriteBufferWaterMark FEW_WAITING = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
+  public static final WriteBufferWaterMark FEW_WAITING =
+      new WriteBufferWaterMark(16 * 1024, 32 * 1024);
 
   /**
    * What the kernel may hold of it for a peer that reads slowly. It tells of room only when a third
    * has gone, and lets the buffer grow to megabytes by itself: at 64 kB a second a peer that reads
    * all the time would look stuck for a quarter of a minute.
    */
-  static final int FEW_SENT = 128 * 1024;
+  public static final int FEW_SENT = 128 * 1024;
 
   /** TCP_CLOSE, TCP_CLOSE_WAIT, TCP_LAST_ACK and TCP_CLOSING, as Linux numbers the states. */
   private static final Set<Integer> ENDED_STATES = Set.of(7, 8, 9, 11);
 
-  private static final Logger LOG = Logger.getLogger(Transport.class.getName());
+  private static final Logger LOG = Logger.getLogger(SocketTransport.class.getName());
 
   /** Bytes of the longest address, as Netty encodes it, and of its length. */
   private static final int MOST_ADDRESS = 26;
@@ -69,7 +70,7 @@
    * where it does not tell. A loop that is short of CPU reads late, and only the kernel knows how
    * late.
    */
-  static double waitedMs(Channel channel) {
+  public static double waitedMs(Channel channel) {
     try {
       return channel instanceof EpollSocketChannel socket ? socket.tcpInfo().lastDataRecv() : 0;
     } catch (ChannelException e) {
@@ -82,7 +83,7 @@
    * may not have heard of that yet: the option would fail, or go to the socket that has its number
    * by now.
    */
-  static void reset(Channel channel) {
+  public static void reset(Channel channel) {
     if (channel.isOpen()) {
       try {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
@@ -97,7 +98,7 @@
    * Whether the kernel has seen the other side end the connection or its sending, though it may not
    * have been read here yet; false where the kernel does not tell.
    */
-  static boolean endedByPeer(Channel channel) {
+  public static boolean endedByPeer(Channel channel) {
     try {
       return channel instanceof EpollSocketChannel socket
           && ENDED_STATES.contains(socket.tcpInfo().state());
@@ -110,7 +111,7 @@
    * Reads of up to 32 KiB, so that what waits to be written keeps no larger buffers from being
    * freed.
    */
-  static RecvByteBufAllocator smallReads() {
+  public static RecvByteBufAllocator smallReads() {
     return new AdaptiveRecvByteBufAllocator(1_024, 2_048, 32 * 1_024);
   }
 
@@ -119,7 +120,7 @@
    * listening socket leaves behind when it closes. Harm: none; what comes between the last of them
    * and the close is lost all the same.
    */
-  static void acceptWaiting(Channel listening) {
+  public static void acceptWaiting(Channel listening) {
     if (listening instanceof EpollServerSocketChannel server) {
       Socket socket = new Socket(server.fd().intValue());
       byte[] address = new byte[MOST_ADDRESS];
--- a/src/main/java/willowdoor/net/StaleEventFilter.java
+++ b/src/main/java/quotagateway/transport/StaleEventFilter.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.transport;
 
 import io.netty.channel.IoEvent;
 import io.netty.channel.IoHandle;
--- a/src/test/java/willowdoor/net/BackendPoolTest.java
+++ b/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.backend;
 
 import static java.nio.charset.StandardCharsets.US_ASCII;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -35,22 +35,28 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowdoor.GatewayApi.BackendEntry;
-import willowdoor.GatewayApi.Phase;
-import willowdoor.GatewayApi.Status;
+import quotagateway.discovery.EndpointUpdate;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointState;
+import quotagateway.policy.event.Status;
+import quotagateway.testing.Peers;
+import quotagateway.transport.ConnectionBudget;
+import quotagateway.transport.Dialer;
+import quotagateway.transport.MonotonicClock;
+import quotagateway.transport.SocketTransport;
 
 /**
  * How attempts end that never got a connection: only some of the endings tell of a restarted
  * backend.
  */
 @Timeout(30)
-class BackendPoolTest {
+class BackendConnectionPoolTest {
 
   private static final int FEW_BYTES = 4 * 1024;
   private static final double FOREVER = Double.POSITIVE_INFINITY;
 
   private final EventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
+      new MultiThreadIoEventLoopGroup(1, SocketTransport.BEST.ioHandler());
   private final EventLoop loop = group.next();
   private final BlockingQueue<Status> ends = new LinkedBlockingQueue<>();
 
@@ -59,21 +65,22 @@
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
   }
 
-  private BackendPool pool(int places, int port) {
-    BackendPool pool =
-        new BackendPool(
+  private BackendConnectionPool pool(int places, int port) {
+    BackendConnectionPool pool =
+        new BackendConnectionPool(
             loop,
-            new Clock(),
+            new MonotonicClock(),
             Dialer.sockets(loop, 5_000),
             10_000,
-            new Places(places),
-            new Listed(port));
+            new ConnectionBudget(places),
+            new SingleEndpoint(port));
     pool.onRoster(news());
     return pool;
   }
 
-  private static RosterNews news() {
-    return new RosterNews(1, true, List.of(new BackendEntry(1, "a", 0, Phase.SERVING, 1, 0)));
+  private static EndpointUpdate news() {
+    return new EndpointUpdate(
+        1, true, List.of(new Endpoint(1, "a", 0, EndpointState.SERVING, 1, 0)));
   }
 
   private Attempt attempt(double timeoutMs) {
@@ -83,14 +90,14 @@
   private Attempt attempt(HttpMethod method, double timeoutMs) {
     return attempt(
         new DefaultHttpRequest(HttpVersion.HTTP_1_1, method, "/quote/1"),
-        Body.of(Unpooled.EMPTY_BUFFER),
+        RequestBody.of(Unpooled.EMPTY_BUFFER),
         timeoutMs);
   }
 
-  private Attempt attempt(DefaultHttpRequest head, Body body, double timeoutMs) {
+  private Attempt attempt(DefaultHttpRequest head, RequestBody body, double timeoutMs) {
     return new Attempt(head, body, timeoutMs) {
       @Override
-      void onEnd(Status status, FullHttpResponse answer) {
+      public void onEnd(Status status, FullHttpResponse answer) {
         ends.add(status);
       }
     };
@@ -113,7 +120,7 @@
                     });
               })
           .sync();
-      assertEquals(Status.BROKEN, Peers.next(ends));
+      assertEquals(Status.WRITE_INCOMPLETE, Peers.next(ends));
     }
   }
 
@@ -121,7 +128,7 @@
   void aRefusedConnectionIsUnreachable() throws Exception {
     int port = freePort();
     loop.submit(() -> pool(100, port).start(1, attempt(5_000), FOREVER)).sync();
-    assertEquals(Status.UNREACHABLE, Peers.next(ends));
+    assertEquals(Status.CONNECT_FAILED, Peers.next(ends));
   }
 
   /**
@@ -132,18 +139,18 @@
   private final EmbeddedChannel dialled = new EmbeddedChannel();
   private final ChannelPromise connected = dialled.newPromise();
 
-  private BackendPool slowPool() {
-    BackendPool pool =
-        new BackendPool(
+  private BackendConnectionPool slowPool() {
+    BackendConnectionPool pool =
+        new BackendConnectionPool(
             new EmbeddedChannel().eventLoop(),
-            new Clock(nanos::get),
+            new MonotonicClock(nanos::get),
             (address, handler) -> {
               dialled.pipeline().addLast(handler);
               return connected;
             },
             10_000,
-            new Places(100),
-            new Listed(1));
+            new ConnectionBudget(100),
+            new SingleEndpoint(1));
     pool.onRoster(news());
     return pool;
   }
@@ -186,14 +193,14 @@
       server.setSoTimeout(10_000);
       loop.submit(
               () -> {
-                BackendPool pool =
-                    new BackendPool(
+                BackendConnectionPool pool =
+                    new BackendConnectionPool(
                         loop,
-                        new Clock(nanos::get),
+                        new MonotonicClock(nanos::get),
                         Dialer.sockets(loop, 5_000),
                         10_000,
-                        new Places(100),
-                        new Listed(server.getLocalPort()));
+                        new ConnectionBudget(100),
+                        new SingleEndpoint(server.getLocalPort()));
                 pool.onRoster(news());
                 pool.start(1, attempt(60_000), 20_000);
                 nanos.addAndGet(TimeUnit.SECONDS.toNanos(21));
@@ -218,29 +225,31 @@
       Bootstrap bootstrap =
           new Bootstrap()
               .group(loop)
-              .channel(Transport.BEST.socket())
+              .channel(SocketTransport.BEST.socket())
               .option(ChannelOption.SO_SNDBUF, FEW_BYTES);
       Dialer fewBytes = (address, handler) -> bootstrap.clone().handler(handler).connect(address);
       loop.submit(
               () -> {
-                BackendPool pool =
-                    new BackendPool(
+                BackendConnectionPool pool =
+                    new BackendConnectionPool(
                         loop,
-                        new Clock(),
+                        new MonotonicClock(),
                         fewBytes,
                         10_000,
-                        new Places(100),
-                        new Listed(server.getLocalPort()));
+                        new ConnectionBudget(100),
+                        new SingleEndpoint(server.getLocalPort()));
                 pool.onRoster(news());
                 DefaultHttpRequest head =
                     new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/buy/1");
                 head.headers().set("Content-Length", size);
                 pool.start(
-                    1, attempt(head, Body.of(Unpooled.wrappedBuffer(new byte[size])), 20_000), 200);
+                    1,
+                    attempt(head, RequestBody.of(Unpooled.wrappedBuffer(new byte[size])), 20_000),
+                    200);
               })
           .sync();
       try (Socket taken = server.accept()) {
-        assertEquals(Status.BROKEN, Peers.next(ends));
+        assertEquals(Status.WRITE_INCOMPLETE, Peers.next(ends));
         taken.setSoTimeout(10_000);
         int came = taken.getInputStream().readAllBytes().length;
         assertTrue(came < size, came + " bytes of " + size + " came");
@@ -258,10 +267,10 @@
     Attempt attempt =
         new Attempt(
             new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/quote/1"),
-            Body.of(Unpooled.EMPTY_BUFFER),
+            RequestBody.of(Unpooled.EMPTY_BUFFER),
             1_000) {
           @Override
-          void onEnd(Status status, FullHttpResponse answer) {
+          public void onEnd(Status status, FullHttpResponse answer) {
             openAtEnd.add(dialled.isOpen());
             ends.add(status);
           }
@@ -311,17 +320,17 @@
   @Test
   void anAttemptForWhichNoSocketIsToBeHadGivesItsPlaceBack() {
     List<InetSocketAddress> dialledAddresses = new ArrayList<>();
-    BackendPool pool =
-        new BackendPool(
+    BackendConnectionPool pool =
+        new BackendConnectionPool(
             new EmbeddedChannel().eventLoop(),
-            new Clock(),
+            new MonotonicClock(),
             (address, handler) -> {
               dialledAddresses.add(address);
               return dialled.newFailedFuture(new ChannelException("too many open files"));
             },
             10_000,
-            new Places(1),
-            new Listed(1));
+            new ConnectionBudget(1),
+            new SingleEndpoint(1));
     pool.onRoster(news());
     pool.start(1, attempt(5_000), FOREVER);
     pool.start(1, attempt(5_000), FOREVER);
@@ -337,7 +346,8 @@
   void whatMustNotRunTwiceGoesOnANewConnectionWhereKeptOnesDied() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       server.setSoTimeout(10_000);
-      BackendPool pool = loop.submit(() -> pool(100, server.getLocalPort())).sync().getNow();
+      BackendConnectionPool pool =
+          loop.submit(() -> pool(100, server.getLocalPort())).sync().getNow();
       loop.submit(() -> pool.start(1, attempt(5_000), FOREVER));
       Socket first = server.accept();
       answer(first);
@@ -347,7 +357,7 @@
       read(first);
       first.setSoLinger(true, 0);
       first.close();
-      assertEquals(Status.SPOILT, Peers.next(ends));
+      assertEquals(Status.MALFORMED_RESPONSE, Peers.next(ends));
       quiet = System.nanoTime() - quiet;
       loop.submit(() -> pool.start(1, attempt(5_000), FOREVER));
       Socket second = server.accept();
--- a/src/test/java/willowdoor/net/IdleTrustTest.java
+++ b/src/test/java/quotagateway/backend/IdleConnectionReuseTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.backend;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /** How long an idle connection is trusted. */
-class IdleTrustTest {
+class IdleConnectionReuseTest {
 
-  private final IdleTrust trust = new IdleTrust();
+  private final IdleConnectionReuse trust = new IdleConnectionReuse();
 
   @Test
   void trustsAnyWhileNoneWasFoundDead() {
--- /dev/null
+++ b/src/test/java/quotagateway/backend/SingleEndpoint.java
@@ -0,0 +1,31 @@
+package quotagateway.backend;
+
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.ServingEndpoints;
+import quotagateway.transport.BackendAddress;
+
+/** A listing of one backend, number 1. */
+record SingleEndpoint(long place, double startedMs) implements ServingEndpoints {
+
+  /** At a port of this machine. */
+  SingleEndpoint(int port) {
+    this(BackendAddress.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)), 0);
+  }
+
+  @Override
+  public long address(long id) {
+    return id == 1 ? place : Endpoint.NO_ADDRESS;
+  }
+
+  @Override
+  public double startedMs(long id) {
+    return startedMs;
+  }
+
+  @Override
+  public boolean anyServing() {
+    return true;
+  }
+}
--- a/src/test/java/willowdoor/net/CounterClientTest.java
+++ b/src/test/java/quotagateway/counter/CounterClientTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.counter;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -13,8 +13,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowdoor.GatewayApi.Counted;
-import willowdoor.GatewayApi.Status;
+import quotagateway.policy.event.CounterReplied;
+import quotagateway.policy.event.Status;
+import quotagateway.testing.Peers;
+import quotagateway.transport.Dialer;
+import quotagateway.transport.MonotonicClock;
+import quotagateway.transport.SocketTransport;
 
 /** The counter's client against a scripted counter. */
 @Timeout(30)
@@ -22,8 +26,8 @@
 
   private final Peers peers = new Peers();
   private final EventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
-  private final BlockingQueue<Counted> ends = new LinkedBlockingQueue<>();
+      new MultiThreadIoEventLoopGroup(1, SocketTransport.BEST.ioHandler());
+  private final BlockingQueue<CounterReplied> ends = new LinkedBlockingQueue<>();
   private CounterClient client;
 
   @AfterEach
@@ -37,7 +41,7 @@
     client =
         new CounterClient(
             group.next(),
-            new Clock(),
+            new MonotonicClock(),
             Dialer.sockets(group.next(), 250),
             new InetSocketAddress("127.0.0.1", peers.counter.getLocalPort()),
             limitMs,
@@ -45,7 +49,7 @@
     group.next().submit(client::start).sync();
     do {
       add("up", 0);
-    } while (Peers.next(ends).status() == Status.UNREACHABLE);
+    } while (Peers.next(ends).status() == Status.CONNECT_FAILED);
     peers.atCounter.clear();
   }
 
@@ -58,7 +62,7 @@
     start(5_000);
     add("a", 2);
     assertEquals("incr a 2 4000", Peers.next(peers.atCounter));
-    assertEquals(new Counted("a", Status.OK, 2, 0).total(), Peers.next(ends).total());
+    assertEquals(new CounterReplied("a", Status.OK, 2, 0).total(), Peers.next(ends).total());
     add("a", -0.0000125);
     assertEquals("incr a -0.000013 4000", Peers.next(peers.atCounter));
     Peers.next(ends);
@@ -81,9 +85,9 @@
     start(5_000);
     add("slow", 1);
     add("fast", 1);
-    assertEquals("fast", Peers.next(ends).name());
+    assertEquals("fast", Peers.next(ends).counterName());
     go.countDown();
-    assertEquals("slow", Peers.next(ends).name());
+    assertEquals("slow", Peers.next(ends).counterName());
   }
 
   /** The late answer to a call that was given up is not taken for that of the call behind it. */
@@ -106,7 +110,7 @@
     }
     add("x", 1);
     go.countDown();
-    Counted next = Peers.next(ends);
+    CounterReplied next = Peers.next(ends);
     assertEquals(Status.OK, next.status());
     assertEquals(1, next.total());
   }
@@ -116,7 +120,7 @@
     start(5_000);
     peers.counting = line -> "what?";
     add("a", 1);
-    assertEquals(Status.SPOILT, Peers.next(ends).status());
+    assertEquals(Status.MALFORMED_RESPONSE, Peers.next(ends).status());
     peers.counting = peers::count;
     add("b", 1);
     assertEquals(Status.OK, Peers.next(ends).status());
@@ -197,7 +201,7 @@
       add("a", 1);
       status = Peers.next(ends).status();
     } while (status == Status.OK);
-    assertEquals(Status.SPOILT, status);
+    assertEquals(Status.MALFORMED_RESPONSE, status);
     peers.counting = line -> "total?";
     group
         .next()
@@ -209,7 +213,7 @@
       add("b", 1);
       status = Peers.next(ends).status();
     }
-    assertEquals(Status.SPOILT, status);
+    assertEquals(Status.MALFORMED_RESPONSE, status);
     peers.counting = peers::count;
     do {
       add("c", 1);
