--- a/src/test/java/willowdoor/net/DiscoveryFailuresTest.java
+++ b/src/test/java/quotagateway/discovery/DiscoveryFailureTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertAll;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -28,6 +28,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import quotagateway.testing.Peers;
+import quotagateway.transport.Dialer;
+import quotagateway.transport.MonotonicClock;
+import quotagateway.transport.SocketTransport;
 
 /**
  * A change counts as told 6 s after discovery had it and could be reached, whatever becomes of
@@ -35,7 +39,7 @@
  * many of each kind as the sum of their longest times leaves room for.
  */
 @Timeout(40)
-class DiscoveryFailuresTest {
+class DiscoveryFailureTest {
 
   private static final long TOLD_MS = 6_000;
   private static final long SILENT_MS = 2_500;
@@ -68,7 +72,7 @@
 
   private final Peers peers = new Peers();
   private final EventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
+      new MultiThreadIoEventLoopGroup(1, SocketTransport.BEST.ioHandler());
   private final EventLoop loop = group.next();
   private final List<SocketChannel> filling = new ArrayList<>();
   private ServerSocket full;
@@ -161,7 +165,7 @@
         () ->
             new DiscoveryClient(
                     loop,
-                    new Clock(),
+                    new MonotonicClock(),
                     dialer,
                     agent,
                     7,
--- a/src/test/java/willowdoor/net/RosterReaderTest.java
+++ b/src/test/java/quotagateway/discovery/EndpointListReaderTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.discovery;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -15,12 +15,13 @@
 import java.util.Queue;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import willowdoor.GatewayApi.BackendEntry;
-import willowdoor.GatewayApi.Phase;
-import willowdoor.GatewayApi.RosterForm;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointListForm;
+import quotagateway.endpoint.EndpointState;
+import quotagateway.transport.BackendAddress;
 
 /** The messages of a watch, in bytes that come in pieces of any length. */
-class RosterReaderTest {
+class EndpointListReaderTest {
 
   private static final String FIRST =
       """
@@ -37,8 +38,8 @@
        "full":false,"version":43}
       """;
 
-  private final List<RosterNews> heard = new ArrayList<>();
-  private final RosterReader reader = new RosterReader(5, heard::add);
+  private final List<EndpointUpdate> heard = new ArrayList<>();
+  private final EndpointListReader reader = new EndpointListReader(5, heard::add);
 
   private void read(String text, int pieces) throws IOException {
     byte[] bytes = text.getBytes(UTF_8);
@@ -47,7 +48,7 @@
     }
   }
 
-  private List<BackendEntry> entries() {
+  private List<Endpoint> entries() {
     return heard.stream().flatMap(news -> news.entries().stream()).toList();
   }
 
@@ -55,23 +56,27 @@
   void readsTheSameWhereverTheBytesAreCut() throws IOException {
     read(FIRST + "\n\n" + SECOND, Integer.MAX_VALUE);
     assertEquals(2, heard.size());
-    List<BackendEntry> whole = entries();
+    List<Endpoint> whole = entries();
     assertEquals(4, whole.size());
-    long place = Place.of(new InetSocketAddress("10.1.0.18", 7070));
+    long place = BackendAddress.of(new InetSocketAddress("10.1.0.18", 7070));
     assertEquals(
-        new BackendEntry(whole.get(0).id(), "a", 3, Phase.SERVING, 1.5, 1760000000000.0, place),
+        new Endpoint(whole.get(0).id(), "a", 3, EndpointState.SERVING, 1.5, 1760000000000.0, place),
         whole.get(0));
     assertEquals("zé", whole.get(1).zone());
     assertEquals(
-        List.of(Phase.SERVING, Phase.DRAINING, Phase.REMOVED, Phase.REMOVED),
-        whole.stream().map(BackendEntry::phase).toList());
+        List.of(
+            EndpointState.SERVING,
+            EndpointState.DRAINING,
+            EndpointState.REMOVED,
+            EndpointState.REMOVED),
+        whole.stream().map(Endpoint::state).toList());
     assertEquals(whole.get(1).id(), whole.get(3).id());
     for (int pieces = 1; pieces < 200; pieces++) {
       heard.clear();
       read(FIRST + "\n\n" + SECOND, pieces);
       assertEquals(whole, entries());
-      assertEquals(List.of(41L, 43L), heard.stream().map(RosterNews::version).toList());
-      assertEquals(List.of(true, false), heard.stream().map(RosterNews::full).toList());
+      assertEquals(List.of(41L, 43L), heard.stream().map(EndpointUpdate::version).toList());
+      assertEquals(List.of(true, false), heard.stream().map(EndpointUpdate::full).toList());
       assertFalse(reader.holdsPart());
     }
   }
@@ -91,24 +96,28 @@
   @Test
   void aLongListIsHandedOnInPiecesAndInOrder() {
     Queue<Runnable> turns = new ArrayDeque<>();
-    RosterFeed feed = new RosterFeed(turns::add, heard::add);
-    int length = 2 * RosterFeed.PIECE_ENTRIES + 1;
-    List<BackendEntry> all =
+    EndpointUpdateDispatcher feed = new EndpointUpdateDispatcher(turns::add, heard::add);
+    int length = 2 * EndpointUpdateDispatcher.PIECE_ENTRIES + 1;
+    List<Endpoint> all =
         IntStream.range(0, length)
-            .mapToObj(id -> new BackendEntry(id, "a", 0, Phase.SERVING, 1, 0))
+            .mapToObj(id -> new Endpoint(id, "a", 0, EndpointState.SERVING, 1, 0))
             .toList();
-    feed.take(new RosterNews(5, true, all));
-    feed.take(new RosterNews(6, false, List.of()));
+    feed.take(new EndpointUpdate(5, true, all));
+    feed.take(new EndpointUpdate(6, false, List.of()));
     assertEquals(1, heard.size());
     while (!turns.isEmpty()) {
       turns.poll().run();
     }
     assertEquals(all, entries());
     assertEquals(
-        List.of(RosterForm.PART, RosterForm.PART, RosterForm.COMPLETE, RosterForm.CHANGES),
-        heard.stream().map(RosterNews::form).toList());
-    assertEquals(List.of(0L, 0L, 5L, 6L), heard.stream().map(RosterNews::version).toList());
-    feed.take(new RosterNews(7, false, List.of()));
+        List.of(
+            EndpointListForm.FRAGMENT,
+            EndpointListForm.FRAGMENT,
+            EndpointListForm.SNAPSHOT,
+            EndpointListForm.DELTA),
+        heard.stream().map(EndpointUpdate::form).toList());
+    assertEquals(List.of(0L, 0L, 5L, 6L), heard.stream().map(EndpointUpdate::version).toList());
+    feed.take(new EndpointUpdate(7, false, List.of()));
     assertEquals(7, heard.get(4).version());
   }
 
@@ -124,7 +133,7 @@
           "{\"version\":4,\"servers\":7}",
           "<html>"
         }) {
-      RosterReader other = new RosterReader(5, heard::add);
+      EndpointListReader other = new EndpointListReader(5, heard::add);
       assertThrows(IOException.class, () -> other.read(junk.getBytes(UTF_8)), junk);
     }
     assertEquals(List.of(), heard);
--- a/src/test/java/willowdoor/net/ListTiming.java
+++ b/src/test/java/quotagateway/discovery/EndpointListTiming.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.discovery;
 
 import static java.nio.charset.StandardCharsets.US_ASCII;
 
@@ -11,20 +11,21 @@
 import java.util.Map;
 import java.util.Queue;
 import java.util.function.IntPredicate;
-import willowdoor.GatewayApi.Action;
-import willowdoor.GatewayApi.Roster;
-import willowdoor.GatewayApi.Settings;
-import willowdoor.GatewayApi.WakeAt;
-import willowdoor.GatewayApi.Woken;
-import willowdoor.QuotaPolicy;
-import willowdoor.WireSettings;
+import quotagateway.config.SettingsParser;
+import quotagateway.policy.GatewayPolicy;
+import quotagateway.policy.action.Action;
+import quotagateway.policy.action.ScheduleTimer;
+import quotagateway.policy.action.Timer;
+import quotagateway.policy.event.EndpointsUpdated;
+import quotagateway.policy.event.TimerFired;
+import quotagateway.policy.settings.PolicySettings;
 
 /**
  * Prints how long a whole list, and a zone that goes at once, hold the loop, by the clock and by
  * the thread's own processor time, which leaves out collections and other programs; and the heap in
  * use after each.
  */
-final class ListTiming {
+final class EndpointListTiming {
 
   private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
   private static final int LENGTH = 200_000;
@@ -34,27 +35,28 @@
   private static final int ENTRY_BYTES = 160;
   private static final double NOW_MS = 1_000_000;
 
-  private final QuotaPolicy policy;
-  private final RosterReader reader;
+  private final GatewayPolicy policy;
+  private final EndpointListReader reader;
   private final double[] micros = new double[LENGTH];
   private final double[] ownMicros = new double[LENGTH];
   private final Queue<Runnable> turns = new ArrayDeque<>();
   private int steps;
   private boolean sweeps;
 
-  private ListTiming(Settings settings) {
-    policy = new QuotaPolicy(settings, 1);
+  private EndpointListTiming(PolicySettings settings) {
+    policy = new GatewayPolicy(settings, 1);
     policy.start(NOW_MS);
-    RosterFeed feed =
-        new RosterFeed(
-            turns::add, news -> take(policy.on(NOW_MS, new Roster(news.form(), news.entries()))));
-    reader = new RosterReader(Integer.MAX_VALUE, feed::take);
+    EndpointUpdateDispatcher feed =
+        new EndpointUpdateDispatcher(
+            turns::add,
+            news -> take(policy.on(NOW_MS, new EndpointsUpdated(news.form(), news.entries()))));
+    reader = new EndpointListReader(Integer.MAX_VALUE, feed::take);
   }
 
   public static void main(String[] arguments) throws IOException {
-    Settings settings = WireSettings.read(Map.of("Balancers", 2_000));
+    PolicySettings settings = SettingsParser.read(Map.of("Balancers", 2_000));
     for (int round = 0; round < 2; round++) {
-      ListTiming timing = new ListTiming(settings);
+      EndpointListTiming timing = new EndpointListTiming(settings);
       timing.tell("first list", true, "active", i -> true);
       timing.tell("the same list again", true, "active", i -> true);
       timing.tell("a zone told as left", false, "left", i -> i % ZONES == 0);
@@ -64,7 +66,8 @@
 
   private void take(List<Action> actions) {
     sweeps =
-        actions.stream().anyMatch(a -> a instanceof WakeAt wake && wake.label().equals("sweep"));
+        actions.stream()
+            .anyMatch(a -> a instanceof ScheduleTimer wake && wake.timer() == Timer.ENDPOINT_SWEEP);
   }
 
   private void tell(String name, boolean full, String state, IntPredicate which)
@@ -86,7 +89,7 @@
       step(turns.poll()::run);
     }
     while (sweeps) {
-      step(() -> take(policy.on(NOW_MS, new Woken("sweep"))));
+      step(() -> take(policy.on(NOW_MS, new TimerFired(Timer.ENDPOINT_SWEEP))));
     }
     Arrays.sort(micros, 0, steps);
     Arrays.sort(ownMicros, 0, steps);
--- a/src/test/java/willowdoor/net/WatchBackoffTest.java
+++ b/src/test/java/quotagateway/discovery/WatchBackoffTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/willowdoor/net/CrossingTest.java
+++ b/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.driver;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -28,36 +28,49 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowdoor.GatewayApi.BackendEntry;
-import willowdoor.GatewayApi.Phase;
-import willowdoor.GatewayApi.Request;
-import willowdoor.GatewayApi.Settings;
-import willowdoor.QuotaPolicy;
-import willowdoor.net.Peers.Client;
+import quotagateway.backend.Attempt;
+import quotagateway.backend.BackendConnectionPool;
+import quotagateway.backend.RequestBody;
+import quotagateway.discovery.EndpointUpdate;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointState;
+import quotagateway.policy.GatewayPolicy;
+import quotagateway.policy.event.RequestReceived;
+import quotagateway.policy.settings.PolicySettings;
+import quotagateway.server.GatewayServer;
+import quotagateway.testing.Peers;
+import quotagateway.testing.Peers.Client;
+import quotagateway.transport.BackendAddress;
+import quotagateway.transport.ConnectionBudget;
+import quotagateway.transport.Dialer;
+import quotagateway.transport.MonotonicClock;
+import quotagateway.transport.ProtocolHeaders;
+import quotagateway.transport.SocketTransport;
 
 /**
  * Events that cross, in the bad order. Where a connection is coming up, both happen in one turn of
  * the event loop: the kernel has the connection by then, and the loop cannot know.
  */
 @Timeout(30)
-class CrossingTest {
+class ConcurrentEventsTest {
 
   private final Peers peers = new Peers();
   private final EventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(1, Transport.BEST.ioHandler());
+      new MultiThreadIoEventLoopGroup(1, SocketTransport.BEST.ioHandler());
   private final EventLoop loop = group.next();
   private final AtomicLong offsetNanos = new AtomicLong();
 
   /** What each reading of the clock takes, as where a share of a core is used up. */
   private final AtomicLong nanosForEachReading = new AtomicLong();
 
-  private final Clock clock =
-      new Clock(() -> System.nanoTime() + offsetNanos.addAndGet(nanosForEachReading.get()));
+  private final MonotonicClock clock =
+      new MonotonicClock(
+          () -> System.nanoTime() + offsetNanos.addAndGet(nanosForEachReading.get()));
   private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
   private final ServerSocket first = listen();
   private final ServerSocket second = listen();
-  private Settings settings;
-  private ModuleDriver driver;
+  private PolicySettings settings;
+  private PolicyDriver driver;
 
   /** Whether the client has left, which the driver was not told. */
   private volatile boolean left;
@@ -81,13 +94,13 @@
   }
 
   private static long at(ServerSocket place) {
-    return Place.of((InetSocketAddress) place.getLocalSocketAddress());
+    return BackendAddress.of((InetSocketAddress) place.getLocalSocketAddress());
   }
 
-  private static RosterNews news(
-      boolean full, long id, ServerSocket place, Phase phase, double startedMs) {
-    return new RosterNews(
-        1, full, List.of(new BackendEntry(id, "a", 0, phase, 1, startedMs, at(place))));
+  private static EndpointUpdate news(
+      boolean full, long id, ServerSocket place, EndpointState phase, double startedMs) {
+    return new EndpointUpdate(
+        1, full, List.of(new Endpoint(id, "a", 0, phase, 1, startedMs, at(place))));
   }
 
   /**
@@ -101,20 +114,20 @@
                     .replace("\"Counter\":true", "\"Counter\":false")
                     .replace("\"RepeatWindowMs\":4000", "\"RepeatWindowMs\":1000"))
             .settings();
-    QuotaPolicy policy = new QuotaPolicy(settings, 1);
+    GatewayPolicy policy = new GatewayPolicy(settings, 1);
     driver =
-        new ModuleDriver(
+        new PolicyDriver(
             loop,
             clock,
             policy,
-            new BackendPool(
+            new BackendConnectionPool(
                 loop,
                 clock,
                 Dialer.sockets(loop, 5_000),
                 10_000,
-                new Places(100),
+                new ConnectionBudget(100),
                 policy.listing()));
-    driver.start(null, news(true, 1, first, Phase.SERVING, 0));
+    driver.start(null, news(true, 1, first, EndpointState.SERVING, 0));
   }
 
   private void take(String id) {
@@ -123,10 +136,11 @@
 
   private void take(String id, int type, HttpRequest head) {
     driver.take(
-        new Request(id, settings.classes().get(type), "basic", 1, 1, 1, clock.now() + 4_000),
+        new RequestReceived(
+            id, settings.requestClasses().get(type), "basic", 1, 1, 1, clock.now() + 4_000),
         head,
-        Body.of(Unpooled.EMPTY_BUFFER),
-        new ModuleDriver.Client() {
+        RequestBody.of(Unpooled.EMPTY_BUFFER),
+        new PolicyDriver.Client() {
           @Override
           public boolean left() {
             return left;
@@ -226,12 +240,12 @@
               start();
               take("r1");
               driver.onRoster(
-                  new RosterNews(
+                  new EndpointUpdate(
                       2,
                       false,
                       List.of(
-                          new BackendEntry(1, "a", 0, Phase.DRAINING, 1, 0),
-                          new BackendEntry(2, "a", 0, Phase.SERVING, 1, 0, at(second)))));
+                          new Endpoint(1, "a", 0, EndpointState.DRAINING, 1, 0),
+                          new Endpoint(2, "a", 0, EndpointState.SERVING, 1, 0, at(second)))));
               return null;
             })
         .sync();
@@ -246,7 +260,7 @@
             () -> {
               start();
               take("r1");
-              driver.onRoster(news(false, 1, second, Phase.SERVING, 0));
+              driver.onRoster(news(false, 1, second, EndpointState.SERVING, 0));
               return null;
             })
         .sync();
@@ -308,7 +322,7 @@
     answerAny(one);
     answerAny(two);
     HttpRequest keyed = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/buy/r3");
-    keyed.headers().set(Headers.IDEMPOTENCY_KEY, "key").set("Content-Length", 0);
+    keyed.headers().set(ProtocolHeaders.IDEMPOTENCY_KEY, "key").set("Content-Length", 0);
     loop.submit(
             () -> {
               offsetNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(20));
@@ -317,7 +331,7 @@
         .sync();
     Socket used = waitForRequest(one, two);
     assertEquals("POST /buy/r3 HTTP/1.1", Peers.read(used.getInputStream()).firstLine());
-    double window = settings.classes().get(1).repeatWindowMs();
+    double window = settings.requestClasses().get(1).deduplicationWindowMs();
     loop.submit(
             () -> {
               offsetNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos((long) window - 110));
@@ -354,7 +368,7 @@
   @Test
   void theEndComesBeforeTheRestOfARequest() throws Exception {
     peers.answer = (request, out) -> true;
-    FrontDoor door =
+    GatewayServer door =
         peers.start(
             peers
                 .config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
@@ -375,7 +389,7 @@
 
   @Test
   void theEndComesBeforeTheTurnOfWhatWaitsBehindARequest() throws Exception {
-    FrontDoor door = peers.start();
+    GatewayServer door = peers.start();
     peers.answer = (request, out) -> true;
     Client client = peers.client();
     client.send(Peers.get("r1", 4000) + Peers.get("r2", 4000));
--- a/src/test/java/willowdoor/BackendIndexTest.java
+++ b/src/test/java/quotagateway/endpoint/EndpointIndexTest.java
@@ -1,4 +1,4 @@
-package willowdoor;
+package quotagateway.endpoint;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,54 +11,56 @@
 import java.util.function.IntPredicate;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import willowdoor.GatewayApi.BackendEntry;
-import willowdoor.GatewayApi.Phase;
-import willowdoor.GatewayApi.Roster;
-import willowdoor.GatewayApi.RosterForm;
-import willowdoor.GatewayApi.Send;
-import willowdoor.GatewayApi.Status;
-import willowdoor.GatewayApi.WakeAt;
-import willowdoor.GatewayApi.Woken;
+import quotagateway.policy.GatewayPolicy;
+import quotagateway.policy.GatewayState;
+import quotagateway.policy.PolicyFixture;
+import quotagateway.policy.RandomEvents;
+import quotagateway.policy.action.ScheduleTimer;
+import quotagateway.policy.action.StartAttempt;
+import quotagateway.policy.action.Timer;
+import quotagateway.policy.event.EndpointsUpdated;
+import quotagateway.policy.event.Status;
+import quotagateway.policy.event.TimerFired;
 
 /** The index against plain lists that are made anew of all backends for each question. */
-class BackendIndexTest {
+class EndpointIndexTest {
 
   private static final double COLD_MS = 5_000;
 
   /** Filters, sorts and sums all backends each time, as a plain program would. */
-  private static final class PlainIndex extends BackendIndex {
+  private static final class PlainIndex extends EndpointIndex {
     PlainIndex(long gateway) {
       super(gateway);
     }
 
     @Override
-    int find(long id) {
+    public int find(long id) {
       return slots(slot -> id(slot) == id).findFirst().orElse(NONE);
     }
 
     @Override
-    SortedSlots serving() {
+    public OrderedSlots serving() {
       return sorted(slot -> true, this::id);
     }
 
     @Override
-    SortedSlots ranked() {
+    public OrderedSlots ranked() {
       return sorted(slot -> true, slot -> GatewayState.rank(id(slot), gateway()));
     }
 
     @Override
-    SortedSlots inZone(String zone) {
+    public OrderedSlots inZone(String zone) {
       return sorted(slot -> groups.get(group(slot)).startsWith(zone + "/"), this::id);
     }
 
     @Override
-    SortedSlots inCell(String zone, int cell) {
+    public OrderedSlots inCell(String zone, int cell) {
       return sorted(slot -> groups.get(group(slot)).equals(zone + "/" + cell), this::id);
     }
 
     @Override
-    double meanSize() {
-      SortedSlots serving = serving();
+    public double meanSize() {
+      OrderedSlots serving = serving();
       return IntStream.range(0, serving.size())
           .mapToDouble(i -> size(serving.get(i)))
           .average()
@@ -66,12 +68,12 @@
     }
 
     @Override
-    int warm(double coldMs, double now) {
+    public int warm(double coldMs, double now) {
       return (int) serve().filter(slot -> !cold(slot, coldMs, now)).count();
     }
 
     @Override
-    int group(String zone, int cell) {
+    public int group(String zone, int cell) {
       int group = super.group(zone, cell);
       if (group == groups.size()) {
         groups.add(zone + "/" + cell);
@@ -86,23 +88,23 @@
     }
 
     private IntStream serve() {
-      return slots(slot -> phase(slot) == Phase.SERVING);
+      return slots(slot -> phase(slot) == EndpointState.SERVING);
     }
 
-    private SortedSlots sorted(IntPredicate among, SortedSlots.Key order) {
-      SortedSlots sorted = new SortedSlots(order);
+    private OrderedSlots sorted(IntPredicate among, OrderedSlots.Key order) {
+      OrderedSlots sorted = new OrderedSlots(order);
       serve().filter(among).forEach(sorted::add);
       return sorted;
     }
   }
 
-  private static List<String> play(long seed, int gateways, int backends, BackendIndex index) {
+  private static List<String> play(long seed, int gateways, int backends, EndpointIndex index) {
     List<String> actions = new ArrayList<>();
     new RandomEvents(
             seed,
             gateways,
             backends,
-            settings -> new QuotaPolicy(settings, seed, index),
+            settings -> new GatewayPolicy(settings, seed, index),
             (now, event, led) -> actions.add(event + " at " + now + ": " + led))
         .run(2_000);
     return actions;
@@ -114,13 +116,13 @@
     int[][] sizes = {{1, 6}, {2, 24}, {6, 60}, {100, 200}, {300, 24}};
     for (int seed = 0; seed < sizes.length; seed++) {
       List<String> plain = play(seed, sizes[seed][0], sizes[seed][1], new PlainIndex(1));
-      List<String> quick = play(seed, sizes[seed][0], sizes[seed][1], new BackendIndex(1));
+      List<String> quick = play(seed, sizes[seed][0], sizes[seed][1], new EndpointIndex(1));
       assertEquals(plain, quick);
-      assertTrue(plain.stream().filter(line -> line.contains("Send[")).count() > 500);
+      assertTrue(plain.stream().filter(line -> line.contains("StartAttempt[")).count() > 500);
     }
   }
 
-  private static Set<Long> members(BackendIndex index, int many) {
+  private static Set<Long> members(EndpointIndex index, int many) {
     Set<Long> members = new HashSet<>();
     for (int i = 0; i < many; i++) {
       members.add(index.id(index.ranked().get(i)));
@@ -128,15 +130,21 @@
     return members;
   }
 
-  private static void serve(BackendIndex index, long id) {
+  private static void serve(EndpointIndex index, long id) {
     index.set(
-        index.add(id, index.group("a", 0)), index.group("a", 0), Phase.SERVING, 1, 0, COLD_MS, 0);
+        index.add(id, index.group("a", 0)),
+        index.group("a", 0),
+        EndpointState.SERVING,
+        1,
+        0,
+        COLD_MS,
+        0);
   }
 
   /** Of the backends that come first in a gateway's order, one that is replaced moves one. */
   @Test
   void aReplacedBackendMovesOneMemberAtMost() {
-    BackendIndex index = new BackendIndex(4);
+    EndpointIndex index = new EndpointIndex(4);
     SplittableRandom random = new SplittableRandom(5);
     for (long id = 0; id < 1_000; id++) {
       serve(index, id);
@@ -144,7 +152,7 @@
     for (int round = 0; round < 500; round++) {
       Set<Long> before = members(index, 100);
       int slot = index.serving().get(random.nextInt(index.serving().size()));
-      index.set(slot, index.group(slot), Phase.REMOVED, 1, 0, COLD_MS, 0);
+      index.set(slot, index.group(slot), EndpointState.REMOVED, 1, 0, COLD_MS, 0);
       index.remove(slot);
       serve(index, 1_000 + round);
       before.removeAll(members(index, 100));
@@ -156,12 +164,13 @@
   @Test
   void fullStateIsKeptOfFew() {
     int length = 30_000;
-    Fixtures gateway = new Fixtures(Fixtures.settings(true, 2_000, false)).backends(length);
+    PolicyFixture gateway =
+        new PolicyFixture(PolicyFixture.settings(true, 2_000, false)).backends(length);
     assertEquals(0, gateway.policy.fullStates());
     for (int i = 0; i < 4 * length; i++) {
       gateway.pass(1).request("safe", "free", 1);
-      if (gateway.did(Send.class)) {
-        gateway.outcome(gateway.only(Send.class), 0, Status.REJECTED, true);
+      if (gateway.did(StartAttempt.class)) {
+        gateway.outcome(gateway.only(StartAttempt.class), 0, Status.REJECTED, true);
       }
     }
     assertTrue(gateway.policy.fullStates() > 1_000, gateway.policy.fullStates() + " met");
@@ -174,44 +183,44 @@
    */
   @Test
   void aWholeListOfColdBackendsIsHeldWithFewFullStates() {
-    Fixtures gateway = new Fixtures(Fixtures.settings(true, 2_000, false));
-    List<BackendEntry> entries = new ArrayList<>();
+    PolicyFixture gateway = new PolicyFixture(PolicyFixture.settings(true, 2_000, false));
+    List<Endpoint> entries = new ArrayList<>();
     for (int i = 0; i < 30_000; i++) {
-      entries.add(new BackendEntry(i, "a", 0, Phase.SERVING, 1, gateway.now));
+      entries.add(new Endpoint(i, "a", 0, EndpointState.SERVING, 1, gateway.now));
     }
-    gateway.on(new Roster(RosterForm.COMPLETE, entries));
+    gateway.on(new EndpointsUpdated(EndpointListForm.SNAPSHOT, entries));
     assertTrue(gateway.policy.fullStates() < 5_000, gateway.policy.fullStates() + " kept");
     int sent = 0;
     for (int i = 0; i < 1_000; i++) {
       gateway.request("safe", "free", 1);
-      sent += gateway.did(Send.class) ? 1 : 0;
+      sent += gateway.did(StartAttempt.class) ? 1 : 0;
     }
     assertEquals(0, sent, "sent to backends that have just started");
   }
 
-  private static List<BackendEntry> entries(int from, int to, Phase phase) {
-    List<BackendEntry> entries = new ArrayList<>();
+  private static List<Endpoint> entries(int from, int to, EndpointState phase) {
+    List<Endpoint> entries = new ArrayList<>();
     for (int i = from; i < to; i++) {
-      entries.add(new BackendEntry(i, "a", i % 7, phase, 1, 0, i + 1));
+      entries.add(new Endpoint(i, "a", i % 7, phase, 1, 0, i + 1));
     }
     return entries;
   }
 
-  private static Set<Long> listed(Fixtures gateway, int most) {
+  private static Set<Long> listed(PolicyFixture gateway, int most) {
     Set<Long> listed = new HashSet<>();
     for (long id = 0; id < most; id++) {
-      if (gateway.policy.listing().place(id) == id + 1) {
+      if (gateway.policy.listing().address(id) == id + 1) {
         listed.add(id);
       }
     }
     return listed;
   }
 
-  private static long backendOfNextRequest(Fixtures gateway) {
+  private static long backendOfNextRequest(PolicyFixture gateway) {
     gateway.request("safe", "free", 1);
-    Send send = gateway.only(Send.class);
+    StartAttempt send = gateway.only(StartAttempt.class);
     gateway.outcome(send, 0, Status.OK, true);
-    return send.backend();
+    return send.endpointId();
   }
 
   /**
@@ -219,13 +228,17 @@
    */
   @Test
   void onlyAWholeListTellsWhoHasLeft() {
-    Fixtures gateway = new Fixtures(Fixtures.settings(true, 2, false));
-    gateway.on(new Roster(RosterForm.COMPLETE, entries(0, 4, Phase.SERVING)));
-    gateway.on(new Roster(RosterForm.PART, entries(0, 2, Phase.SERVING)));
-    gateway.on(new Roster(RosterForm.CHANGES, List.of()));
-    gateway.on(new Roster(RosterForm.PART, entries(0, 1, Phase.SERVING)));
+    PolicyFixture gateway = new PolicyFixture(PolicyFixture.settings(true, 2, false));
+    gateway.on(
+        new EndpointsUpdated(EndpointListForm.SNAPSHOT, entries(0, 4, EndpointState.SERVING)));
+    gateway.on(
+        new EndpointsUpdated(EndpointListForm.FRAGMENT, entries(0, 2, EndpointState.SERVING)));
+    gateway.on(new EndpointsUpdated(EndpointListForm.DELTA, List.of()));
+    gateway.on(
+        new EndpointsUpdated(EndpointListForm.FRAGMENT, entries(0, 1, EndpointState.SERVING)));
     assertEquals(Set.of(0L, 1L, 2L, 3L), listed(gateway, 5));
-    gateway.on(new Roster(RosterForm.COMPLETE, entries(2, 3, Phase.SERVING)));
+    gateway.on(
+        new EndpointsUpdated(EndpointListForm.SNAPSHOT, entries(2, 3, EndpointState.SERVING)));
     assertEquals(Set.of(0L, 2L), listed(gateway, 5));
     for (int i = 0; i < 50; i++) {
       assertTrue(Set.of(0L, 2L).contains(backendOfNextRequest(gateway)));
@@ -235,8 +248,9 @@
   /** A piece that drains backends holds at once, whatever the rest of its list is. */
   @Test
   void aDrainHoldsFromItsPieceOn() {
-    Fixtures gateway = Fixtures.counted();
-    gateway.on(new Roster(RosterForm.PART, entries(0, 3, Phase.DRAINING)));
+    PolicyFixture gateway = PolicyFixture.counted();
+    gateway.on(
+        new EndpointsUpdated(EndpointListForm.FRAGMENT, entries(0, 3, EndpointState.DRAINING)));
     for (int i = 0; i < 50; i++) {
       assertEquals(3, backendOfNextRequest(gateway));
     }
@@ -245,29 +259,34 @@
   /** Thousands that left with one list get nothing from then on, and are removed by and by. */
   @Test
   void manyThatLeaveAtOnceGetNothingMoreThoughTheyAreRemovedInSlices() {
-    Fixtures gateway = new Fixtures(Fixtures.settings(true, 2, false));
-    gateway.on(new Roster(RosterForm.COMPLETE, entries(0, 10_500, Phase.SERVING)));
-    gateway.on(new Roster(RosterForm.COMPLETE, entries(10_499, 10_503, Phase.SERVING)));
+    PolicyFixture gateway = new PolicyFixture(PolicyFixture.settings(true, 2, false));
+    gateway.on(
+        new EndpointsUpdated(EndpointListForm.SNAPSHOT, entries(0, 10_500, EndpointState.SERVING)));
+    gateway.on(
+        new EndpointsUpdated(
+            EndpointListForm.SNAPSHOT, entries(10_499, 10_503, EndpointState.SERVING)));
     int slices = 0;
-    while (gateway.did(WakeAt.class)) {
+    while (gateway.did(ScheduleTimer.class)) {
       slices++;
-      assertEquals(BackendEntry.NOWHERE, gateway.policy.listing().place(3));
+      assertEquals(Endpoint.NO_ADDRESS, gateway.policy.listing().address(3));
       for (int i = 0; i < 3; i++) {
         gateway.request("safe", "free", 1);
-        if (gateway.did(Send.class)) {
-          Send send = gateway.only(Send.class);
-          boolean toldAgain = send.backend() == 10_400 && slices > 10;
+        if (gateway.did(StartAttempt.class)) {
+          StartAttempt send = gateway.only(StartAttempt.class);
+          boolean toldAgain = send.endpointId() == 10_400 && slices > 10;
           assertTrue(
-              send.backend() >= 10_499 || toldAgain,
-              "sent to " + send.backend() + ", which has left");
+              send.endpointId() >= 10_499 || toldAgain,
+              "sent to " + send.endpointId() + ", which has left");
           gateway.outcome(send, 0, Status.OK, true);
         }
       }
       // One that is told of again while others are removed stays.
       if (slices == 10) {
-        gateway.on(new Roster(RosterForm.CHANGES, entries(10_400, 10_401, Phase.SERVING)));
+        gateway.on(
+            new EndpointsUpdated(
+                EndpointListForm.DELTA, entries(10_400, 10_401, EndpointState.SERVING)));
       }
-      gateway.pass(1).on(new Woken("sweep"));
+      gateway.pass(1).on(new TimerFired(Timer.ENDPOINT_SWEEP));
     }
     assertTrue(slices > 10, slices + " slices");
     assertEquals(Set.of(10_400L, 10_499L, 10_500L, 10_501L, 10_502L), listed(gateway, 10_600));
@@ -279,16 +298,16 @@
    */
   @Test
   void theMeanSizeDoesNotDrift() {
-    BackendIndex index = new BackendIndex(4);
+    EndpointIndex index = new EndpointIndex(4);
     SplittableRandom random = new SplittableRandom(6);
     serve(index, 1);
     serve(index, 2);
     int slot = index.find(2);
     for (int i = 0; i < 100_000; i++) {
       double size = Math.pow(10, random.nextInt(-6, 9)) * random.nextDouble();
-      index.set(slot, index.group(slot), Phase.SERVING, size, 0, COLD_MS, 0);
+      index.set(slot, index.group(slot), EndpointState.SERVING, size, 0, COLD_MS, 0);
     }
-    index.set(slot, index.group(slot), Phase.SERVING, 0.2, 0, COLD_MS, 0);
+    index.set(slot, index.group(slot), EndpointState.SERVING, 0.2, 0, COLD_MS, 0);
     assertEquals(0.6, index.meanSize());
   }
 }
--- a/src/test/java/willowdoor/SortedSlotsTest.java
+++ b/src/test/java/quotagateway/endpoint/OrderedSlotsTest.java
@@ -1,4 +1,4 @@
-package willowdoor;
+package quotagateway.endpoint;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.Test;
 
 /** The tree of slots against a plain sorted list. */
-class SortedSlotsTest {
+class OrderedSlotsTest {
 
   private static final int SLOTS = 20_000;
 
   private final SplittableRandom random = new SplittableRandom(3);
-  private final SortedSlots tree = new SortedSlots(SortedSlotsTest::key);
+  private final OrderedSlots tree = new OrderedSlots(OrderedSlotsTest::key);
   private final List<Integer> plain = new ArrayList<>();
 
   /** One key for each three slots. */
@@ -35,7 +35,7 @@
   }
 
   private void toggle(int slot) {
-    int at = Collections.binarySearch(plain, slot, SortedSlotsTest::compare);
+    int at = Collections.binarySearch(plain, slot, OrderedSlotsTest::compare);
     if (at >= 0) {
       plain.remove(at);
       assertTrue(tree.remove(slot));
@@ -52,9 +52,9 @@
       assertEquals(plain.get(i), tree.get(i));
     }
     for (int i = 0; i < SLOTS; i++) {
-      int first = -Collections.binarySearch(plain, i / 3 * 3 - 1, SortedSlotsTest::firstOfKey) - 1;
+      int first = -Collections.binarySearch(plain, i / 3 * 3 - 1, OrderedSlotsTest::firstOfKey) - 1;
       boolean there = first < plain.size() && key(plain.get(first)) == key(i);
-      assertEquals(there ? plain.get(first) : SortedSlots.NONE, tree.find(key(i)));
+      assertEquals(there ? plain.get(first) : OrderedSlots.NONE, tree.find(key(i)));
     }
     assertThrows(IndexOutOfBoundsException.class, () -> tree.get(plain.size()));
     assertThrows(IndexOutOfBoundsException.class, () -> tree.get(-1));
@@ -77,8 +77,8 @@
 
   @Test
   void takesSlotsInOrderAndInReverse() {
-    SortedSlots up = new SortedSlots(slot -> slot);
-    SortedSlots down = new SortedSlots(slot -> -slot);
+    OrderedSlots up = new OrderedSlots(slot -> slot);
+    OrderedSlots down = new OrderedSlots(slot -> -slot);
     for (int i = 0; i < SLOTS; i++) {
       up.add(i);
       down.add(i);
--- a/src/test/java/willowdoor/RosterTiming.java
+++ b/src/test/java/quotagateway/policy/EndpointUpdateTiming.java
@@ -1,19 +1,19 @@
-package willowdoor;
+package quotagateway.policy;
 
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import willowdoor.GatewayApi.BackendEntry;
-import willowdoor.GatewayApi.Phase;
-import willowdoor.GatewayApi.Roster;
-import willowdoor.GatewayApi.RosterForm;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointListForm;
+import quotagateway.endpoint.EndpointState;
+import quotagateway.policy.event.EndpointsUpdated;
 
 /**
  * Prints what one changed backend costs a module, and its heap for each, at lists of several
  * lengths.
  */
-final class RosterTiming {
+final class EndpointUpdateTiming {
 
   private static final int[] LENGTHS = {1_000, 10_000, 100_000, 200_000};
   private static final int GATEWAYS = 2_000;
@@ -23,7 +23,7 @@
   private static final int SLICE = 1_000;
   private static final double NOW_MS = 1_000_000;
 
-  private RosterTiming() {}
+  private EndpointUpdateTiming() {}
 
   public static void main(String[] arguments) {
     int changes = arguments.length > 0 ? Integer.parseInt(arguments[0]) : 2_000;
@@ -38,25 +38,25 @@
     SplittableRandom random = new SplittableRandom(length);
     long[] ids = random.longs(length).toArray();
     long before = usedHeap();
-    QuotaPolicy policy = new QuotaPolicy(Fixtures.settings(true, GATEWAYS, false), 1);
+    GatewayPolicy policy = new GatewayPolicy(PolicyFixture.settings(true, GATEWAYS, false), 1);
     policy.start(NOW_MS);
     for (int from = 0; from < length; from += SLICE) {
-      List<BackendEntry> slice = new ArrayList<>();
+      List<Endpoint> slice = new ArrayList<>();
       for (int i = from; i < Math.min(length, from + SLICE); i++) {
-        slice.add(entry(ids[i], Phase.SERVING, 0));
+        slice.add(entry(ids[i], EndpointState.SERVING, 0));
       }
-      policy.on(NOW_MS, new Roster(RosterForm.CHANGES, slice));
+      policy.on(NOW_MS, new EndpointsUpdated(EndpointListForm.DELTA, slice));
     }
     double bytes = (usedHeap() - before) / (double) length;
     double[] micros = new double[changes];
     for (int i = 0; i < changes; i++) {
       int at = random.nextInt(length);
       if (i % 3 == 2) {
-        policy.on(NOW_MS, change(ids[at], Phase.REMOVED, 0));
+        policy.on(NOW_MS, change(ids[at], EndpointState.REMOVED, 0));
         ids[at] = random.nextLong();
       }
-      Phase phase = i % 3 == 0 ? Phase.DRAINING : Phase.SERVING;
-      Roster change = change(ids[at], phase, i % 3 == 1 ? NOW_MS + i : 0);
+      EndpointState phase = i % 3 == 0 ? EndpointState.DRAINING : EndpointState.SERVING;
+      EndpointsUpdated change = change(ids[at], phase, i % 3 == 1 ? NOW_MS + i : 0);
       long begun = System.nanoTime();
       policy.on(NOW_MS + i, change);
       micros[i] = (System.nanoTime() - begun) / 1e3;
@@ -67,13 +67,13 @@
         length, micros[changes / 2], micros[(int) (changes * 0.99)], micros[changes - 1], bytes);
   }
 
-  private static Roster change(long id, Phase phase, double startedMs) {
-    return new Roster(RosterForm.CHANGES, List.of(entry(id, phase, startedMs)));
+  private static EndpointsUpdated change(long id, EndpointState phase, double startedMs) {
+    return new EndpointsUpdated(EndpointListForm.DELTA, List.of(entry(id, phase, startedMs)));
   }
 
-  private static BackendEntry entry(long id, Phase phase, double startedMs) {
+  private static Endpoint entry(long id, EndpointState phase, double startedMs) {
     String zone = "zone-" + Math.floorMod(id, ZONES);
-    return new BackendEntry(id, zone, Math.floorMod(id >> 8, CELLS), phase, 1, startedMs);
+    return new Endpoint(id, zone, Math.floorMod(id >> 8, CELLS), phase, 1, startedMs);
   }
 
   private static long usedHeap() {
--- a/src/test/java/willowdoor/FleetTest.java
+++ b/src/test/java/quotagateway/policy/GatewayFleetTest.java
@@ -1,4 +1,4 @@
-package willowdoor;
+package quotagateway.policy;
 
 import static org.junit.jupiter.api.Assertions.assertDoesNotThrow;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -14,36 +14,38 @@
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
 import org.junit.jupiter.api.Test;
-import willowdoor.GatewayApi.Action;
-import willowdoor.GatewayApi.Add;
-import willowdoor.GatewayApi.BackendEntry;
-import willowdoor.GatewayApi.Cancel;
-import willowdoor.GatewayApi.Counted;
-import willowdoor.GatewayApi.Fail;
-import willowdoor.GatewayApi.Outcome;
-import willowdoor.GatewayApi.Phase;
-import willowdoor.GatewayApi.Refuse;
-import willowdoor.GatewayApi.Request;
-import willowdoor.GatewayApi.Roster;
-import willowdoor.GatewayApi.RosterForm;
-import willowdoor.GatewayApi.Send;
-import willowdoor.GatewayApi.Status;
-import willowdoor.GatewayApi.Woken;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointListForm;
+import quotagateway.endpoint.EndpointState;
+import quotagateway.policy.action.Action;
+import quotagateway.policy.action.CancelAttempt;
+import quotagateway.policy.action.FailRequest;
+import quotagateway.policy.action.IncrementCounter;
+import quotagateway.policy.action.RejectRequest;
+import quotagateway.policy.action.StartAttempt;
+import quotagateway.policy.action.Timer;
+import quotagateway.policy.event.AttemptEnded;
+import quotagateway.policy.event.CounterReplied;
+import quotagateway.policy.event.EndpointsUpdated;
+import quotagateway.policy.event.RequestReceived;
+import quotagateway.policy.event.Status;
+import quotagateway.policy.event.TimerFired;
 
 /**
  * Many gateways at once, with fixed seeds: what one may do alone is multiplied by all, so the sums
  * count.
  */
-class FleetTest {
+class GatewayFleetTest {
 
-  private final List<Fixtures> fleet = new ArrayList<>();
+  private final List<PolicyFixture> fleet = new ArrayList<>();
   private final SplittableRandom random = new SplittableRandom(11);
   private final Map<String, Integer> asked = new HashMap<>();
   private int next;
 
   private void fleet(int gateways, int backends) {
     for (int i = 0; i < gateways; i++) {
-      fleet.add(new Fixtures(Fixtures.settings(true, gateways, false, i)).backends(backends));
+      fleet.add(
+          new PolicyFixture(PolicyFixture.settings(true, gateways, false, i)).backends(backends));
     }
   }
 
@@ -52,40 +54,43 @@
    * world.
    */
   private void run(
-      double seconds, double perSecond, String plan, BiConsumer<Fixtures, Action> world) {
+      double seconds, double perSecond, String plan, BiConsumer<PolicyFixture, Action> world) {
     double begin = fleet.get(0).now;
     int total = (int) (seconds * perSecond);
     for (int k = 0; k < total; k++) {
       double now = begin + 1000 * k / perSecond;
-      Fixtures f = fleet.get(random.nextInt(fleet.size()));
+      PolicyFixture f = fleet.get(random.nextInt(fleet.size()));
       wake(f, now, world);
       int units = 1 + random.nextInt(4);
       asked.put("f" + next, units);
       f.on(
-          new Request(
-              "f" + next++, Fixtures.type("safe"), plan, 42, fleet.size(), units, now + 4000));
+          new RequestReceived(
+              "f" + next++, PolicyFixture.type("safe"), plan, 42, fleet.size(), units, now + 4000));
       hand(f, world);
     }
     fleet.forEach(f -> wake(f, begin + 1000 * seconds, world));
   }
 
-  private void wake(Fixtures f, double now, BiConsumer<Fixtures, Action> world) {
+  private void wake(PolicyFixture f, double now, BiConsumer<PolicyFixture, Action> world) {
     for (double t = f.now + 25; t <= now; t += 25) {
       f.now = t;
-      f.on(new Woken("tick"));
+      f.on(new TimerFired(Timer.REQUEST_CHECK));
       hand(f, world);
     }
     f.now = now;
   }
 
-  private void hand(Fixtures f, BiConsumer<Fixtures, Action> world) {
+  private void hand(PolicyFixture f, BiConsumer<PolicyFixture, Action> world) {
     for (Action a : List.copyOf(f.last)) {
       world.accept(f, a);
     }
   }
 
-  private void answer(Fixtures f, Send s, Status status, BiConsumer<Fixtures, Action> world) {
-    f.on(new Outcome(s.request(), 0, s.backend(), status, 50, status == Status.OK, 0, null));
+  private void answer(
+      PolicyFixture f, StartAttempt s, Status status, BiConsumer<PolicyFixture, Action> world) {
+    f.on(
+        new AttemptEnded(
+            s.requestId(), 0, s.endpointId(), status, 50, status == Status.OK, 0, null));
     hand(f, world);
   }
 
@@ -96,15 +101,17 @@
     fleet(300, 12);
     int[] calls = new int[1];
     boolean[] silent = {true};
-    BiConsumer<Fixtures, Action> world =
+    BiConsumer<PolicyFixture, Action> world =
         new BiConsumer<>() {
           @Override
-          public void accept(Fixtures f, Action a) {
-            if (a instanceof Add add) {
+          public void accept(PolicyFixture f, Action a) {
+            if (a instanceof IncrementCounter add) {
               calls[0]++;
-              f.on(new Counted(add.name(), silent[0] ? Status.TIMED_OUT : Status.OK, 1, 2));
+              f.on(
+                  new CounterReplied(
+                      add.counterName(), silent[0] ? Status.TIMED_OUT : Status.OK, 1, 2));
               hand(f, this);
-            } else if (a instanceof Send s) {
+            } else if (a instanceof StartAttempt s) {
               answer(f, s, Status.OK, this);
             }
           }
@@ -126,12 +133,12 @@
   void aColdBackendIsNotPushedOverByTheFleet() {
     fleet(300, 60);
     int[] cold = new int[1];
-    BiConsumer<Fixtures, Action> world =
+    BiConsumer<PolicyFixture, Action> world =
         new BiConsumer<>() {
           @Override
-          public void accept(Fixtures f, Action a) {
-            if (a instanceof Send s) {
-              cold[0] += s.backend() == 7 ? 1 : 0;
+          public void accept(PolicyFixture f, Action a) {
+            if (a instanceof StartAttempt s) {
+              cold[0] += s.endpointId() == 7 ? 1 : 0;
               answer(f, s, Status.OK, this);
             }
           }
@@ -142,9 +149,9 @@
     fleet.forEach(
         f ->
             f.on(
-                new Roster(
-                    RosterForm.CHANGES,
-                    List.of(new BackendEntry(7, "b", 7, Phase.SERVING, 1, f.now)))));
+                new EndpointsUpdated(
+                    EndpointListForm.DELTA,
+                    List.of(new Endpoint(7, "b", 7, EndpointState.SERVING, 1, f.now)))));
     run(2, 600, "free", world);
     double share = 0.2 + 0.8 * 2 / 10;
     assertTrue(
@@ -157,14 +164,16 @@
     fleet(300, 60);
     int[] sent = new int[2];
     Map<String, Integer> attempts = new HashMap<>();
-    BiConsumer<Fixtures, Action> world =
+    BiConsumer<PolicyFixture, Action> world =
         new BiConsumer<>() {
           @Override
-          public void accept(Fixtures f, Action a) {
-            if (a instanceof Send s) {
-              int number = attempts.merge(s.request(), 1, Integer::sum) - 1;
+          public void accept(PolicyFixture f, Action a) {
+            if (a instanceof StartAttempt s) {
+              int number = attempts.merge(s.requestId(), 1, Integer::sum) - 1;
               sent[number == 0 ? 0 : 1]++;
-              f.on(new Outcome(s.request(), number, s.backend(), Status.ERROR, 5, false, 0, null));
+              f.on(
+                  new AttemptEnded(
+                      s.requestId(), number, s.endpointId(), Status.ERROR, 5, false, 0, null));
               hand(f, this);
             }
           }
@@ -180,15 +189,15 @@
   void withoutACounterTheFleetKeepsToTheQuota() {
     fleet(100, 12);
     double[] units = new double[1];
-    BiConsumer<Fixtures, Action> world =
+    BiConsumer<PolicyFixture, Action> world =
         new BiConsumer<>() {
           @Override
-          public void accept(Fixtures f, Action a) {
-            if (a instanceof Add add) {
-              f.on(new Counted(add.name(), Status.REJECTED, 0, 2));
+          public void accept(PolicyFixture f, Action a) {
+            if (a instanceof IncrementCounter add) {
+              f.on(new CounterReplied(add.counterName(), Status.REJECTED, 0, 2));
               hand(f, this);
-            } else if (a instanceof Send s) {
-              units[0] += asked.get(s.request());
+            } else if (a instanceof StartAttempt s) {
+              units[0] += asked.get(s.requestId());
               answer(f, s, Status.OK, this);
             }
           }
@@ -196,8 +205,10 @@
     run(20, 100, "broad", world);
     units[0] = 0;
     run(20, 100, "broad", world);
-    assertTrue(units[0] < 20 * Fixtures.BROAD.rate() * 1.3, units[0] + " units in 20 s");
-    assertTrue(units[0] > 20 * Fixtures.BROAD.rate() * 0.4, units[0] + " units in 20 s");
+    assertTrue(
+        units[0] < 20 * PolicyFixture.BROAD.unitsPerSecond() * 1.3, units[0] + " units in 20 s");
+    assertTrue(
+        units[0] > 20 * PolicyFixture.BROAD.unitsPerSecond() * 0.4, units[0] + " units in 20 s");
   }
 
   // Guards a cap on open requests that is less than one for each gateway: all together must keep to
@@ -222,21 +233,23 @@
   private int mostOpen(Status counter) {
     fleet(10, 12);
     Map<String, Double> counts = new HashMap<>();
-    List<Map.Entry<Fixtures, Send>> open = new ArrayList<>();
+    List<Map.Entry<PolicyFixture, StartAttempt>> open = new ArrayList<>();
     Map<String, Double> since = new HashMap<>();
     int[] most = new int[1];
-    BiConsumer<Fixtures, Action> world =
+    BiConsumer<PolicyFixture, Action> world =
         new BiConsumer<>() {
           @Override
-          public void accept(Fixtures f, Action a) {
-            if (a instanceof Add add) {
+          public void accept(PolicyFixture f, Action a) {
+            if (a instanceof IncrementCounter add) {
               double total =
-                  counter == Status.OK ? counts.merge(add.name(), add.amount(), Double::sum) : 0;
-              f.on(new Counted(add.name(), counter, total, 2));
+                  counter == Status.OK
+                      ? counts.merge(add.counterName(), add.amount(), Double::sum)
+                      : 0;
+              f.on(new CounterReplied(add.counterName(), counter, total, 2));
               hand(f, this);
-            } else if (a instanceof Send s) {
+            } else if (a instanceof StartAttempt s) {
               open.add(Map.entry(f, s));
-              since.put(s.request(), f.now);
+              since.put(s.requestId(), f.now);
               sent++;
               most[0] = Math.max(most[0], open.size());
             }
@@ -244,11 +257,14 @@
         };
     for (int i = 0; i < 800; i++) {
       run(0.025, 40, "narrow", world);
-      for (Map.Entry<Fixtures, Send> e : List.copyOf(open)) {
-        if (e.getKey().now - since.get(e.getValue().request()) >= 250) {
+      for (Map.Entry<PolicyFixture, StartAttempt> e : List.copyOf(open)) {
+        if (e.getKey().now - since.get(e.getValue().requestId()) >= 250) {
           open.remove(e);
-          Send s = e.getValue();
-          e.getKey().on(new Outcome(s.request(), 0, s.backend(), Status.OK, 250, true, 0, null));
+          StartAttempt s = e.getValue();
+          e.getKey()
+              .on(
+                  new AttemptEnded(
+                      s.requestId(), 0, s.endpointId(), Status.OK, 250, true, 0, null));
           hand(e.getKey(), world);
         }
       }
@@ -258,27 +274,35 @@
 
   @Test
   void theCeilingHoldsThroughManyGatewaysAndThroughFew() {
-    assertTrue(lowestOfCeiling(200) >= -Fixtures.WIDE.ceilingSlack());
+    assertTrue(lowestOfCeiling(200) >= -PolicyFixture.WIDE.hardLimitSlackUnits());
     fleet.clear();
-    assertTrue(lowestOfCeiling(3) >= -Fixtures.WIDE.ceilingSlack());
+    assertTrue(lowestOfCeiling(3) >= -PolicyFixture.WIDE.hardLimitSlackUnits());
   }
 
   private double lowestOfCeiling(int gateways) {
     fleet(gateways, 12);
     Map<String, Double> counts = new HashMap<>();
-    double[] store = {Fixtures.WIDE.ceilingBurst(), fleet.get(0).now, Double.MAX_VALUE, 0};
-    BiConsumer<Fixtures, Action> world =
+    double[] store = {
+      PolicyFixture.WIDE.hardLimitBurstUnits(), fleet.get(0).now, Double.MAX_VALUE, 0
+    };
+    BiConsumer<PolicyFixture, Action> world =
         new BiConsumer<>() {
           @Override
-          public void accept(Fixtures f, Action a) {
-            if (a instanceof Add add) {
+          public void accept(PolicyFixture f, Action a) {
+            if (a instanceof IncrementCounter add) {
               boolean fails = random.nextDouble() < 0.2;
-              double total = counts.merge(add.name(), add.amount(), Double::sum);
-              f.on(new Counted(add.name(), fails ? Status.TIMED_OUT : Status.OK, total, 2));
+              double total = counts.merge(add.counterName(), add.amount(), Double::sum);
+              f.on(
+                  new CounterReplied(
+                      add.counterName(), fails ? Status.TIMED_OUT : Status.OK, total, 2));
               hand(f, this);
-            } else if (a instanceof Send s) {
-              double full = store[0] + Fixtures.WIDE.ceilingRate() * (f.now - store[1]) / 1000;
-              store[0] = Math.min(Fixtures.WIDE.ceilingBurst(), full) - asked.get(s.request());
+            } else if (a instanceof StartAttempt s) {
+              double full =
+                  store[0]
+                      + PolicyFixture.WIDE.hardLimitUnitsPerSecond() * (f.now - store[1]) / 1000;
+              store[0] =
+                  Math.min(PolicyFixture.WIDE.hardLimitBurstUnits(), full)
+                      - asked.get(s.requestId());
               store[1] = f.now;
               store[2] = Math.min(store[2], store[0]);
               store[3]++;
@@ -300,13 +324,14 @@
   }
 
   private int used(int gateways, int backends) {
-    Fixtures f = new Fixtures(Fixtures.settings(true, gateways, false)).backends(backends);
+    PolicyFixture f =
+        new PolicyFixture(PolicyFixture.settings(true, gateways, false)).backends(backends);
     Set<Long> seen = new HashSet<>();
     for (int i = 0; i < 400; i++) {
       f.run(25).request("safe", "free", 1);
-      if (f.did(Send.class)) {
-        seen.add(f.only(Send.class).backend());
-        f.outcome(f.only(Send.class), 0, Status.OK, true);
+      if (f.did(StartAttempt.class)) {
+        seen.add(f.only(StartAttempt.class).endpointId());
+        f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
       }
     }
     return seen.size();
@@ -316,34 +341,36 @@
   // read.
   @Test
   void aGatewayThatStoodStillReadsFirstAndRefusesNobodyForIt() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).backends(12);
+    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(12);
     for (int round = 0; round < 10; round++) {
       f.run(25).request("safe", "free", 1);
-      Send s = f.only(Send.class);
+      StartAttempt s = f.only(StartAttempt.class);
       f.run(25);
-      f.pass(2000).on(new Woken("tick"));
-      assertFalse(f.did(Cancel.class), "its answer may lie unread");
-      f.on(new Outcome(s.request(), 0, s.backend(), Status.OK, 2020, true, 0, null));
-      f.pass(1).on(new Woken("tick"));
+      f.pass(2000).on(new TimerFired(Timer.REQUEST_CHECK));
+      assertFalse(f.did(CancelAttempt.class), "its answer may lie unread");
+      f.on(new AttemptEnded(s.requestId(), 0, s.endpointId(), Status.OK, 2020, true, 0, null));
+      f.pass(1).on(new TimerFired(Timer.REQUEST_CHECK));
     }
     f.request("safe", "free", 1);
-    assertTrue(f.did(Send.class));
+    assertTrue(f.did(StartAttempt.class));
   }
 
   // Guards against taking lost answers for a full fleet. A few slow backends look the same and stay
   // unseen.
   @Test
   void lostAnswersAreNoFullFleet() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).backends(12);
+    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(12);
     for (int i = 0; i < 30; i++) {
       f.run(100).request("unsafe", "free", 1);
-      Send lost = f.only(Send.class);
+      StartAttempt lost = f.only(StartAttempt.class);
       f.run(100).request("safe", "free", 1);
-      f.outcome(f.only(Send.class), 0, Status.OK, true);
-      f.on(new Outcome(lost.request(), 0, lost.backend(), Status.TIMED_OUT, 3900, false, 0, null));
+      f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
+      f.on(
+          new AttemptEnded(
+              lost.requestId(), 0, lost.endpointId(), Status.TIMED_OUT, 3900, false, 0, null));
     }
     f.run(50).request("safe", "free", 1);
-    assertTrue(f.did(Send.class));
+    assertTrue(f.did(StartAttempt.class));
   }
 
   // Guards against settings and events that make no sense: one final answer each, and no exception.
@@ -351,25 +378,33 @@
   void senselessInputIsStillAnsweredOnce() {
     for (int gateways : new int[] {0, 1, 400}) {
       for (int entryPoints : new int[] {-1, 0, 1, 1000}) {
-        Fixtures f = new Fixtures(Fixtures.settings(true, gateways, false)).backends(1000);
+        PolicyFixture f =
+            new PolicyFixture(PolicyFixture.settings(true, gateways, false)).backends(1000);
         int[] answers = new int[1];
         assertDoesNotThrow(
             () -> {
               f.on(
-                  new Request(
-                      "x", Fixtures.type("safe"), "rated", 5, entryPoints, 1, f.now + 4000));
+                  new RequestReceived(
+                      "x", PolicyFixture.type("safe"), "rated", 5, entryPoints, 1, f.now + 4000));
               for (int i = 0; i < 500; i++) {
-                answers[0] += f.did(Refuse.class) || f.did(Fail.class) ? 1 : 0;
-                if (f.did(Send.class)) {
+                answers[0] += f.did(RejectRequest.class) || f.did(FailRequest.class) ? 1 : 0;
+                if (f.did(StartAttempt.class)) {
                   f.on(
-                      new Outcome(
-                          "x", 0, f.only(Send.class).backend(), Status.OK, 1e9, true, 0, null));
+                      new AttemptEnded(
+                          "x",
+                          0,
+                          f.only(StartAttempt.class).endpointId(),
+                          Status.OK,
+                          1e9,
+                          true,
+                          0,
+                          null));
                   answers[0]++;
                 }
                 f.run(10);
               }
-              f.on(new Counted("never asked", Status.OK, 3, 1));
-              f.on(new Outcome("never sent", 3, 1, Status.OK, 1, true, 0, null));
+              f.on(new CounterReplied("never asked", Status.OK, 3, 1));
+              f.on(new AttemptEnded("never sent", 3, 1, Status.OK, 1, true, 0, null));
             });
         assertEquals(1, answers[0], gateways + " gateways, " + entryPoints + " entry points");
       }
@@ -380,16 +415,16 @@
   // cold start.
   @Test
   void aBackendThatTookNoConnectionIsTakenToBeCold() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).backends(1);
+    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(1);
     f.request("safe", "free", 1);
-    f.outcome(f.only(Send.class), 0, Status.UNREACHABLE, false);
+    f.outcome(f.only(StartAttempt.class), 0, Status.CONNECT_FAILED, false);
     f.run(9_000);
     int sent = 0;
     for (int i = 0; i < 40; i++) {
       f.run(25).request("safe", "free", 1);
-      if (f.did(Send.class)) {
+      if (f.did(StartAttempt.class)) {
         sent++;
-        f.outcome(f.only(Send.class), 0, Status.OK, true);
+        f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
       }
     }
     assertTrue(sent < 20, sent + " of 40 sent at once");
@@ -399,17 +434,17 @@
   // cold.
   @Test
   void aBackendThatAnswersWhatItHadBeforeHasNotRestarted() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 2, false)).backends(1);
+    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 2, false)).backends(1);
     f.request("safe", "free", 1);
-    Send before = f.only(Send.class);
+    StartAttempt before = f.only(StartAttempt.class);
     f.pass(10).request("safe", "free", 1);
-    Send failed = f.only(Send.class);
-    f.pass(10).outcome(failed, 0, Status.UNREACHABLE, true);
+    StartAttempt failed = f.only(StartAttempt.class);
+    f.pass(10).outcome(failed, 0, Status.CONNECT_FAILED, true);
     f.pass(10).outcome(before, 0, Status.OK, true);
     for (int i = 0; i < 40; i++) {
       f.run(25).request("safe", "free", 1);
-      assertTrue(f.did(Send.class), "not sent at once: " + i);
-      f.outcome(f.only(Send.class), 0, Status.OK, true);
+      assertTrue(f.did(StartAttempt.class), "not sent at once: " + i);
+      f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
     }
   }
 
@@ -417,13 +452,13 @@
   // of them.
   @Test
   void aLostZoneIsLeftAfterAFewFailures() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).backends(200);
+    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
     int near = 0;
     int all = 0;
     for (int i = 0; i < 60; i++) {
       f.run(25).request("unsafe", "free", 1);
-      Send s = f.only(Send.class);
-      boolean lost = s.backend() % 2 == 1;
+      StartAttempt s = f.only(StartAttempt.class);
+      boolean lost = s.endpointId() % 2 == 1;
       near += i >= 20 && !lost ? 1 : 0;
       all += i >= 20 ? 1 : 0;
       f.outcome(s, 0, lost ? Status.RESET : Status.OK, !lost);
@@ -434,15 +469,15 @@
   // Guards against leaving a whole zone for one sick backend, which a gateway of many seldom meets.
   @Test
   void anAnsweredErrorTellsNothingOfTheZone() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).backends(200);
+    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
     int near = 0;
     for (int i = 0; i < 60; i++) {
       f.run(4_000).request("unsafe", "free", 1);
-      Send sick = f.only(Send.class);
+      StartAttempt sick = f.only(StartAttempt.class);
       f.outcome(sick, 0, Status.ERROR, false);
       f.run(25).request("unsafe", "free", 1);
-      Send next = f.only(Send.class);
-      near += next.backend() % 2 == sick.backend() % 2 ? 1 : 0;
+      StartAttempt next = f.only(StartAttempt.class);
+      near += next.endpointId() % 2 == sick.endpointId() % 2 ? 1 : 0;
       f.outcome(next, 0, Status.OK, true);
     }
     assertTrue(near > 15, near + " of 60 to the zone of the sick backend");
@@ -451,19 +486,19 @@
   // Guards against taking a slow request for a lost zone while others there are answered.
   @Test
   void aSilentAttemptTellsNothingOfAZoneThatAnswered() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).backends(200);
+    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
     int near = 0;
     for (int i = 0; i < 60; i++) {
       f.run(4_000).request("unsafe", "free", 1);
-      Send slow = f.only(Send.class);
+      StartAttempt slow = f.only(StartAttempt.class);
       for (int k = 0; k < 6; k++) {
         f.run(25).request("unsafe", "free", 1);
-        f.outcome(f.only(Send.class), 0, Status.OK, true);
+        f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
       }
       f.run(2_000).outcome(slow, 0, Status.TIMED_OUT, false);
       f.run(25).request("unsafe", "free", 1);
-      Send next = f.only(Send.class);
-      near += next.backend() % 2 == slow.backend() % 2 ? 1 : 0;
+      StartAttempt next = f.only(StartAttempt.class);
+      near += next.endpointId() % 2 == slow.endpointId() % 2 ? 1 : 0;
       f.outcome(next, 0, Status.OK, true);
     }
     assertTrue(near > 22, near + " of 60 to the zone of the slow request");
@@ -473,13 +508,13 @@
   // all.
   @Test
   void aZoneThatIsBackIsUsedSoon() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).backends(200);
+    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
     int near = 0;
     int all = 0;
     for (int i = 0; i < 200; i++) {
       f.run(300).request("unsafe", "free", 1);
-      Send s = f.only(Send.class);
-      boolean odd = s.backend() % 2 == 1;
+      StartAttempt s = f.only(StartAttempt.class);
+      boolean odd = s.endpointId() % 2 == 1;
       boolean lost = odd && i % 40 < 20;
       f.outcome(s, 0, lost ? Status.RESET : Status.OK, !lost);
       near += i % 40 >= 25 && odd ? 1 : 0;
@@ -492,22 +527,25 @@
   // Guards a customer's quota when its gateway restarts, or when it comes through another one.
   @Test
   void aRestartedGatewayKnowsTheQuotaFromTheCount() {
-    Fixtures f = Fixtures.counted();
+    PolicyFixture f = PolicyFixture.counted();
     f.request("safe", "rated", 4);
     f.total(4);
-    assertTrue(f.did(Send.class));
-    Fixtures again = new Fixtures(Fixtures.settings(true, 2, false), f.now + 100).backends(4);
+    assertTrue(f.did(StartAttempt.class));
+    PolicyFixture again =
+        new PolicyFixture(PolicyFixture.settings(true, 2, false), f.now + 100).backends(4);
     again.request("safe", "rated", 4);
     again.total(200);
-    assertTrue(again.did(Refuse.class));
+    assertTrue(again.did(RejectRequest.class));
   }
 
   @Test
   void withoutBackendsEachRequestIsAnsweredOnceInTime() {
-    Fixtures f = new Fixtures(Fixtures.settings(true, 300, false)).backends(0);
+    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(0);
     f.request("safe", "free", 1);
-    assertFalse(f.did(Send.class));
+    assertFalse(f.did(StartAttempt.class));
     f.run(3900);
-    assertEquals(1, f.all.stream().filter(a -> a instanceof Refuse || a instanceof Fail).count());
+    assertEquals(
+        1,
+        f.all.stream().filter(a -> a instanceof RejectRequest || a instanceof FailRequest).count());
   }
 }
--- /dev/null
+++ b/src/test/java/quotagateway/policy/GatewayPolicyTest.java
@@ -0,0 +1,716 @@
+package quotagateway.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointListForm;
+import quotagateway.endpoint.EndpointState;
+import quotagateway.policy.action.CancelAttempt;
+import quotagateway.policy.action.FailRequest;
+import quotagateway.policy.action.IncrementCounter;
+import quotagateway.policy.action.RejectRequest;
+import quotagateway.policy.action.StartAttempt;
+import quotagateway.policy.action.Timer;
+import quotagateway.policy.action.WatchEndpoints;
+import quotagateway.policy.event.AttemptEnded;
+import quotagateway.policy.event.ClientDisconnected;
+import quotagateway.policy.event.CounterReplied;
+import quotagateway.policy.event.EndpointsUpdated;
+import quotagateway.policy.event.RequestBodyComplete;
+import quotagateway.policy.event.RequestReceived;
+import quotagateway.policy.event.ResponseStarted;
+import quotagateway.policy.event.SettingsChanged;
+import quotagateway.policy.event.Status;
+import quotagateway.policy.event.TimerFired;
+import quotagateway.policy.settings.Capabilities;
+import quotagateway.policy.settings.DeduplicationScope;
+import quotagateway.policy.settings.Idempotency;
+import quotagateway.policy.settings.PolicySettings;
+import quotagateway.policy.settings.RequestClass;
+
+class GatewayPolicyTest {
+
+  // The ordinary path
+
+  @Test
+  void addsTheEstimateThenSends() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("safe", "rated", 3);
+    assertEquals(3, f.only(IncrementCounter.class).amount());
+    assertFalse(f.did(StartAttempt.class));
+    f.total(3);
+    assertTrue(f.did(StartAttempt.class));
+  }
+
+  @Test
+  void refusesWhatWouldPassTheQuotaAndOwesItBack() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("safe", "rated", 3);
+    f.total(200);
+    assertTrue(f.did(RejectRequest.class));
+    f.pass(500).request("safe", "rated", 1);
+    assertEquals(
+        -3, f.only(IncrementCounter.class).amount(), "only reads, and takes the refused 3 off");
+  }
+
+  @Test
+  void settlesTheTrueUnitsWithTheNextAdd() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("safe", "rated", 2);
+    StartAttempt s = f.total(2).only(StartAttempt.class);
+    f.on(new AttemptEnded(s.requestId(), 0, s.endpointId(), Status.OK, 50, true, 4, null));
+    f.request("safe", "rated", 1);
+    assertEquals(1 + 2, f.only(IncrementCounter.class).amount());
+  }
+
+  @Test
+  void aSpentCustomerIsRefusedWithoutACall() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("safe", "rated", 3);
+    f.total(200);
+    f.pass(10).request("safe", "rated", 3);
+    assertTrue(f.did(RejectRequest.class));
+    assertFalse(f.did(IncrementCounter.class));
+  }
+
+  @Test
+  void twoBurstsDoNotPassAtTheEdgeOfAWindow() {
+    PolicyFixture f = PolicyFixture.counted();
+    String first = null;
+    int sent = 0;
+    for (double total = 2; f.all.size() < 4000; total += 2) {
+      f.pass(50).request("safe", "rated", 2);
+      if (!f.did(IncrementCounter.class)) {
+        continue;
+      }
+      String name = f.lastAdd().counterName();
+      if (first != null && !name.equals(first)) {
+        f.total(f.lastAdd().amount());
+        assertTrue(f.did(RejectRequest.class), "a new window is not a new burst");
+        return;
+      }
+      first = name;
+      f.total(total);
+      sent += f.did(StartAttempt.class) ? 1 : 0;
+      if (f.did(StartAttempt.class)) {
+        StartAttempt s = f.only(StartAttempt.class);
+        f.outcome(s, 0, Status.OK, true);
+      }
+    }
+    throw new AssertionError("no window edge met, sent " + sent);
+  }
+
+  /** A connection that dies says nothing of the counter, which still answers over another. */
+  @Test
+  void aCallCutOffByItsConnectionIsReadAgain() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("safe", "rated", 3);
+    f.callFails(Status.RESET);
+    assertEquals(
+        0, f.only(IncrementCounter.class).amount(), "it may have been added, so it is only read");
+    assertFalse(f.did(StartAttempt.class));
+    f.total(0);
+    assertTrue(f.did(StartAttempt.class));
+    f.request("safe", "rated", 1);
+    assertEquals(
+        1 + 3,
+        f.only(IncrementCounter.class).amount(),
+        "the total shows that the 3 were not added");
+  }
+
+  @Test
+  void whatACutOffCallHadAddedIsNotOwed() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("safe", "rated", 3);
+    f.callFails(Status.RESET).total(3);
+    assertTrue(f.did(StartAttempt.class));
+    f.request("safe", "rated", 1);
+    assertEquals(1, f.only(IncrementCounter.class).amount());
+  }
+
+  /**
+   * Calling less would not help against connections that die, and leaves customers to the replica.
+   */
+  @Test
+  void cutOffCallsDoNotMakeRequestsGoUnasked() {
+    PolicyFixture f = PolicyFixture.counted();
+    for (int i = 0; i < 20; i++) {
+      f.pass(100).request("safe", "broad", 1);
+      assertTrue(f.did(IncrementCounter.class), "request " + i + " asks");
+      f.callFails(Status.RESET).total(i);
+      f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
+    }
+  }
+
+  /**
+   * The backend works, but this one answer will not come: one sent long after it has been answered.
+   */
+  @Test
+  void takesBackWhatWasOvertakenAtAWorkingBackend() {
+    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 2, false)).backends(1);
+    String lost = f.request("safe", "free", 1);
+    f.run(500);
+    f.request("safe", "free", 1);
+    f.outcome(f.only(StartAttempt.class), 0, Status.OK, true).run(200);
+    assertFalse(f.did(CancelAttempt.class), "sent too soon after it to tell");
+    f.request("safe", "free", 1);
+    f.outcome(f.only(StartAttempt.class), 0, Status.OK, true).run(25);
+    assertEquals(lost, f.only(CancelAttempt.class).requestId());
+  }
+
+  @Test
+  void plansWithoutRateNeedNoCall() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("safe", "free", 3);
+    assertTrue(f.did(StartAttempt.class));
+    assertFalse(f.did(IncrementCounter.class));
+  }
+
+  @Test
+  void openLimitIsSplitAmongTheGateways() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("safe", "narrow", 1);
+    assertTrue(f.did(StartAttempt.class));
+    f.request("safe", "narrow", 1);
+    assertTrue(
+        f.only(RejectRequest.class).retryAfterMs() > 0,
+        "told to come back when one may have ended");
+  }
+
+  /**
+   * Through more gateways than places: a place is counted as open, and given back with each kind of
+   * end.
+   */
+  @Test
+  void aPlaceAmongTheOpenRequestsIsGivenBackHoweverARequestEnds() {
+    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 5, false)).backends(4);
+    placed(f, "safe");
+    f.total(2);
+    f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
+    assertEquals(-1, f.only(IncrementCounter.class).amount(), "served");
+    f.total(0);
+    placed(f, "unsafe");
+    f.total(1);
+    f.outcome(f.only(StartAttempt.class), 0, Status.ERROR, false);
+    assertTrue(f.did(FailRequest.class));
+    assertEquals(-1, f.only(IncrementCounter.class).amount(), "failed");
+    f.total(0);
+    placed(f, "safe");
+    f.total(3);
+    assertTrue(f.did(RejectRequest.class));
+    assertEquals(-1, f.only(IncrementCounter.class).amount(), "refused, as others have all places");
+    f.total(0);
+    String left = placed(f, "safe");
+    f.on(new ClientDisconnected(left));
+    assertFalse(f.did(IncrementCounter.class), "it is not known yet whether it was added");
+    f.total(1);
+    assertEquals(-1, f.only(IncrementCounter.class).amount(), "left by its client");
+    assertFalse(f.did(StartAttempt.class));
+    f.total(0);
+    String gone = placed(f, "safe");
+    f.on(new ClientDisconnected(gone)).callFails(Status.REJECTED);
+    assertFalse(f.did(IncrementCounter.class), "nothing was added");
+  }
+
+  /** With many gateways nearly every request is a customer's first at this one for long. */
+  @Test
+  void aCustomerMetWhileTheCounterIsAwayFindsAPlace() {
+    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 5, false)).backends(4);
+    placed(f, "safe");
+    f.callFails(Status.REJECTED);
+    assertTrue(f.did(StartAttempt.class));
+    placed(f, "safe");
+    f.callFails(Status.REJECTED);
+    assertTrue(f.did(RejectRequest.class), "its part of the cap is in use");
+  }
+
+  private static String placed(PolicyFixture f, String className) {
+    String id = "placed at " + f.now;
+    f.pass(1)
+        .on(
+            new RequestReceived(
+                id, PolicyFixture.type(className), "narrow", 42, 5, 1, f.now + 4000));
+    assertEquals(1, f.only(IncrementCounter.class).amount());
+    assertFalse(f.did(StartAttempt.class));
+    return id;
+  }
+
+  @Test
+  void withoutACounterTheQuotaIsSplitEvenly() {
+    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(false, 2, false)).backends(4);
+    f.request("safe", "rated", 4);
+    assertTrue(f.did(StartAttempt.class));
+    f.request("safe", "rated", 4);
+    assertTrue(f.did(RejectRequest.class), "half of a burst of 10 holds one request of 4");
+  }
+
+  @Test
+  void unknownPlanAndClassAreStillAnsweredOnce() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.on(
+        new RequestReceived(
+            "x", PolicyFixture.type("no such class"), "no such plan", 9, 2, 1, f.now + 4000));
+    StartAttempt s = f.total(1).only(StartAttempt.class);
+    f.outcome(s, 0, Status.ERROR, false);
+    assertTrue(f.did(FailRequest.class), "an unknown class may not run twice");
+  }
+
+  // Counter trouble
+
+  @Test
+  void anUnansweredCallIsDecidedByTheReplica() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("safe", "rated", 3);
+    f.callFails(Status.TIMED_OUT);
+    assertTrue(f.did(StartAttempt.class));
+  }
+
+  @Test
+  void aSilentCounterDoesNotHoldARequestPastItsBound() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("safe", "rated", 3);
+    f.run(100);
+    assertTrue(f.did(StartAttempt.class));
+  }
+
+  @Test
+  void anAbsentCounterIsTriedRarelyAndComesBackAtOnce() {
+    PolicyFixture f = PolicyFixture.counted();
+    int calls = 0;
+    for (int i = 0; i < 200; i++) {
+      f.pass(20)
+          .on(
+              new RequestReceived(
+                  "q" + i, PolicyFixture.type("safe"), "rated", 1000 + i, 2, 1, f.now + 4000));
+      if (f.did(IncrementCounter.class)) {
+        calls++;
+        f.callFails(Status.CONNECT_FAILED);
+      }
+    }
+    assertTrue(calls < 40, "calls while the counter is away: " + calls);
+    int answered = 0;
+    for (int i = 0; i < 200; i++) {
+      f.pass(20)
+          .on(
+              new RequestReceived(
+                  "p" + i, PolicyFixture.type("safe"), "rated", 5000 + i, 2, 1, f.now + 4000));
+      if (f.did(IncrementCounter.class)) {
+        answered++;
+        f.total(1);
+      }
+    }
+    assertTrue(answered > 100, "calls after its return: " + answered);
+  }
+
+  @Test
+  void aFailedCallThatAddedNothingLeavesAnAdmittedRequestOwed() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("safe", "rated", 3);
+    f.callFails(Status.REJECTED);
+    assertTrue(f.did(StartAttempt.class));
+    f.request("safe", "rated", 1);
+    assertEquals(4, f.only(IncrementCounter.class).amount());
+  }
+
+  @Test
+  void anAnswerTellsWhetherAnUnansweredCallWasAdded() {
+    PolicyFixture added = PolicyFixture.counted();
+    added.request("safe", "rated", 1);
+    added.total(1);
+    added.request("safe", "rated", 3);
+    added.callFails(Status.TIMED_OUT);
+    added.request("safe", "rated", 1);
+    added.total(5);
+    added.request("safe", "rated", 1);
+    assertEquals(1, added.only(IncrementCounter.class).amount());
+
+    PolicyFixture lost = PolicyFixture.counted();
+    lost.request("safe", "rated", 1);
+    lost.total(1);
+    lost.request("safe", "rated", 3);
+    lost.callFails(Status.TIMED_OUT);
+    lost.request("safe", "rated", 1);
+    lost.total(2);
+    lost.request("safe", "rated", 1);
+    assertEquals(1 + 3, lost.only(IncrementCounter.class).amount());
+  }
+
+  @Test
+  void anEmptiedCounterIsNoFreshQuota() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("safe", "rated", 1);
+    f.total(200);
+    f.pass(500).request("safe", "rated", 1);
+    f.total(f.lastAdd().amount());
+    assertTrue(f.did(RejectRequest.class));
+  }
+
+  @Test
+  void aRequestThatLeftWhileWaitingIsNotSent() {
+    PolicyFixture f = PolicyFixture.counted();
+    String id = f.request("safe", "rated", 1);
+    f.on(new ClientDisconnected(id));
+    f.total(1);
+    assertFalse(f.did(StartAttempt.class));
+    f.request("safe", "rated", 2);
+    assertEquals(2 - 1, f.only(IncrementCounter.class).amount(), "and its units are returned");
+  }
+
+  // Attempts
+
+  @Test
+  void anUnsafeRequestThatMayHaveRunFails() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("unsafe", "free", 1);
+    StartAttempt s = f.only(StartAttempt.class);
+    f.outcome(s, 0, Status.RESET, false);
+    assertTrue(f.did(FailRequest.class));
+    assertFalse(f.did(StartAttempt.class));
+  }
+
+  @Test
+  void anUnsafeRequestThatNeverRanIsSentAgainElsewhere() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("unsafe", "free", 1);
+    StartAttempt s = f.only(StartAttempt.class);
+    f.outcome(s, 0, Status.CONNECT_FAILED, false);
+    assertNotEquals(s.endpointId(), f.only(StartAttempt.class).endpointId());
+  }
+
+  @Test
+  void aRepeatOfWhatMayHaveRunHasToBeWrittenWithinItsWindow() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("zone", "free", 1);
+    StartAttempt first = f.only(StartAttempt.class);
+    assertEquals(Double.POSITIVE_INFINITY, first.maxStartDelayMs());
+    f.pass(500).outcome(first, 0, Status.CONNECT_FAILED, false);
+    StartAttempt second = f.only(StartAttempt.class);
+    assertEquals(Double.POSITIVE_INFINITY, second.maxStartDelayMs(), "nothing has run by now");
+    f.pass(2000).outcome(second, 1, Status.ERROR, false);
+    double left = 3000 - 2000;
+    assertTrue(
+        f.only(StartAttempt.class).maxStartDelayMs() > left - 50
+            && f.only(StartAttempt.class).maxStartDelayMs() < left);
+  }
+
+  @Test
+  void aKeyedRequestThatMayHaveRunStaysInItsGroupAndWindow() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("cell", "free", 1);
+    StartAttempt s = f.only(StartAttempt.class);
+    f.outcome(s, 0, Status.ERROR, false);
+    if (f.did(StartAttempt.class)) {
+      assertEquals(
+          s.endpointId(),
+          f.only(StartAttempt.class).endpointId(),
+          "its cell has this backend alone");
+    }
+    f.request("zone", "free", 1);
+    StartAttempt z = f.only(StartAttempt.class);
+    f.outcome(z, 0, Status.ERROR, false);
+    assertEquals(z.endpointId() % 2, f.only(StartAttempt.class).endpointId() % 2);
+    StartAttempt again = f.only(StartAttempt.class);
+    f.pass(3500).outcome(again, 1, Status.ERROR, false);
+    assertFalse(f.did(StartAttempt.class), "its repeats are no longer dropped");
+    assertTrue(f.did(FailRequest.class), "and a refusal would promise too much");
+  }
+
+  @Test
+  void everyRequestIsAnsweredBeforeItsClientLeaves() {
+    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 2, false));
+    f.request("safe", "free", 1);
+    assertFalse(f.did(StartAttempt.class), "no backend is known");
+    f.run(1000);
+    assertTrue(f.did(RejectRequest.class));
+    f.on(new RequestReceived("short", PolicyFixture.type("safe"), "free", 1, 2, 1, f.now + 5));
+    assertTrue(f.did(RejectRequest.class), "no time is left to look again");
+  }
+
+  @Test
+  void anAttemptStopsBeforeTheClientLeaves() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("safe", "free", 1);
+    assertTrue(f.only(StartAttempt.class).timeoutMs() < 4000);
+  }
+
+  @Test
+  void aBegunStreamIsLeftAlone() {
+    PolicyFixture f = PolicyFixture.counted();
+    String id = f.request("stream", "free", 1);
+    f.on(new ResponseStarted(id, 0)).run(6000);
+    assertTrue(f.last.isEmpty(), f.last.toString());
+  }
+
+  @Test
+  void aSilentBackendIsGivenUpOnWhereTheClassAllows() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("safe", "free", 1);
+    StartAttempt s = f.only(StartAttempt.class);
+    f.run(700);
+    assertEquals(new CancelAttempt(s.requestId(), 0), f.only(CancelAttempt.class));
+    f.outcome(s, 0, Status.CANCELLED, false);
+    assertNotEquals(s.endpointId(), f.only(StartAttempt.class).endpointId());
+  }
+
+  @Test
+  void answersForWhatIsOverAreIgnored() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.on(new AttemptEnded("nobody", 0, 1, Status.OK, 5, true, 0, null));
+    f.on(new CounterReplied("nothing", Status.OK, 5, 1));
+    f.on(new ClientDisconnected("nobody"));
+    f.on(new TimerFired(Timer.REQUEST_CHECK));
+    assertTrue(f.last.isEmpty());
+  }
+
+  // Backends
+
+  @Test
+  void drainingAndGoneBackendsGetNothingNew() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.on(
+        new EndpointsUpdated(
+            EndpointListForm.DELTA,
+            List.of(
+                new Endpoint(0, "a", 0, EndpointState.DRAINING, 1, 0),
+                new Endpoint(1, "b", 1, EndpointState.REMOVED, 1, 0))));
+    Set<Long> met = new HashSet<>();
+    for (int i = 0; i < 400; i++) {
+      f.run(25).request("safe", "free", 1);
+      StartAttempt s = f.only(StartAttempt.class);
+      met.add(s.endpointId());
+      f.outcome(s, 0, Status.OK, true);
+    }
+    assertEquals(Set.of(2L, 3L), met);
+  }
+
+  @Test
+  void aColdBackendGetsLittle() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.on(
+        new EndpointsUpdated(
+            EndpointListForm.DELTA,
+            List.of(new Endpoint(0, "a", 0, EndpointState.SERVING, 1, f.now))));
+    int cold = 0;
+    int all = 0;
+    for (int i = 0; i < 200; i++) {
+      f.run(25).request("safe", "free", 1);
+      if (f.did(StartAttempt.class)) {
+        StartAttempt s = f.only(StartAttempt.class);
+        cold += s.endpointId() == 0 ? 1 : 0;
+        all++;
+        f.outcome(s, 0, Status.OK, true);
+      }
+    }
+    assertTrue(cold > 0, "it is used at all");
+    assertTrue(cold < all / 8, "under half of a warm backend's quarter: " + cold + " of " + all);
+  }
+
+  @Test
+  void aBackendThatFailsFastRestsAndIsTriedAgain() {
+    PolicyFixture f = PolicyFixture.counted();
+    int early = failsFast(f, 100);
+    assertTrue(early < 20, "sends to the failing backend: " + early);
+    for (int i = 0, met = 0; met == 0; i++) {
+      assertTrue(i < 2000, "never tried again");
+      f.run(25).request("safe", "free", 1);
+      StartAttempt s = f.only(StartAttempt.class);
+      met += s.endpointId() == 0 ? 1 : 0;
+      f.outcome(s, 0, Status.OK, true);
+    }
+  }
+
+  private static int failsFast(PolicyFixture f, int requests) {
+    int failing = 0;
+    for (int i = 0; i < requests; i++) {
+      f.run(25).request("safe", "free", 1);
+      StartAttempt s = f.only(StartAttempt.class);
+      int attempt = 0;
+      while (s.endpointId() == 0) {
+        failing++;
+        f.outcome(s, attempt++, Status.ERROR, false);
+        if (!f.did(StartAttempt.class)) {
+          break;
+        }
+        s = f.only(StartAttempt.class);
+      }
+      f.outcome(s, attempt, Status.OK, true);
+    }
+    return failing;
+  }
+
+  /** Guards incidents ifcb77b and i3b6be0: an old bad report must not shun a backend for good. */
+  @Test
+  void anOldReportFades() {
+    PolicyFixture f = PolicyFixture.counted();
+    StartAttempt busy = null;
+    for (int i = 0; i < 4; i++) {
+      f.request("safe", "free", 1);
+      StartAttempt s = f.only(StartAttempt.class);
+      busy = busy == null ? s : busy;
+      f.report(s, 0, s == busy ? 30 : 0);
+    }
+    Set<Long> met = new HashSet<>();
+    for (int i = 0; i < 200; i++) {
+      f.run(25).request("safe", "free", 1);
+      StartAttempt s = f.only(StartAttempt.class);
+      met.add(s.endpointId());
+      f.report(s, 0, 1);
+    }
+    assertTrue(met.contains(busy.endpointId()));
+  }
+
+  @Test
+  void aFullFleetRefusesEarly() {
+    PolicyFixture f = PolicyFixture.counted();
+    for (int i = 0; i < 60; i++) {
+      f.request("safe", "free", 1);
+      if (i >= 30 && f.did(StartAttempt.class)) {
+        StartAttempt s = f.only(StartAttempt.class);
+        f.on(new AttemptEnded(s.requestId(), 0, s.endpointId(), Status.OK, 900, true, 0, null));
+      }
+    }
+    f.request("safe", "free", 1);
+    assertTrue(f.did(RejectRequest.class));
+  }
+
+  @Test
+  void aRosterThatMustBeAskedForIsFollowedAndAskedForAgain() {
+    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 2, true));
+    assertTrue(f.did(WatchEndpoints.class));
+    f.on(new EndpointsUpdated(EndpointListForm.FAILED, List.of()));
+    f.on(new TimerFired(Timer.ENDPOINT_WATCH));
+    assertTrue(f.did(WatchEndpoints.class));
+  }
+
+  private static PolicySettings changed(PolicySettings s, Idempotency repeatOfSafe, int attempts) {
+    List<RequestClass> classes =
+        s.requestClasses().stream()
+            .map(
+                c ->
+                    !c.name().equals("safe")
+                        ? c
+                        : new RequestClass(
+                            "safe",
+                            1,
+                            0,
+                            1000,
+                            4000,
+                            repeatOfSafe,
+                            DeduplicationScope.ALL,
+                            0,
+                            false))
+            .toList();
+    Capabilities a = s.capabilities();
+    return new PolicySettings(
+        s.gatewayCount(),
+        s.gatewayIndex(),
+        s.zone(),
+        s.maxRequestUnits(),
+        s.crossZonePrice(),
+        s.endpointWeightsTold(),
+        classes,
+        s.plans(),
+        new Capabilities(
+            a.sharedCounter(),
+            a.counterTimeoutMs(),
+            a.cancellation(),
+            a.hedging(),
+            attempts,
+            a.maxOpenRequests(),
+            a.retryAfter(),
+            a.maxRetryAfterMs(),
+            a.pollsDiscovery()),
+        s.rules());
+  }
+
+  /** What is open goes by the rules it came under, what comes afterwards by the new ones. */
+  @Test
+  void openRequestsKeepTheirClassWhenSettingsChange() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("safe", "free", 1);
+    StartAttempt open = f.only(StartAttempt.class);
+    PolicySettings unsafe =
+        changed(PolicyFixture.settings(true, 2, false), Idempotency.NOT_IDEMPOTENT, 4);
+    f.on(new SettingsChanged(unsafe));
+    f.outcome(open, 0, Status.RESET, false);
+    assertTrue(f.did(StartAttempt.class), "it may run again");
+    f.on(
+        new RequestReceived(
+            "late", unsafe.requestClasses().get(0), "free", 42, 2, 1, f.now + 4000));
+    f.outcome(f.only(StartAttempt.class), 0, Status.RESET, false);
+    assertTrue(f.did(FailRequest.class), "that may not");
+  }
+
+  /** The fewer attempts of those allowed when it came and those allowed now break neither. */
+  @Test
+  void attemptsStayWithinBothSettings() {
+    for (int changed : new int[] {1, 9}) {
+      PolicyFixture f = PolicyFixture.counted();
+      f.request("safe", "free", 1);
+      StartAttempt open = f.only(StartAttempt.class);
+      f.on(
+          new SettingsChanged(
+              changed(PolicyFixture.settings(true, 2, false), Idempotency.IDEMPOTENT, changed)));
+      int attempts = 1;
+      for (f.outcome(open, 0, Status.NOT_SENT, false); f.did(StartAttempt.class); attempts++) {
+        f.outcome(open = f.only(StartAttempt.class), attempts, Status.NOT_SENT, false);
+      }
+      assertEquals(Math.min(4, changed), attempts);
+    }
+  }
+
+  /** A customer that has spent its quota has spent it under new settings too. */
+  @Test
+  void countsLiveOnWhenSettingsChange() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.request("safe", "rated", 4);
+    f.total(200);
+    assertTrue(f.did(RejectRequest.class));
+    f.on(
+        new SettingsChanged(
+            changed(PolicyFixture.settings(true, 2, false), Idempotency.IDEMPOTENT, 3)));
+    f.request("safe", "rated", 4);
+    assertTrue(f.did(RejectRequest.class), "without asking again");
+  }
+
+  /**
+   * A body that is handed on takes its customer's place at a backend only once all of it is there.
+   */
+  @Test
+  void aRequestIsOutOnceItsBodyIsWhole() {
+    PolicyFixture f = PolicyFixture.counted();
+    f.on(
+        new RequestReceived(
+            "large", PolicyFixture.type("safe"), "narrow", 42, 2, 1, Double.POSITIVE_INFINITY));
+    StartAttempt large = f.only(StartAttempt.class);
+    f.request("safe", "narrow", 1);
+    f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
+    f.on(new RequestBodyComplete("large", f.now + 4000));
+    f.request("safe", "narrow", 1);
+    assertTrue(f.did(RejectRequest.class), "one is out, which is this gateway's part");
+    f.outcome(large, 0, Status.OK, true);
+    f.request("safe", "narrow", 1);
+    assertTrue(f.did(StartAttempt.class));
+  }
+
+  /** What was handed on is gone; what never reached a backend can go to another. */
+  @Test
+  void aBodyThatWasHandedOnIsNotSentAgain() {
+    for (Status status : new Status[] {Status.CONNECT_FAILED, Status.WRITE_INCOMPLETE}) {
+      PolicyFixture f = PolicyFixture.counted();
+      f.on(
+          new RequestReceived(
+              "large", PolicyFixture.type("safe"), "free", 42, 2, 1, Double.POSITIVE_INFINITY));
+      f.outcome(f.only(StartAttempt.class), 0, status, false);
+      assertEquals(status == Status.CONNECT_FAILED, f.did(StartAttempt.class));
+      assertEquals(status == Status.WRITE_INCOMPLETE, f.did(RejectRequest.class));
+    }
+  }
+}
--- a/src/test/java/willowdoor/CeilingTest.java
+++ b/src/test/java/quotagateway/policy/HardLimitTest.java
@@ -1,4 +1,4 @@
-package willowdoor;
+package quotagateway.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -7,16 +7,16 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import willowdoor.GatewayApi.Action;
-import willowdoor.GatewayApi.Add;
-import willowdoor.GatewayApi.Counted;
-import willowdoor.GatewayApi.Outcome;
-import willowdoor.GatewayApi.Request;
-import willowdoor.GatewayApi.Send;
-import willowdoor.GatewayApi.Status;
+import quotagateway.policy.action.Action;
+import quotagateway.policy.action.IncrementCounter;
+import quotagateway.policy.action.StartAttempt;
+import quotagateway.policy.event.AttemptEnded;
+import quotagateway.policy.event.CounterReplied;
+import quotagateway.policy.event.RequestReceived;
+import quotagateway.policy.event.Status;
 
 /** Several gateways against one count that fails in every way: the ceiling's store must hold. */
-class CeilingTest {
+class HardLimitTest {
 
   private final Map<String, Double> counts = new HashMap<>();
   private double store;
@@ -30,7 +30,8 @@
     for (int seed = 0; seed < 40; seed++) {
       play(seed);
       assertTrue(
-          lowest >= -Fixtures.CEILED.ceilingSlack(), "seed " + seed + ": store at " + lowest);
+          lowest >= -PolicyFixture.CEILED.hardLimitSlackUnits(),
+          "seed " + seed + ": store at " + lowest);
       assertTrue(sent > 50, "seed " + seed + ": only " + sent + " sent");
     }
   }
@@ -38,16 +39,16 @@
   private void play(int seed) {
     SplittableRandom random = new SplittableRandom(seed);
     counts.clear();
-    lowest = store = Fixtures.CEILED.ceilingBurst();
+    lowest = store = PolicyFixture.CEILED.hardLimitBurstUnits();
     storeAt = 1_000_000;
     sent = 0;
-    Fixtures[] gateways = new Fixtures[2];
+    PolicyFixture[] gateways = new PolicyFixture[2];
     double trouble = random.nextDouble();
     for (int step = 0; step < 3000; step++) {
       double now = 1_000_000 + step * 25.0;
       int i = random.nextInt(2);
       if (gateways[i] == null || random.nextDouble() < 0.001) {
-        gateways[i] = new Fixtures(Fixtures.settings(true, 2, false), now);
+        gateways[i] = new PolicyFixture(PolicyFixture.settings(true, 2, false), now);
         gateways[i].backends(4);
       }
       if (random.nextDouble() < 0.002) {
@@ -56,34 +57,35 @@
       gateways[i].now = now;
       units = 1 + random.nextInt(4);
       gateways[i].on(
-          new Request("s" + step, Fixtures.type("safe"), "ceiled", 42, 2, units, now + 4000));
+          new RequestReceived(
+              "s" + step, PolicyFixture.type("safe"), "ceiled", 42, 2, units, now + 4000));
       answer(gateways[i], gateways[i].last, random, step % 400 < 200 ? trouble : 0);
     }
   }
 
   private void answer(
-      Fixtures gateway, List<Action> actions, SplittableRandom random, double trouble) {
+      PolicyFixture gateway, List<Action> actions, SplittableRandom random, double trouble) {
     for (Action action : actions) {
-      if (action instanceof Add a) {
+      if (action instanceof IncrementCounter a) {
         boolean fails = random.nextDouble() < trouble;
         boolean adds = !fails || random.nextBoolean();
-        double total = adds ? counts.merge(a.name(), a.amount(), Double::sum) : 0;
+        double total = adds ? counts.merge(a.counterName(), a.amount(), Double::sum) : 0;
         Status status = fails ? Status.TIMED_OUT : Status.OK;
-        gateway.on(new Counted(a.name(), status, total, 2));
+        gateway.on(new CounterReplied(a.counterName(), status, total, 2));
         answer(gateway, gateway.last, random, trouble);
-      } else if (action instanceof Send s) {
+      } else if (action instanceof StartAttempt s) {
         take(gateway.now, gateway, s);
       }
     }
   }
 
-  private void take(double now, Fixtures gateway, Send s) {
-    double filled = store + Fixtures.CEILED.ceilingRate() * (now - storeAt) / 1000;
-    store = Math.min(Fixtures.CEILED.ceilingBurst(), filled);
+  private void take(double now, PolicyFixture gateway, StartAttempt s) {
+    double filled = store + PolicyFixture.CEILED.hardLimitUnitsPerSecond() * (now - storeAt) / 1000;
+    store = Math.min(PolicyFixture.CEILED.hardLimitBurstUnits(), filled);
     storeAt = now;
     store -= units;
     lowest = Math.min(lowest, store);
     sent++;
-    gateway.on(new Outcome(s.request(), 0, s.backend(), Status.OK, 50, true, 1, null));
+    gateway.on(new AttemptEnded(s.requestId(), 0, s.endpointId(), Status.OK, 50, true, 1, null));
   }
 }
--- a/src/test/java/willowdoor/ColdBackendTest.java
+++ b/src/test/java/quotagateway/policy/SlowStartTest.java
@@ -1,4 +1,4 @@
-package willowdoor;
+package quotagateway.policy;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -14,34 +14,35 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import willowdoor.GatewayApi.Action;
-import willowdoor.GatewayApi.BackendEntry;
-import willowdoor.GatewayApi.Load;
-import willowdoor.GatewayApi.Outcome;
-import willowdoor.GatewayApi.Phase;
-import willowdoor.GatewayApi.Request;
-import willowdoor.GatewayApi.Roster;
-import willowdoor.GatewayApi.RosterForm;
-import willowdoor.GatewayApi.Rules;
-import willowdoor.GatewayApi.Send;
-import willowdoor.GatewayApi.Settings;
-import willowdoor.GatewayApi.Status;
-import willowdoor.GatewayApi.Woken;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointListForm;
+import quotagateway.endpoint.EndpointState;
+import quotagateway.policy.action.Action;
+import quotagateway.policy.action.StartAttempt;
+import quotagateway.policy.action.Timer;
+import quotagateway.policy.event.AttemptEnded;
+import quotagateway.policy.event.EndpointsUpdated;
+import quotagateway.policy.event.LoadReport;
+import quotagateway.policy.event.RequestReceived;
+import quotagateway.policy.event.Status;
+import quotagateway.policy.event.TimerFired;
+import quotagateway.policy.settings.PolicySettings;
+import quotagateway.policy.settings.ServiceRules;
 
 /**
  * A simulated fleet of gateways before backends of one core each, some of which restart. A cold
  * backend falls when all gateways together send it more than N + 2 sqrt(N) + 2 requests within the
  * span of the rules, N being the tip multiple of what it can do in that span.
  */
-class ColdBackendTest {
+class SlowStartTest {
 
   private static final double SERVICE_MS = 100;
   private static final double STEP_MS = 5;
   private static final double WARM_UP_MS = 10_000;
-  private static final Rules USUAL = Fixtures.settings(true, 1, false).rules();
+  private static final ServiceRules USUAL = PolicyFixture.settings(true, 1, false).rules();
 
   /** A short span and a long way to warm: gateways could save up more than a span bears. */
-  private static final Rules SLOW_TO_WARM = new Rules(8, 0.1, 60_000, 2, 1_000);
+  private static final ServiceRules SLOW_TO_WARM = new ServiceRules(8, 0.1, 60_000, 2, 1_000);
 
   /** A backend that works on one request at a time. */
   private static final class SimulatedBackend {
@@ -51,12 +52,12 @@
     double highestShareOfBound;
   }
 
-  private record Answer(double at, Fixtures gateway, Outcome outcome) {}
+  private record Answer(double at, PolicyFixture gateway, AttemptEnded outcome) {}
 
-  private Rules rules = USUAL;
+  private ServiceRules rules = USUAL;
   private double load;
   private final SplittableRandom random = new SplittableRandom(5);
-  private final List<Fixtures> gateways = new ArrayList<>();
+  private final List<PolicyFixture> gateways = new ArrayList<>();
   private final List<SimulatedBackend> backends = new ArrayList<>();
   private final PriorityQueue<Answer> answers =
       new PriorityQueue<>((a, b) -> Double.compare(a.at(), b.at()));
@@ -88,32 +89,37 @@
     }
   }
 
-  private Fixtures gateway(int number, int size) {
-    Fixtures gateway = new Fixtures(settings(size, number), now);
-    return gateway.on(new Roster(RosterForm.REMEMBERED, entries()));
+  private PolicyFixture gateway(int number, int size) {
+    PolicyFixture gateway = new PolicyFixture(settings(size, number), now);
+    return gateway.on(new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, entries()));
   }
 
-  private Settings settings(int size, int number) {
-    Settings s = Fixtures.settings(true, size, false, number);
-    return new Settings(
+  private PolicySettings settings(int size, int number) {
+    PolicySettings s = PolicyFixture.settings(true, size, false, number);
+    return new PolicySettings(
         size,
         number,
         s.zone(),
-        s.maxUnits(),
+        s.maxRequestUnits(),
         s.crossZonePrice(),
-        s.sizesTold(),
-        s.classes(),
+        s.endpointWeightsTold(),
+        s.requestClasses(),
         s.plans(),
-        s.allowed(),
+        s.capabilities(),
         rules);
   }
 
-  private List<BackendEntry> entries() {
-    List<BackendEntry> entries = new ArrayList<>();
+  private List<Endpoint> entries() {
+    List<Endpoint> entries = new ArrayList<>();
     for (int i = 0; i < backends.size(); i++) {
       entries.add(
-          new BackendEntry(
-              i, i % 2 == 0 ? "a" : "b", i / 4, Phase.SERVING, 1, backends.get(i).startedMs));
+          new Endpoint(
+              i,
+              i % 2 == 0 ? "a" : "b",
+              i / 4,
+              EndpointState.SERVING,
+              1,
+              backends.get(i).startedMs));
     }
     return entries;
   }
@@ -126,16 +132,24 @@
           backends.get(i).freeAt = now;
         });
     List<Answer> lost =
-        answers.stream().filter(a -> numbers.contains((int) a.outcome().backend())).toList();
+        answers.stream().filter(a -> numbers.contains((int) a.outcome().endpointId())).toList();
     answers.removeAll(lost);
-    gateways.forEach(g -> g.pass(now - g.now).on(new Roster(RosterForm.COMPLETE, entries())));
+    gateways.forEach(
+        g -> g.pass(now - g.now).on(new EndpointsUpdated(EndpointListForm.SNAPSHOT, entries())));
     lost.forEach(
         a -> {
-          Outcome o = a.outcome();
+          AttemptEnded o = a.outcome();
           a.gateway()
               .on(
-                  new Outcome(
-                      o.request(), o.attempt(), o.backend(), Status.RESET, 20, false, 0, null));
+                  new AttemptEnded(
+                      o.requestId(),
+                      o.attempt(),
+                      o.endpointId(),
+                      Status.RESET,
+                      20,
+                      false,
+                      0,
+                      null));
           hand(a.gateway());
         });
   }
@@ -147,7 +161,7 @@
       now += STEP_MS;
       while (!answers.isEmpty() && answers.peek().at() <= now) {
         Answer a = answers.poll();
-        served += a.outcome().over() ? 1 : 0;
+        served += a.outcome().requestFinished() ? 1 : 0;
         a.gateway().pass(now - a.gateway().now).on(a.outcome());
         hand(a.gateway());
       }
@@ -158,9 +172,9 @@
         boolean first = random.nextDouble() < partOfFirst;
         request(gateways.get(first ? 0 : random.nextInt(gateways.size())));
       }
-      for (Fixtures g : gateways) {
+      for (PolicyFixture g : gateways) {
         if (now - begin >= 25 && (now - begin) % 25 < STEP_MS) {
-          g.pass(now - g.now).on(new Woken("tick"));
+          g.pass(now - g.now).on(new TimerFired(Timer.REQUEST_CHECK));
           hand(g);
         }
       }
@@ -169,30 +183,32 @@
 
   /** It forgets all; its clients hear nothing of what it held. */
   private void restartGateway(int number) {
-    Fixtures before = gateways.get(number);
+    PolicyFixture before = gateways.get(number);
     answers.removeIf(a -> a.gateway() == before);
     gateways.set(number, gateway(number, gateways.size()));
   }
 
-  private void request(Fixtures gateway) {
+  private void request(PolicyFixture gateway) {
     String id = "q" + next++;
     requests++;
     gateway
         .pass(now - gateway.now)
-        .on(new Request(id, Fixtures.type(type), "free", next, gateways.size(), 1, now + 4000));
+        .on(
+            new RequestReceived(
+                id, PolicyFixture.type(type), "free", next, gateways.size(), 1, now + 4000));
     hand(gateway);
   }
 
-  private void hand(Fixtures gateway) {
+  private void hand(PolicyFixture gateway) {
     for (Action a : List.copyOf(gateway.last)) {
-      if (a instanceof Send s) {
-        take(gateway, s, backends.get((int) s.backend()));
+      if (a instanceof StartAttempt s) {
+        take(gateway, s, backends.get((int) s.endpointId()));
       }
     }
   }
 
-  private void take(Fixtures gateway, Send send, SimulatedBackend b) {
-    int attempt = attempts.merge(send.request(), 1, Integer::sum) - 1;
+  private void take(PolicyFixture gateway, StartAttempt send, SimulatedBackend b) {
+    int attempt = attempts.merge(send.requestId(), 1, Integer::sum) - 1;
     double share = share(b);
     if (b.startedMs > 0) {
       count(b, share);
@@ -203,30 +219,32 @@
         new Answer(
             b.freeAt,
             gateway,
-            new Outcome(
-                send.request(),
+            new AttemptEnded(
+                send.requestId(),
                 attempt,
-                send.backend(),
+                send.endpointId(),
                 fails ? Status.ERROR : Status.OK,
                 b.freeAt - now,
                 !fails,
                 0,
-                new Load((b.freeAt - now) * share / SERVICE_MS, SERVICE_MS / share))));
+                new LoadReport((b.freeAt - now) * share / SERVICE_MS, SERVICE_MS / share))));
   }
 
   private double share(SimulatedBackend b) {
     return b.startedMs == 0
         ? 1
         : Math.min(
-            1, rules.coldFrom() + (1 - rules.coldFrom()) * (now - b.startedMs) / rules.coldMs());
+            1,
+            rules.warmUpInitialShare()
+                + (1 - rules.warmUpInitialShare()) * (now - b.startedMs) / rules.warmUpMs());
   }
 
   private void count(SimulatedBackend b, double share) {
     b.sentWithinSpan.add(now);
-    while (b.sentWithinSpan.peek() <= now - rules.tipAfterMs()) {
+    while (b.sentWithinSpan.peek() <= now - rules.overloadWindowMs()) {
       b.sentWithinSpan.poll();
     }
-    double allowed = rules.tipMultiple() * share * rules.tipAfterMs() / SERVICE_MS;
+    double allowed = rules.overloadMultiple() * share * rules.overloadWindowMs() / SERVICE_MS;
     double bound = allowed + 2 * Math.sqrt(allowed) + 2;
     if (share < 1) {
       b.highestShareOfBound = Math.max(b.highestShareOfBound, b.sentWithinSpan.size() / bound);
@@ -242,7 +260,7 @@
     requests = 0;
     served = 0;
     restart(IntStream.range(0, cold).boxed().toList());
-    run(Math.min(rules.coldMs(), 20_000), load);
+    run(Math.min(rules.warmUpMs(), 20_000), load);
     String fleet = size + " gateways, " + cold + " cold of " + backends.size() + ": ";
     double highest = backends.stream().mapToDouble(b -> b.highestShareOfBound).max().orElse(0);
     double part = served / (double) requests;
--- a/src/test/java/willowdoor/scale/BackendSweep.java
+++ b/src/test/java/quotagateway/scale/BackendSweep.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.io.IOException;
 import java.io.Writer;
@@ -6,15 +6,16 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import willowdoor.GatewayApi.Action;
-import willowdoor.GatewayApi.BackendEntry;
-import willowdoor.GatewayApi.Phase;
-import willowdoor.GatewayApi.Roster;
-import willowdoor.GatewayApi.RosterForm;
-import willowdoor.GatewayApi.WakeAt;
-import willowdoor.GatewayApi.Woken;
-import willowdoor.QuotaPolicy;
-import willowdoor.net.WireFormats;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointListForm;
+import quotagateway.endpoint.EndpointState;
+import quotagateway.policy.GatewayPolicy;
+import quotagateway.policy.action.Action;
+import quotagateway.policy.action.ScheduleTimer;
+import quotagateway.policy.action.Timer;
+import quotagateway.policy.event.EndpointsUpdated;
+import quotagateway.policy.event.TimerFired;
+import quotagateway.testing.WireFormats;
 
 /**
  * What the decision module pays for the length of its list: for a change, a lost zone, and to hold
@@ -35,9 +36,9 @@
   private static final int LEAST_HELD = 100_000;
 
   /**
-   * The module asks by this label for a further turn, in which it removes more of those that left.
+   * The module asks by this timer for a further turn, in which it removes more of those that left.
    */
-  private static final String SWEEP = "sweep";
+  private static final Timer SWEEP = Timer.ENDPOINT_SWEEP;
 
   /** Entries of one message: less than the reader takes at once. */
   private static final int MESSAGE = 5_000;
@@ -65,19 +66,19 @@
   private void measure(Measurement.Subject subject, int size, Plan plan, Report report)
       throws IOException {
     RosterModel model = new RosterModel(size, 7070, plan.seed());
-    QuotaPolicy[] copies =
-        new QuotaPolicy[Math.max(1, (plan.quick() ? LEAST_HELD / 10 : LEAST_HELD) / size)];
+    GatewayPolicy[] copies =
+        new GatewayPolicy[Math.max(1, (plan.quick() ? LEAST_HELD / 10 : LEAST_HELD) / size)];
     double[] firstMs = new double[copies.length];
     long before = Stopwatch.liveHeap();
     for (int i = 0; i < copies.length; i++) {
-      copies[i] = new QuotaPolicy(ScaleSettings.of(GATEWAYS, i), plan.seed());
+      copies[i] = new GatewayPolicy(ScaleSettings.of(GATEWAYS, i), plan.seed());
       copies[i].start(0);
       firstMs[i] = fill(copies[i], model);
     }
     double heapEach = (Stopwatch.liveHeap() - before) / (double) copies.length / size;
     report.add(Measurement.of(subject, size, "first_list_ms", firstMs));
     report.add(Measurement.of(subject, size, "heap_bytes_each", heapEach));
-    QuotaPolicy policy = copies[0];
+    GatewayPolicy policy = copies[0];
     copies = null;
     double third = plan.secondsEach() / 3;
     double[] changeMs = changes(policy, model, plan.quick() ? QUICK_CHANGES : MOST_CHANGES, third);
@@ -87,26 +88,28 @@
   }
 
   /** Reads the list in messages and hands it on; gives the processor time of both. */
-  private static double fill(QuotaPolicy policy, RosterModel model) throws IOException {
+  private static double fill(GatewayPolicy policy, RosterModel model) throws IOException {
     double spent = 0;
     List<RosterModel.Change> all =
-        model.converters().stream().map(c -> new RosterModel.Change(c, Phase.SERVING)).toList();
-    List<BackendEntry> entries = new ArrayList<>();
+        model.converters().stream()
+            .map(c -> new RosterModel.Change(c, EndpointState.SERVING))
+            .toList();
+    List<Endpoint> entries = new ArrayList<>();
     for (int from = 0; from < all.size(); from += MESSAGE) {
       List<RosterModel.Change> part = all.subList(from, Math.min(all.size(), from + MESSAGE));
       byte[] message = model.changeMessage(part).getBytes(StandardCharsets.UTF_8);
       double cpu = Stopwatch.cpuMs();
-      entries.addAll(WireFormats.roster(message).entries());
+      entries.addAll(WireFormats.roster(message).endpoints());
       spent += Stopwatch.cpuMs() - cpu;
     }
     double cpu = Stopwatch.cpuMs();
-    policy.on(1, new Roster(RosterForm.REMEMBERED, entries));
+    policy.on(1, new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, entries));
     return spent + Stopwatch.cpuMs() - cpu;
   }
 
-  private double[] changes(QuotaPolicy policy, RosterModel model, int most, double seconds)
+  private double[] changes(GatewayPolicy policy, RosterModel model, int most, double seconds)
       throws IOException {
-    List<Roster> news = new ArrayList<>();
+    List<EndpointsUpdated> news = new ArrayList<>();
     for (int i = 0; i < most / 3; i++) {
       for (RosterModel.Change change : model.replaceOne(1 + i)) {
         news.add(roster(model, List.of(change)));
@@ -116,30 +119,30 @@
     return Stopwatch.repeat(news.size(), seconds, () -> policy.on(2, news.get(next[0]++)));
   }
 
-  private static Roster roster(RosterModel model, List<RosterModel.Change> changes)
+  private static EndpointsUpdated roster(RosterModel model, List<RosterModel.Change> changes)
       throws IOException {
-    List<BackendEntry> entries = new ArrayList<>();
+    List<Endpoint> entries = new ArrayList<>();
     for (int from = 0; from < changes.size(); from += MESSAGE) {
       List<RosterModel.Change> part =
           changes.subList(from, Math.min(changes.size(), from + MESSAGE));
       String message = model.changeMessage(part);
-      entries.addAll(WireFormats.roster(message.getBytes(StandardCharsets.UTF_8)).entries());
+      entries.addAll(WireFormats.roster(message.getBytes(StandardCharsets.UTF_8)).endpoints());
     }
-    return new Roster(RosterForm.CHANGES, entries);
+    return new EndpointsUpdated(EndpointListForm.DELTA, entries);
   }
 
   /**
    * Zones go one after the other, each coming back before the next; the longest turn of the loop
    * each.
    */
-  private static double[] zones(QuotaPolicy policy, RosterModel model, double seconds)
+  private static double[] zones(GatewayPolicy policy, RosterModel model, double seconds)
       throws IOException {
     double until = Stopwatch.wallMs() + 1000 * seconds;
     double[] times = new double[MOST_ZONES];
     int done = 0;
     do {
-      Roster gone = roster(model, model.zone(done, Phase.REMOVED));
-      Roster back = roster(model, model.zone(done, Phase.SERVING));
+      EndpointsUpdated gone = roster(model, model.zone(done, EndpointState.REMOVED));
+      EndpointsUpdated back = roster(model, model.zone(done, EndpointState.SERVING));
       times[done++] = longestTurn(policy, gone);
       longestTurn(policy, back);
     } while (done < MOST_ZONES && Stopwatch.wallMs() < until);
@@ -147,20 +150,20 @@
   }
 
   /** Applies a message as the program does; gives the processor time of the longest turn. */
-  private static double longestTurn(QuotaPolicy policy, Roster message) {
+  private static double longestTurn(GatewayPolicy policy, EndpointsUpdated message) {
     double longest = 0;
     List<Action> actions = new ArrayList<>();
-    for (Roster piece : WireFormats.turns(message)) {
+    for (EndpointsUpdated piece : WireFormats.turns(message)) {
       longest =
           Math.max(longest, Stopwatch.repeat(1, 0, () -> actions.addAll(policy.on(3, piece)))[0]);
     }
     while (actions.stream()
-        .anyMatch(action -> action instanceof WakeAt wake && wake.label().equals(SWEEP))) {
+        .anyMatch(action -> action instanceof ScheduleTimer wake && wake.timer().equals(SWEEP))) {
       actions.clear();
       longest =
           Math.max(
               longest,
-              Stopwatch.repeat(1, 0, () -> actions.addAll(policy.on(4, new Woken(SWEEP))))[0]);
+              Stopwatch.repeat(1, 0, () -> actions.addAll(policy.on(4, new TimerFired(SWEEP))))[0]);
     }
     return longest;
   }
@@ -168,7 +171,7 @@
   /**
    * Whole requests: the call to the counter, the answer to it, the attempt, and the end of that.
    */
-  private static double[] requests(QuotaPolicy policy, double seconds) {
+  private static double[] requests(GatewayPolicy policy, double seconds) {
     RequestCycle cycle = new RequestCycle(policy, 1_000, CUSTOMERS);
     int batch = MOST_REQUESTS / 40;
     double[] times =
--- a/src/test/java/willowdoor/scale/ChangeSweep.java
+++ b/src/test/java/quotagateway/scale/ChangeSweep.java
@@ -1,14 +1,14 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import willowdoor.GatewayApi.Roster;
-import willowdoor.GatewayApi.RosterForm;
-import willowdoor.QuotaPolicy;
-import willowdoor.net.WireFormats;
+import quotagateway.endpoint.EndpointListForm;
+import quotagateway.policy.GatewayPolicy;
+import quotagateway.policy.event.EndpointsUpdated;
+import quotagateway.testing.WireFormats;
 
 /**
  * Changes a second at the target's length of the list: the share of a core that reading and taking
@@ -34,9 +34,9 @@
     report.budget("each_alone_bytes_per_s", 19_000);
     int size = plan.quick() ? QUICK_BACKENDS : BACKENDS;
     RosterModel model = new RosterModel(size, 7070, plan.seed());
-    QuotaPolicy policy = new QuotaPolicy(ScaleSettings.of(2_000, 0), plan.seed());
+    GatewayPolicy policy = new GatewayPolicy(ScaleSettings.of(2_000, 0), plan.seed());
     policy.start(0);
-    policy.on(1, new Roster(RosterForm.REMEMBERED, model.entries()));
+    policy.on(1, new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, model.entries()));
     taken(policy, messages(model, 20, 1));
     double[] rates =
         plan.quick() ? new double[] {1, 10} : new double[] {0.1, 0.3, 1, 3, 10, 30, 100};
@@ -83,11 +83,11 @@
     return messages.stream().mapToInt(m -> m.length).average().orElse(0);
   }
 
-  private static void taken(QuotaPolicy policy, List<byte[]> messages) {
+  private static void taken(GatewayPolicy policy, List<byte[]> messages) {
     messages.forEach(m -> take(policy, m));
   }
 
-  private static void take(QuotaPolicy policy, byte[] message) {
+  private static void take(GatewayPolicy policy, byte[] message) {
     try {
       policy.on(2, WireFormats.roster(message));
     } catch (IOException e) {
@@ -97,7 +97,7 @@
 
   /** Processor time of each message, over the time until the next one comes. */
   private static double[] shares(
-      QuotaPolicy policy, List<byte[]> messages, double apartSeconds, double seconds) {
+      GatewayPolicy policy, List<byte[]> messages, double apartSeconds, double seconds) {
     int[] next = new int[1];
     double[] times =
         Stopwatch.repeat(messages.size(), seconds, () -> take(policy, messages.get(next[0]++)));
--- a/src/test/java/willowdoor/scale/ConverterModel.java
+++ b/src/test/java/quotagateway/scale/ConverterModel.java
@@ -1,7 +1,7 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.util.SplittableRandom;
-import willowdoor.GatewayApi.Status;
+import quotagateway.policy.event.Status;
 
 /** A stand-in for one converter: one core, a queue of bounded length, exponential service times. */
 final class ConverterModel {
@@ -58,7 +58,7 @@
   Ending attempt(double nowMs, double limitMs) {
     if (health != Health.UP) {
       double after = health == Health.DIED ? ROUND_TRIP_MS : DIAL_LIMIT_MS;
-      return new Ending(Status.UNREACHABLE, Math.min(after, limitMs));
+      return new Ending(Status.CONNECT_FAILED, Math.min(after, limitMs));
     }
     double queuedMs = Math.max(0, freeAtMs - nowMs);
     if (queuedMs > MOST_QUEUED_MS) {
--- a/src/test/java/willowdoor/scale/CounterCall.java
+++ b/src/test/java/quotagateway/scale/CounterCall.java
@@ -1,8 +1,8 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
-import willowdoor.GatewayApi.Add;
-import willowdoor.GatewayApi.Counted;
-import willowdoor.GatewayApi.Status;
+import quotagateway.policy.action.IncrementCounter;
+import quotagateway.policy.event.CounterReplied;
+import quotagateway.policy.event.Status;
 
 /**
  * One call of a hollow front door, to its shard and back; it ends once, at its limit at the latest.
@@ -13,11 +13,11 @@
 
   private final HollowFleet fleet;
   private final HollowDoor door;
-  private final Add add;
+  private final IncrementCounter add;
   private final double begunMs;
   private boolean done;
 
-  CounterCall(HollowFleet fleet, HollowDoor door, Add add) {
+  CounterCall(HollowFleet fleet, HollowDoor door, IncrementCounter add) {
     this.fleet = fleet;
     this.door = door;
     this.add = add;
@@ -25,13 +25,13 @@
   }
 
   void write(String line) {
-    FleetFigures figures = fleet.figures(HollowFleet.customer(add.name()));
+    FleetFigures figures = fleet.figures(HollowFleet.customer(add.counterName()));
     figures.counterCalls++;
     figures.counterBytes += line.length();
     String call = line.stripTrailing();
     fleet.time().at(begunMs + ScaleSettings.COUNT_LIMIT_MS, () -> end(Status.TIMED_OUT, 0));
-    if (fleet.reachesShard(door, add.name())) {
-      fleet.time().after(ONE_WAY_MS, () -> fleet.shard(add.name()).call(call, this));
+    if (fleet.reachesShard(door, add.counterName())) {
+      fleet.time().after(ONE_WAY_MS, () -> fleet.shard(add.counterName()).call(call, this));
     }
   }
 
@@ -42,7 +42,7 @@
         .after(
             ONE_WAY_MS,
             () -> {
-              fleet.figures(HollowFleet.customer(add.name())).counterBytes +=
+              fleet.figures(HollowFleet.customer(add.counterName())).counterBytes +=
                   done ? 0 : text.length() + 2;
               if (text.startsWith("ok ")) {
                 end(Status.OK, Double.parseDouble(text.substring(3)));
@@ -54,7 +54,7 @@
 
   @Override
   public void refused() {
-    end(Status.UNREACHABLE, 0);
+    end(Status.CONNECT_FAILED, 0);
   }
 
   @Override
@@ -65,7 +65,7 @@
   private void end(Status status, double total) {
     if (!done) {
       done = true;
-      door.counted(new Counted(add.name(), status, total, fleet.now() - begunMs));
+      door.counted(new CounterReplied(add.counterName(), status, total, fleet.now() - begunMs));
     }
   }
 }
--- a/src/test/java/willowdoor/scale/CounterShard.java
+++ b/src/test/java/quotagateway/scale/CounterShard.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.util.HashMap;
 import java.util.Locale;
--- a/src/test/java/willowdoor/scale/DiscoveryAgent.java
+++ b/src/test/java/quotagateway/scale/DiscoveryAgent.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.io.BufferedReader;
 import java.io.Closeable;
--- a/src/test/java/willowdoor/scale/DiscoveryModel.java
+++ b/src/test/java/quotagateway/scale/DiscoveryModel.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/src/test/java/willowdoor/scale/DoorSweep.java
+++ b/src/test/java/quotagateway/scale/DoorSweep.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 /**
  * Front doors at the same total load: what each role carries, and whether the decisions get worse.
--- a/src/test/java/willowdoor/scale/FleetFigures.java
+++ b/src/test/java/quotagateway/scale/FleetFigures.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import org.HdrHistogram.Histogram;
 
--- a/src/test/java/willowdoor/scale/FleetOptions.java
+++ b/src/test/java/quotagateway/scale/FleetOptions.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 /**
  * A fleet of hollow front doors and its load.
--- a/src/test/java/willowdoor/scale/FleetReport.java
+++ b/src/test/java/quotagateway/scale/FleetReport.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 /** The figures of a fleet that every sweep over fleets reports. */
 final class FleetReport {
--- a/src/test/java/willowdoor/scale/HollowDoor.java
+++ b/src/test/java/quotagateway/scale/HollowDoor.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -6,24 +6,24 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import willowdoor.GatewayApi.Action;
-import willowdoor.GatewayApi.Add;
-import willowdoor.GatewayApi.BackendEntry;
-import willowdoor.GatewayApi.Cancel;
-import willowdoor.GatewayApi.Counted;
-import willowdoor.GatewayApi.Event;
-import willowdoor.GatewayApi.Fail;
-import willowdoor.GatewayApi.Outcome;
-import willowdoor.GatewayApi.Refuse;
-import willowdoor.GatewayApi.Request;
-import willowdoor.GatewayApi.Roster;
-import willowdoor.GatewayApi.RosterForm;
-import willowdoor.GatewayApi.Send;
-import willowdoor.GatewayApi.Status;
-import willowdoor.GatewayApi.WakeAt;
-import willowdoor.GatewayApi.Woken;
-import willowdoor.QuotaPolicy;
-import willowdoor.net.WireFormats;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointListForm;
+import quotagateway.policy.GatewayPolicy;
+import quotagateway.policy.action.Action;
+import quotagateway.policy.action.CancelAttempt;
+import quotagateway.policy.action.FailRequest;
+import quotagateway.policy.action.IncrementCounter;
+import quotagateway.policy.action.RejectRequest;
+import quotagateway.policy.action.ScheduleTimer;
+import quotagateway.policy.action.StartAttempt;
+import quotagateway.policy.event.AttemptEnded;
+import quotagateway.policy.event.CounterReplied;
+import quotagateway.policy.event.EndpointsUpdated;
+import quotagateway.policy.event.Event;
+import quotagateway.policy.event.RequestReceived;
+import quotagateway.policy.event.Status;
+import quotagateway.policy.event.TimerFired;
+import quotagateway.testing.WireFormats;
 
 /** A front door without sockets: the real module and the real message formats, on virtual time. */
 final class HollowDoor {
@@ -37,7 +37,7 @@
     final double units;
     final double cameAtMs;
     int attempts;
-    Send lastSend;
+    StartAttempt lastSend;
     double lastSentAtMs;
     final BitSet ended = new BitSet();
     boolean finished;
@@ -55,7 +55,7 @@
 
   private final HollowFleet fleet;
   private final int number;
-  private final QuotaPolicy policy;
+  private final GatewayPolicy policy;
   private final Map<String, Open> open = new HashMap<>();
 
   /** When the connection to a converter that was used last falls idle. */
@@ -66,12 +66,12 @@
   HollowDoor(HollowFleet fleet, int number, long seed) {
     this.fleet = fleet;
     this.number = number;
-    policy = new QuotaPolicy(ScaleSettings.of(fleet.options().doors(), number), seed);
+    policy = new GatewayPolicy(ScaleSettings.of(fleet.options().doors(), number), seed);
   }
 
-  void start(List<BackendEntry> known) {
+  void start(List<Endpoint> known) {
     policy.start(fleet.now()).forEach(this::execute);
-    deliver(new Roster(RosterForm.REMEMBERED, known));
+    deliver(new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, known));
   }
 
   int number() {
@@ -95,7 +95,7 @@
     open.put(id, new Open(customer, units, fleet.now()));
     double giveUpMs = fleet.now() + ScaleSettings.CLASS.deadlineMs();
     deliver(
-        new Request(
+        new RequestReceived(
             id,
             ScaleSettings.CLASS,
             ScaleSettings.PLAN.name(),
@@ -123,20 +123,20 @@
   }
 
   private void execute(Action action) {
-    if (action instanceof WakeAt wake) {
-      fleet.time().at(wake.atMs(), () -> deliver(new Woken(wake.label())));
-    } else if (action instanceof Add add) {
+    if (action instanceof ScheduleTimer wake) {
+      fleet.time().at(wake.atMs(), () -> deliver(new TimerFired(wake.timer())));
+    } else if (action instanceof IncrementCounter add) {
       count(add);
-    } else if (action instanceof Send send) {
+    } else if (action instanceof StartAttempt send) {
       send(send);
-    } else if (action instanceof Refuse refuse) {
-      refuse(open.get(refuse.request()));
-      finish(refuse.request());
-    } else if (action instanceof Fail fail) {
-      fleet.figures(open.get(fail.request()).customer).failed++;
-      finish(fail.request());
-    } else if (action instanceof Cancel cancel) {
-      Open request = open.get(cancel.request());
+    } else if (action instanceof RejectRequest refuse) {
+      refuse(open.get(refuse.requestId()));
+      finish(refuse.requestId());
+    } else if (action instanceof FailRequest fail) {
+      fleet.figures(open.get(fail.requestId()).customer).failed++;
+      finish(fail.requestId());
+    } else if (action instanceof CancelAttempt cancel) {
+      Open request = open.get(cancel.requestId());
       if (request != null) {
         ended(
             request.lastSend,
@@ -164,17 +164,17 @@
     }
   }
 
-  private void count(Add add) {
+  private void count(IncrementCounter add) {
     CounterCall call = new CounterCall(fleet, this, add);
     call.write(WireFormats.counterCall(add));
   }
 
-  void counted(Counted answer) {
+  void counted(CounterReplied answer) {
     deliver(answer);
   }
 
-  private void send(Send send) {
-    Open request = open.get(send.request());
+  private void send(StartAttempt send) {
+    Open request = open.get(send.requestId());
     FleetFigures figures = fleet.figures(request.customer);
     int attempt = request.attempts++;
     request.lastSend = send;
@@ -186,9 +186,9 @@
       figures.sentBeyond += within ? 0 : 1;
       figures.added(fleet.now() - request.cameAtMs);
     }
-    connect(send.backend(), figures);
+    connect(send.endpointId(), figures);
     double begun = fleet.now();
-    ConverterModel converter = fleet.converter(send.backend(), number);
+    ConverterModel converter = fleet.converter(send.endpointId(), number);
     ConverterModel.Ending planned = converter.attempt(begun, send.timeoutMs());
     fleet
         .time()
@@ -207,21 +207,23 @@
     }
   }
 
-  private void ended(Send send, int attempt, Status status, double latencyMs) {
-    Open request = open.get(send.request());
+  private void ended(StartAttempt send, int attempt, Status status, double latencyMs) {
+    Open request = open.get(send.requestId());
     if (!up || request == null || request.ended.get(attempt)) {
       return;
     }
     request.ended.set(attempt);
     if (status == Status.OK) {
-      idleSinceMs.put(send.backend(), fleet.now());
+      idleSinceMs.put(send.endpointId(), fleet.now());
       fleet.figures(request.customer).served += request.finished ? 0 : 1;
       request.finished = true;
     }
     boolean over = request.finished;
     if (request.forgettable()) {
-      open.remove(send.request());
+      open.remove(send.requestId());
     }
-    deliver(new Outcome(send.request(), attempt, send.backend(), status, latencyMs, over, 0, null));
+    deliver(
+        new AttemptEnded(
+            send.requestId(), attempt, send.endpointId(), status, latencyMs, over, 0, null));
   }
 }
--- a/src/test/java/willowdoor/scale/HollowFleet.java
+++ b/src/test/java/quotagateway/scale/HollowFleet.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.IntPredicate;
-import willowdoor.GatewayApi.BackendEntry;
+import quotagateway.endpoint.Endpoint;
 
 /**
  * Hollow front doors with their load and all that they speak to, in one process on virtual time.
@@ -69,15 +69,21 @@
             options.shards(), time, options.shardCallMs(), ScaleSettings.COUNT_LIMIT_MS);
     ledger =
         new QuotaLedger(
-            options.customers(), ScaleSettings.PLAN.rate(), ScaleSettings.PLAN.burst(), START_MS);
+            options.customers(),
+            ScaleSettings.PLAN.unitsPerSecond(),
+            ScaleSettings.PLAN.burstUnits(),
+            START_MS);
     granting =
         new QuotaLedger(
-            options.customers(), ScaleSettings.PLAN.rate(), ScaleSettings.PLAN.burst(), START_MS);
+            options.customers(),
+            ScaleSettings.PLAN.unitsPerSecond(),
+            ScaleSettings.PLAN.burstUnits(),
+            START_MS);
     demand = demand();
     unreachable = newConverter(0);
     unreachable.fail(ConverterModel.Health.VANISHED, 0);
     roster.converters().forEach(c -> converters.put(c.id(), new Placed(newConverter(0), c.zone())));
-    List<BackendEntry> known = roster.entries();
+    List<Endpoint> known = roster.entries();
     for (int i = 0; i < options.doors(); i++) {
       HollowDoor door = new HollowDoor(this, i, random.nextLong());
       doors.add(door);
@@ -129,7 +135,7 @@
     double share = demand[customer] - (customer == 0 ? 0 : demand[customer - 1]);
     double perSecond = share / demand[demand.length - 1] * options.requestsPerSecond();
     double meanUnits = (1 + ScaleSettings.MOST_UNITS) / 2;
-    return perSecond * meanUnits < LIGHT_USE * ScaleSettings.PLAN.rate();
+    return perSecond * meanUnits < LIGHT_USE * ScaleSettings.PLAN.unitsPerSecond();
   }
 
   /** The n-th front door of a customer's set. */
--- a/src/test/java/willowdoor/scale/IncidentSweep.java
+++ b/src/test/java/quotagateway/scale/IncidentSweep.java
@@ -1,10 +1,10 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.IntPredicate;
 import java.util.function.Predicate;
-import willowdoor.GatewayApi.Phase;
+import quotagateway.endpoint.EndpointState;
 
 /**
  * What a fleet in nine regions does before an incident, while it lasts, and in the minute after it.
@@ -136,7 +136,7 @@
     List<RosterModel.Converter> gone = fleet.roster().converters().stream().filter(which).toList();
     fleet.failConverters(gone, ConverterModel.Health.VANISHED);
     List<RosterModel.Change> changes =
-        gone.stream().map(c -> new RosterModel.Change(c, Phase.REMOVED)).toList();
+        gone.stream().map(c -> new RosterModel.Change(c, EndpointState.REMOVED)).toList();
     fleet.time().after(NOTICE_MS, () -> fleet.discovery().tell(changes));
   }
 
--- a/src/test/java/willowdoor/scale/LoopPing.java
+++ b/src/test/java/quotagateway/scale/LoopPing.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/src/test/java/willowdoor/scale/OtherVersion.java
+++ b/src/test/java/quotagateway/scale/OtherVersion.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.io.File;
 import java.io.IOException;
@@ -9,7 +9,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.Collectors;
-import willowdoor.QuotaPolicy;
+import quotagateway.policy.GatewayPolicy;
 
 /**
  * Another working copy, built by its own deploy/scale.sh: the same sweep, in a process of its own
@@ -25,7 +25,7 @@
 
   /** Where this process has the program's classes from. */
   static String programClasses() {
-    return QuotaPolicy.class.getProtectionDomain().getCodeSource().getLocation().getPath();
+    return GatewayPolicy.class.getProtectionDomain().getCodeSource().getLocation().getPath();
   }
 
   /**
--- a/src/test/java/willowdoor/scale/ProgramProcess.java
+++ b/src/test/java/quotagateway/scale/ProgramProcess.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.io.Closeable;
 import java.io.File;
@@ -40,7 +40,7 @@
     command.add("-Djava.io.tmpdir=" + folder);
     command.add("-cp");
     command.add(programClasses + File.pathSeparator + libraries());
-    command.addAll(List.of("willowdoor.Main", "serve"));
+    command.addAll(List.of("quotagateway.Main", "serve"));
     ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().put("GW_CONFIG", config.toString());
     builder.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile());
--- a/src/test/java/willowdoor/scale/ProgramSweep.java
+++ b/src/test/java/quotagateway/scale/ProgramSweep.java
@@ -1,11 +1,11 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
-import willowdoor.GatewayApi.Phase;
+import quotagateway.endpoint.EndpointState;
 
 /**
  * The real front door, started with the options of the run line, and an agent with a list of each
@@ -111,12 +111,12 @@
       throws IOException {
     double[] held = new double[zones];
     for (int zone = 0; zone < zones; zone++) {
-      List<RosterModel.Change> gone = new ArrayList<>(model.zone(zone, Phase.REMOVED));
+      List<RosterModel.Change> gone = new ArrayList<>(model.zone(zone, EndpointState.REMOVED));
       ping.reset();
       agent.tell(model.changeMessage(gone));
       settle(program);
       held[zone] = ping.longestMs();
-      agent.tell(model.changeMessage(model.zone(zone, Phase.SERVING)));
+      agent.tell(model.changeMessage(model.zone(zone, EndpointState.SERVING)));
       settle(program);
     }
     return held;
--- a/src/test/java/willowdoor/scale/Report.java
+++ b/src/test/java/quotagateway/scale/Report.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
--- a/src/test/java/willowdoor/scale/RequestCycle.java
+++ b/src/test/java/quotagateway/scale/RequestCycle.java
@@ -1,17 +1,18 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.util.List;
-import willowdoor.GatewayApi.Action;
-import willowdoor.GatewayApi.Add;
-import willowdoor.GatewayApi.Counted;
-import willowdoor.GatewayApi.Outcome;
-import willowdoor.GatewayApi.Refuse;
-import willowdoor.GatewayApi.Request;
-import willowdoor.GatewayApi.Send;
-import willowdoor.GatewayApi.Status;
-import willowdoor.GatewayApi.WakeAt;
-import willowdoor.GatewayApi.Woken;
-import willowdoor.QuotaPolicy;
+import quotagateway.policy.GatewayPolicy;
+import quotagateway.policy.action.Action;
+import quotagateway.policy.action.IncrementCounter;
+import quotagateway.policy.action.RejectRequest;
+import quotagateway.policy.action.ScheduleTimer;
+import quotagateway.policy.action.StartAttempt;
+import quotagateway.policy.action.Timer;
+import quotagateway.policy.event.AttemptEnded;
+import quotagateway.policy.event.CounterReplied;
+import quotagateway.policy.event.RequestReceived;
+import quotagateway.policy.event.Status;
+import quotagateway.policy.event.TimerFired;
 
 /**
  * Takes requests through one module at once: the counter grants each, and a converter answers it.
@@ -21,7 +22,7 @@
   private static final double COUNTER_MS = 1;
   private static final double CONVERTER_MS = 20;
 
-  private final QuotaPolicy policy;
+  private final GatewayPolicy policy;
   private final double apartMs;
   private double nowMs;
   private double wakeAtMs;
@@ -33,7 +34,7 @@
    * Requests that come so far apart, so that of customers drawn evenly each asks for one unit a
    * second, which is half of what the plan gives.
    */
-  RequestCycle(QuotaPolicy policy, double nowMs, int customers) {
+  RequestCycle(GatewayPolicy policy, double nowMs, int customers) {
     this.policy = policy;
     apartMs = 1000.0 / customers;
     this.nowMs = nowMs;
@@ -51,13 +52,13 @@
   void serve(long customer, double units) {
     nowMs += apartMs;
     if (nowMs >= wakeAtMs) {
-      policy.on(nowMs, new Woken("tick")).forEach(this::follow);
+      policy.on(nowMs, new TimerFired(Timer.REQUEST_CHECK)).forEach(this::follow);
     }
     String id = Integer.toString(number++, 36);
     List<Action> actions =
         policy.on(
             nowMs,
-            new Request(
+            new RequestReceived(
                 id,
                 ScaleSettings.CLASS,
                 ScaleSettings.PLAN.name(),
@@ -71,21 +72,21 @@
   }
 
   private void follow(Action action) {
-    if (action instanceof Add add) {
+    if (action instanceof IncrementCounter add) {
       policy
-          .on(nowMs, new Counted(add.name(), Status.OK, add.amount(), COUNTER_MS))
+          .on(nowMs, new CounterReplied(add.counterName(), Status.OK, add.amount(), COUNTER_MS))
           .forEach(this::follow);
-    } else if (action instanceof Send send) {
+    } else if (action instanceof StartAttempt send) {
       served++;
       policy
           .on(
               nowMs,
-              new Outcome(
-                  send.request(), 0, send.backend(), Status.OK, CONVERTER_MS, true, 0, null))
+              new AttemptEnded(
+                  send.requestId(), 0, send.endpointId(), Status.OK, CONVERTER_MS, true, 0, null))
           .forEach(this::follow);
-    } else if (action instanceof Refuse) {
+    } else if (action instanceof RejectRequest) {
       refused++;
-    } else if (action instanceof WakeAt wake) {
+    } else if (action instanceof ScheduleTimer wake) {
       wakeAtMs = wake.atMs();
     }
   }
--- a/src/test/java/willowdoor/scale/RosterModel.java
+++ b/src/test/java/quotagateway/scale/RosterModel.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import willowdoor.GatewayApi.BackendEntry;
-import willowdoor.GatewayApi.Phase;
-import willowdoor.net.WireFormats;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointState;
+import quotagateway.testing.WireFormats;
 
 /** The list of converters as discovery holds it, and the ways in which it changes. */
 final class RosterModel {
@@ -49,18 +49,18 @@
   private Converter next(int number, int zone, long startedMs) {
     Converter unnumbered =
         new Converter(String.format("s-%08x", number * 0x9E3779B1), number, zone, startedMs, 0, 0);
-    BackendEntry read = read(unnumbered);
-    return new Converter(unnumbered.name, number, zone, startedMs, read.id(), read.place());
+    Endpoint read = read(unnumbered);
+    return new Converter(unnumbered.name, number, zone, startedMs, read.id(), read.address());
   }
 
   /**
    * With the numbers that the program makes of the name and of the address, told by the program
    * itself.
    */
-  private BackendEntry read(Converter converter) {
-    String text = message(false, List.of(new Change(converter, Phase.SERVING)));
+  private Endpoint read(Converter converter) {
+    String text = message(false, List.of(new Change(converter, EndpointState.SERVING)));
     try {
-      return WireFormats.roster(text.getBytes(StandardCharsets.UTF_8)).entries().get(0);
+      return WireFormats.roster(text.getBytes(StandardCharsets.UTF_8)).endpoints().get(0);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -79,7 +79,7 @@
   }
 
   /** One change of an entry, in the order in which discovery tells them. */
-  record Change(Converter converter, Phase phase) {}
+  record Change(Converter converter, EndpointState phase) {}
 
   /** One converter drains, leaves, and another takes its place in its zone: three changes. */
   List<Change> replaceOne(long nowMs) {
@@ -88,32 +88,33 @@
     Converter replacement = next(named++, old.zone(), nowMs);
     converters.set(place, replacement);
     return List.of(
-        new Change(old, Phase.DRAINING),
-        new Change(old, Phase.REMOVED),
-        new Change(replacement, Phase.SERVING));
+        new Change(old, EndpointState.DRAINING),
+        new Change(old, EndpointState.REMOVED),
+        new Change(replacement, EndpointState.SERVING));
   }
 
   /** All entries of a zone, as they are when it goes or returns; the list itself keeps them. */
-  List<Change> zone(int zone, Phase phase) {
+  List<Change> zone(int zone, EndpointState phase) {
     return converters.stream()
         .filter(c -> c.zone() == zone)
         .map(c -> new Change(c, phase))
         .toList();
   }
 
-  static BackendEntry entry(Change change) {
+  static Endpoint entry(Change change) {
     Converter c = change.converter();
-    return new BackendEntry(
+    return new Endpoint(
         c.id(), c.zoneName(), c.cell(), change.phase(), 1, c.startedMs(), c.place());
   }
 
-  List<BackendEntry> entries() {
-    return converters.stream().map(c -> entry(new Change(c, Phase.SERVING))).toList();
+  List<Endpoint> entries() {
+    return converters.stream().map(c -> entry(new Change(c, EndpointState.SERVING))).toList();
   }
 
   /** The whole list as one message. */
   String wholeMessage() {
-    return message(true, converters.stream().map(c -> new Change(c, Phase.SERVING)).toList());
+    return message(
+        true, converters.stream().map(c -> new Change(c, EndpointState.SERVING)).toList());
   }
 
   /** Changes as the next message. */
--- a/src/test/java/willowdoor/scale/ScaleTest.java
+++ b/src/test/java/quotagateway/scale/ScaleTest.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -25,11 +25,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
-import willowdoor.GatewayApi.Phase;
-import willowdoor.GatewayApi.Roster;
-import willowdoor.GatewayApi.RosterForm;
-import willowdoor.GatewayApi.Status;
-import willowdoor.net.WireFormats;
+import quotagateway.endpoint.EndpointListForm;
+import quotagateway.endpoint.EndpointState;
+import quotagateway.policy.event.EndpointsUpdated;
+import quotagateway.policy.event.Status;
+import quotagateway.testing.WireFormats;
 
 /**
  * The scale tests themselves: stand-ins, figures, and the quick form of each sweep; never a time.
@@ -155,20 +155,20 @@
     ConverterModel.Ending planned = converter.attempt(200_000, 4_000);
     converter.fail(ConverterModel.Health.DIED, 200_000.1);
     assertEquals(Status.RESET, converter.revised(planned, 200_000).status());
-    assertEquals(Status.UNREACHABLE, converter.attempt(200_001, 4_000).status());
+    assertEquals(Status.CONNECT_FAILED, converter.attempt(200_001, 4_000).status());
   }
 
   @Test
   void theListIsReadByTheProgramAndItsChangesNameTheSameConverters() throws IOException {
     RosterModel model = new RosterModel(57, 7070, 3);
-    Roster whole = WireFormats.roster(bytes(model.wholeMessage()));
-    assertEquals(RosterForm.COMPLETE, whole.form());
-    assertEquals(model.entries(), whole.entries());
+    EndpointsUpdated whole = WireFormats.roster(bytes(model.wholeMessage()));
+    assertEquals(EndpointListForm.SNAPSHOT, whole.form());
+    assertEquals(model.entries(), whole.endpoints());
     List<RosterModel.Change> changes = model.replaceOne(5);
-    Roster told = WireFormats.roster(bytes(model.changeMessage(changes)));
-    assertEquals(RosterForm.CHANGES, told.form());
-    assertEquals(changes.stream().map(RosterModel::entry).toList(), told.entries());
-    assertEquals(3, model.zone(1, Phase.REMOVED).size());
+    EndpointsUpdated told = WireFormats.roster(bytes(model.changeMessage(changes)));
+    assertEquals(EndpointListForm.DELTA, told.form());
+    assertEquals(changes.stream().map(RosterModel::entry).toList(), told.endpoints());
+    assertEquals(3, model.zone(1, EndpointState.REMOVED).size());
     assertEquals(57, model.size());
   }
 
--- a/src/test/java/willowdoor/scale/ShardSweep.java
+++ b/src/test/java/quotagateway/scale/ShardSweep.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 /**
  * Shards of the counter: what each carries, and what customers get of whom the shard is silent or
--- a/src/test/java/willowdoor/scale/SpreadSweep.java
+++ b/src/test/java/quotagateway/scale/SpreadSweep.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 /**
  * Through how many front doors a customer comes, at the same number of front doors and the same
--- a/src/test/java/willowdoor/scale/Stopwatch.java
+++ b/src/test/java/quotagateway/scale/Stopwatch.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
--- a/src/test/java/willowdoor/scale/TenantSweep.java
+++ b/src/test/java/quotagateway/scale/TenantSweep.java
@@ -1,11 +1,11 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.io.Writer;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
-import willowdoor.GatewayApi.Roster;
-import willowdoor.GatewayApi.RosterForm;
-import willowdoor.QuotaPolicy;
+import quotagateway.endpoint.EndpointListForm;
+import quotagateway.policy.GatewayPolicy;
+import quotagateway.policy.event.EndpointsUpdated;
 
 /**
  * Customers that one front door has met within a minute: memory of their accounts, and cost of a
@@ -43,10 +43,12 @@
   private static void measure(Measurement.Subject subject, int size, Plan plan, Report report) {
     int held = plan.quick() ? LEAST_HELD / 10 : LEAST_HELD;
     RequestCycle[] copies = new RequestCycle[Math.max(1, held / size)];
-    Roster roster =
-        new Roster(RosterForm.REMEMBERED, new RosterModel(BACKENDS, 7070, plan.seed()).entries());
+    EndpointsUpdated roster =
+        new EndpointsUpdated(
+            EndpointListForm.CACHED_SNAPSHOT,
+            new RosterModel(BACKENDS, 7070, plan.seed()).entries());
     for (int i = 0; i < copies.length; i++) {
-      QuotaPolicy policy = new QuotaPolicy(ScaleSettings.of(2_000, i), plan.seed());
+      GatewayPolicy policy = new GatewayPolicy(ScaleSettings.of(2_000, i), plan.seed());
       policy.start(0);
       policy.on(1, roster);
       copies[i] = new RequestCycle(policy, 1_000, size);
--- a/src/test/java/willowdoor/scale/VirtualTime.java
+++ b/src/test/java/quotagateway/scale/VirtualTime.java
@@ -1,4 +1,4 @@
-package willowdoor.scale;
+package quotagateway.scale;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
--- a/src/test/java/willowdoor/net/AdminServerTest.java
+++ b/src/test/java/quotagateway/server/AdminServerTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -10,7 +10,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowdoor.net.Peers.Client;
+import quotagateway.testing.Peers;
+import quotagateway.testing.Peers.Client;
 
 /** What operators are told, whatever clients and other callers do; and what their calls change. */
 @Timeout(30)
@@ -93,7 +94,7 @@
 
   @Test
   void answersWhileTheClientsLoopStandsStill() throws Exception {
-    FrontDoor door = peers.start();
+    GatewayServer door = peers.start();
     CountDownLatch go = new CountDownLatch(1);
     door.loop.execute(
         () -> {
--- a/src/test/java/willowdoor/net/ClientLeavingTest.java
+++ b/src/test/java/quotagateway/server/ClientDisconnectTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,11 +19,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import willowdoor.net.Peers.Client;
+import quotagateway.testing.Peers;
+import quotagateway.testing.Peers.Client;
 
 /** No attempt begins for a client that has left, whatever its request waited for when it did. */
 @Timeout(30)
-class ClientLeavingTest {
+class ClientDisconnectTest {
 
   /** After this a connection to a backend is used again. */
   private static final long SETTLED_MS = 20;
@@ -56,7 +57,7 @@
   private final Peers peers = new Peers();
   private final CountDownLatch resume = new CountDownLatch(1);
   private final BlockingQueue<OutputStream> asked = new LinkedBlockingQueue<>();
-  private FrontDoor door;
+  private GatewayServer door;
 
   @AfterEach
   void close() throws Exception {
--- a/src/test/java/willowdoor/net/LateReadTest.java
+++ b/src/test/java/quotagateway/server/DelayedReadTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,12 +11,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowdoor.net.Peers.Client;
-import willowdoor.net.Peers.Message;
+import quotagateway.testing.Peers;
+import quotagateway.testing.Peers.Client;
+import quotagateway.testing.Peers.Message;
 
 /** What came while the front door stood still, as one that is short of CPU does. */
 @Timeout(30)
-class LateReadTest {
+class DelayedReadTest {
 
   private final Peers peers = new Peers();
   private final CountDownLatch standing = new CountDownLatch(1);
@@ -24,7 +25,7 @@
 
   @BeforeEach
   void standStill() throws Exception {
-    FrontDoor door = peers.start();
+    GatewayServer door = peers.start();
     assertEquals(200, peers.client().ask(Peers.get("first", 3000)).status());
     Peers.next(peers.atBackend);
     door.loop.execute(
--- a/src/test/java/willowdoor/net/DiscoveryTest.java
+++ b/src/test/java/quotagateway/server/DiscoveryTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -21,7 +21,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowdoor.net.Peers.Client;
+import quotagateway.discovery.DiscoveryClient;
+import quotagateway.testing.Peers;
+import quotagateway.testing.Peers.Client;
 
 /** The list of backends: how changes arrive, and what follows from them. */
 @Timeout(40)
@@ -291,7 +293,7 @@
   @Test
   void saysWhatIsWrongWithAConfiguration() throws IOException {
     String good = peers.config();
-    assertEquals(50, Peers.parse(good).settings().allowed().countLimitMs());
+    assertEquals(50, Peers.parse(good).settings().capabilities().counterTimeoutMs());
     for (String[] bad :
         new String[][] {
           {"127.0.0.1:0", "somewhere:80", "listen"},
--- a/src/test/java/willowdoor/net/FrontDoorTest.java
+++ b/src/test/java/quotagateway/server/GatewayServerTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -24,12 +24,13 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowdoor.net.Peers.Client;
-import willowdoor.net.Peers.Message;
+import quotagateway.testing.Peers;
+import quotagateway.testing.Peers.Client;
+import quotagateway.testing.Peers.Message;
 
 /** The real front door between small peers on loopback. */
 @Timeout(30)
-class FrontDoorTest {
+class GatewayServerTest {
 
   private final Peers peers = new Peers();
 
@@ -281,7 +282,7 @@
   /** A planned end: what was taken is answered, and the answer ends the connection. */
   @Test
   void drainsWithoutLosingARequest() throws Exception {
-    FrontDoor door = peers.start();
+    GatewayServer door = peers.start();
     CountDownLatch told = new CountDownLatch(1);
     peers.answer =
         (request, out) -> {
@@ -323,7 +324,7 @@
       port = free.getLocalPort();
     }
     List<Boolean> listeningAtLine = new CopyOnWriteArrayList<>();
-    Logger log = Logger.getLogger(FrontDoor.class.getName());
+    Logger log = Logger.getLogger(GatewayServer.class.getName());
     Handler handler =
         new Handler() {
           @Override
--- a/src/test/java/willowdoor/net/InheritedSignalTest.java
+++ b/src/test/java/quotagateway/server/InheritedSignalTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,6 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import quotagateway.testing.Peers;
 
 /** The real program, started by a shell that ignores SIGHUP as nohup and some supervisors do. */
 @Timeout(60)
@@ -58,7 +59,7 @@
   void startFailsWhereSighupStaysIgnored() throws Exception {
     start("");
     assertFailedStart(
-        "willowdoor: cannot serve: SIGHUP cannot be handled: it was ignored when the program"
+        "quota-gateway: cannot serve: SIGHUP cannot be handled: it was ignored when the program"
             + " started; start it by env --default-signal=HUP");
   }
 
@@ -67,7 +68,7 @@
   void startFailsWhereTheJvmForbidsHandlers() throws Exception {
     start(launcher(), "-Xrs");
     assertFailedStart(
-        "willowdoor: cannot serve: SIGHUP cannot be handled: Signal already used by VM or OS:"
+        "quota-gateway: cannot serve: SIGHUP cannot be handled: Signal already used by VM or OS:"
             + " SIGHUP");
   }
 
@@ -94,7 +95,7 @@
             "-Djava.io.tmpdir=" + folder,
             "-cp",
             System.getProperty("java.class.path"),
-            "willowdoor.Main",
+            "quotagateway.Main",
             "serve"));
     ProcessBuilder builder =
         new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(outputFile().toFile());
--- a/src/test/java/willowdoor/net/BadBackendTest.java
+++ b/src/test/java/quotagateway/server/MalformedResponseTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,11 +8,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowdoor.net.Peers.Client;
+import quotagateway.testing.Peers;
+import quotagateway.testing.Peers.Client;
 
 /** Answers that come spoilt, and good ones that bring more than belongs to them. */
 @Timeout(30)
-class BadBackendTest {
+class MalformedResponseTest {
 
   private final Peers peers = new Peers();
 
--- a/src/test/java/willowdoor/net/BadClientTest.java
+++ b/src/test/java/quotagateway/server/MisbehavingClientTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -15,16 +15,19 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowdoor.net.Peers.Client;
-import willowdoor.net.Peers.Message;
+import quotagateway.config.ResourceLimits;
+import quotagateway.testing.Peers;
+import quotagateway.testing.Peers.Client;
+import quotagateway.testing.Peers.Message;
+import quotagateway.transport.ConnectionBudget;
 
 /** Clients that hold connections, never finish, or send what could be read in two ways. */
 @Timeout(40)
-class BadClientTest {
+class MisbehavingClientTest {
 
   private static final long OWED_NANOS = TimeUnit.SECONDS.toNanos(3);
   private static final int PLACES =
-      new Places(Bounds.of(Peers.FEW_SOCKETS, 128, 1).places()).mostClients();
+      new ConnectionBudget(ResourceLimits.of(Peers.FEW_SOCKETS, 128, 1).places()).mostClients();
 
   private final Peers peers = new Peers();
 
@@ -74,7 +77,7 @@
    */
   @Test
   void clientsAndBackendsNeverHoldMoreThanThereIs() {
-    Places places = new Places(100);
+    ConnectionBudget places = new ConnectionBudget(100);
     int crowd = places.mostClients();
     places.client(crowd);
     int backends = 0;
@@ -93,7 +96,7 @@
    */
   @Test
   void theOverdueAreEndedThoughOneConnectionFails() throws Exception {
-    FrontDoor door = peers.start();
+    GatewayServer door = peers.start();
     Client silent = peers.client();
     FailingChannel failing =
         door.loop
--- a/src/test/java/willowdoor/net/ReloadTest.java
+++ b/src/test/java/quotagateway/server/ReloadTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,7 +11,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import willowdoor.net.Peers.Client;
+import quotagateway.testing.Peers;
+import quotagateway.testing.Peers.Client;
 
 /** A replaced configuration moves discovery and the counter under load. */
 @Timeout(30)
@@ -21,7 +22,7 @@
   private final Peers before = new Peers();
   private final Peers after = new Peers();
   private Path file;
-  private FrontDoor door;
+  private GatewayServer door;
 
   @BeforeEach
   void start() throws Exception {
--- a/src/test/java/willowdoor/net/LimitsTest.java
+++ b/src/test/java/quotagateway/server/ResourceLimitsTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -27,11 +27,15 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import willowdoor.net.Peers.Client;
+import quotagateway.config.ResourceLimits;
+import quotagateway.counter.CounterClient;
+import quotagateway.testing.Peers;
+import quotagateway.testing.Peers.Client;
+import quotagateway.transport.ConnectionBudget;
 
 /** A front door in a process of its own, with the memory of the deploy file and few descriptors. */
 @Timeout(90)
-class LimitsTest {
+class ResourceLimitsTest {
 
   private static final int MANY_SERVERS = 1_500;
   private static final int MEMORY_MB = 192;
@@ -116,7 +120,7 @@
             "-Djava.io.tmpdir=" + folder,
             "-cp",
             System.getProperty("java.class.path"),
-            "willowdoor.Main",
+            "quotagateway.Main",
             "serve"));
     ProcessBuilder program =
         new ProcessBuilder(command)
@@ -230,7 +234,8 @@
       crowdIn.run();
       most = Math.max(most, descriptors());
     }
-    int places = new Places(Bounds.of(sockets, MEMORY_MB, 1).places()).mostClients();
+    int places =
+        new ConnectionBudget(ResourceLimits.of(sockets, MEMORY_MB, 1).places()).mostClients();
     assertTrue(most > places, "clients fill their places: " + most + " descriptors");
     away.set(false);
     long back = System.nanoTime();
--- a/src/test/java/willowdoor/net/StaleEventTest.java
+++ b/src/test/java/quotagateway/server/StaleEventTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -25,7 +25,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowdoor.net.Peers.Client;
+import quotagateway.testing.Peers;
+import quotagateway.testing.Peers.Client;
 
 /**
  * An event of a closed connection, told to the one that took its descriptor's number in the same
@@ -53,7 +54,7 @@
   private final CountDownLatch go = new CountDownLatch(1);
   private final List<EpollSocketChannel> closed = new ArrayList<>();
   private final List<EpollSocketChannel> spare = new ArrayList<>();
-  private FrontDoor door;
+  private GatewayServer door;
 
   @BeforeEach
   void start() throws Exception {
--- a/src/test/java/willowdoor/net/StartTest.java
+++ b/src/test/java/quotagateway/server/StartTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -18,6 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import quotagateway.testing.Peers;
 
 /** What the program loads as it starts by the deploy file: all CPU for it is waited for. */
 @Timeout(60)
@@ -44,7 +45,8 @@
     start("-Xlog:class+load:file=" + log);
     List<String> loaded = Files.readAllLines(log);
     assertTrue(
-        loaded.stream().anyMatch(l -> l.contains("willowdoor.net.WarmUp ")), "the start was seen");
+        loaded.stream().anyMatch(l -> l.contains("quotagateway.server.WarmUp ")),
+        "the start was seen");
     assertEquals(
         List.of(),
         loaded.stream()
@@ -90,7 +92,7 @@
       command.addAll(options());
       command.addAll(
           List.of(
-              option, "-cp", System.getProperty("java.class.path"), "willowdoor.Main", "serve"));
+              option, "-cp", System.getProperty("java.class.path"), "quotagateway.Main", "serve"));
       ProcessBuilder program =
           new ProcessBuilder(command)
               .redirectErrorStream(true)
--- a/src/test/java/willowdoor/net/PassingTest.java
+++ b/src/test/java/quotagateway/server/StreamingTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -18,12 +18,14 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import willowdoor.net.Peers.Client;
-import willowdoor.net.Peers.Message;
+import quotagateway.backend.RequestBody;
+import quotagateway.testing.Peers;
+import quotagateway.testing.Peers.Client;
+import quotagateway.testing.Peers.Message;
 
 /** Bodies and answers that are too large to be held, slow ones, and the forms of HTTP/1.1. */
 @Timeout(60)
-class PassingTest {
+class StreamingTest {
 
   private static final int LARGE = 20 << 20;
 
@@ -93,7 +95,7 @@
   void aConnectionIsReadOnAfterABodyJustTooLargeToBeHeld() throws Exception {
     peers.start();
     Client client = peers.client();
-    assertEquals(200, client.ask(Peers.post("r1", "x".repeat(Body.MOST_HELD + 1))).status());
+    assertEquals(200, client.ask(Peers.post("r1", "x".repeat(RequestBody.MOST_HELD + 1))).status());
     assertEquals(200, client.ask(Peers.get("r2", 3000)).status());
   }
 
@@ -383,7 +385,7 @@
           broken.countDown();
           return true;
         };
-    FrontDoor door = peers.start();
+    GatewayServer door = peers.start();
     Client client = peers.client();
     client.send(Peers.get("r1", 3000));
     client.socket.getInputStream().readNBytes(0x20000);
@@ -409,7 +411,7 @@
     assertEquals(0, held(door));
   }
 
-  private static int held(FrontDoor door) throws Exception {
+  private static int held(GatewayServer door) throws Exception {
     return door.loop.submit(() -> door.clients().driver().held()).sync().getNow();
   }
 
--- a/src/test/java/willowdoor/net/HandoverTest.java
+++ b/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,11 +12,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import willowdoor.net.Peers.Client;
+import quotagateway.config.ResourceLimits;
+import quotagateway.testing.Peers;
+import quotagateway.testing.Peers.Client;
+import quotagateway.transport.ConnectionBudget;
 
 /** A second process beside the old one, which then ends. */
 @Timeout(30)
-class HandoverTest {
+class UpgradeCoordinatorTest {
 
   private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
@@ -35,7 +38,7 @@
    */
   @Test
   void theOldOneEndsWithoutTurningAnybodyAway() throws Exception {
-    FrontDoor old = peers.start();
+    GatewayServer old = peers.start();
     peers.startBeside();
     assertEquals(200, peers.operator("GET /ready"));
     List<Client> before = new ArrayList<>();
@@ -60,7 +63,7 @@
    */
   @Test
   void aLastOneGoesOnAccepting() throws Exception {
-    FrontDoor door = peers.start();
+    GatewayServer door = peers.start();
     Thread end = new Thread(door::end);
     end.start();
     while (door.lifecycle().serving()) {
@@ -74,13 +77,13 @@
   void whatOthersLeftBehindIsNoProcess() throws Exception {
     Files.writeString(folder.resolve("serving-0"), "junk of one that was kil");
     Files.createDirectory(folder.resolve("started-0"));
-    Handover barred = new Handover(folder, "started");
+    UpgradeCoordinator barred = new UpgradeCoordinator(folder, "started");
     barred.enter();
     assertFalse(barred.another(), "what is in the way of a lock is no process either");
-    Handover first = new Handover(folder, "serving");
+    UpgradeCoordinator first = new UpgradeCoordinator(folder, "serving");
     first.enter();
     assertFalse(first.another());
-    Handover second = new Handover(folder, "serving");
+    UpgradeCoordinator second = new UpgradeCoordinator(folder, "serving");
     second.enter();
     assertTrue(first.another());
     assertTrue(second.another());
@@ -91,8 +94,8 @@
    */
   @Test
   void twoProcessesShareTheDescriptors() {
-    Bounds limits = Bounds.of(384, 144, 0.3);
-    Places places = new Places(limits.places());
+    ResourceLimits limits = ResourceLimits.of(384, 144, 0.3);
+    ConnectionBudget places = new ConnectionBudget(limits.places());
     int alone = places.mostClients();
     places.beside(limits.placesBeside());
     assertTrue(places.mostClients() <= alone / 2, places.mostClients() + " of " + alone);
--- a/src/test/java/willowdoor/net/WarmUpTest.java
+++ b/src/test/java/quotagateway/server/WarmUpTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,6 +6,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import quotagateway.testing.Peers;
 
 /** The made-up requests before service. */
 @Timeout(30)
--- a/src/test/java/willowdoor/BenchLinkTest.java
+++ b/src/test/java/quotagateway/simulator/SimulatorAdapterTest.java
@@ -1,4 +1,4 @@
-package willowdoor;
+package quotagateway.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Plays short scripts of the wire and checks the exact replies. */
-class BenchLinkTest {
+class SimulatorAdapterTest {
 
   private static final String ATTACH =
       """
@@ -55,7 +55,8 @@
 
   private static String play(String input) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    new BenchLink(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
+    new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out)
+        .run();
     return out.toString(StandardCharsets.UTF_8);
   }
 
--- a/src/test/java/willowdoor/net/Peers.java
+++ b/src/test/java/quotagateway/testing/Peers.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.testing;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -27,31 +27,34 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
-import willowdoor.JsonFields;
+import quotagateway.config.GatewayConfig;
+import quotagateway.config.JsonFields;
+import quotagateway.server.GatewayServer;
 
 /**
  * Small peers of a front door on loopback, each with its script: backends, counter, discovery,
  * clients.
  */
-final class Peers implements Closeable {
+public final class Peers implements Closeable {
 
-  static final String OK = "HTTP/1.1 200 OK\r\nX-Units-Charged: 2\r\nContent-Length: 4\r\n\r\nfine";
-  static final String NOT_STARTED =
+  public static final String OK =
+      "HTTP/1.1 200 OK\r\nX-Units-Charged: 2\r\nContent-Length: 4\r\n\r\nfine";
+  public static final String NOT_STARTED =
       "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
 
-  static final int FEW_SOCKETS = 160;
+  public static final int FEW_SOCKETS = 160;
 
   /** A message as it came: first line with headers, and body. */
-  record Message(String head, byte[] body) {
-    String firstLine() {
+  public record Message(String head, byte[] body) {
+    public String firstLine() {
       return head.substring(0, head.indexOf("\r\n"));
     }
 
-    int status() {
+    public int status() {
       return Integer.parseInt(head.split(" ")[1]);
     }
 
-    String header(String name) {
+    public String header(String name) {
       String start = name.toLowerCase(Locale.ROOT) + ":";
       return head.lines()
           .filter(l -> l.toLowerCase(Locale.ROOT).startsWith(start))
@@ -60,37 +63,37 @@
           .orElse(null);
     }
 
-    String text() {
+    public String text() {
       return new String(body, StandardCharsets.ISO_8859_1);
     }
   }
 
   /** What a peer does with a connection. */
-  interface Script {
+  public interface Script {
     void run(InputStream in, OutputStream out, Socket socket) throws IOException;
   }
 
   /** What a backend does with a request: true keeps the connection. */
-  interface Answer {
+  public interface Answer {
     boolean to(Message request, OutputStream out) throws IOException;
   }
 
-  final BlockingQueue<Message> atBackend = new LinkedBlockingQueue<>();
-  final BlockingQueue<String> atCounter = new LinkedBlockingQueue<>();
+  public final BlockingQueue<Message> atBackend = new LinkedBlockingQueue<>();
+  public final BlockingQueue<String> atCounter = new LinkedBlockingQueue<>();
 
   /** The connections on which a call of the counter waits for the test's own answer. */
-  final BlockingQueue<OutputStream> unanswered = new LinkedBlockingQueue<>();
+  public final BlockingQueue<OutputStream> unanswered = new LinkedBlockingQueue<>();
 
-  final BlockingQueue<String> watches = new LinkedBlockingQueue<>();
-  final List<OutputStream> watchers = new CopyOnWriteArrayList<>();
-  volatile Answer answer = (request, out) -> write(out, OK);
-  volatile UnaryOperator<String> counting = this::count;
+  public final BlockingQueue<String> watches = new LinkedBlockingQueue<>();
+  public final List<OutputStream> watchers = new CopyOnWriteArrayList<>();
+  public volatile Answer answer = (request, out) -> write(out, OK);
+  public volatile UnaryOperator<String> counting = this::count;
   private final Map<String, Double> counts = new ConcurrentHashMap<>();
   private final List<Closeable> open = new CopyOnWriteArrayList<>();
-  final ServerSocket backend = listen(50, this::serveBackend);
-  final ServerSocket counter = listen(50, this::serveCounter);
-  final ServerSocket discovery = listen(50, this::serveDiscovery);
-  private FrontDoor door;
+  public final ServerSocket backend = listen(50, this::serveBackend);
+  public final ServerSocket counter = listen(50, this::serveCounter);
+  public final ServerSocket discovery = listen(50, this::serveDiscovery);
+  private GatewayServer door;
   private final Path folder = temporary();
 
   private static Path temporary() {
@@ -103,14 +106,14 @@
     }
   }
 
-  static boolean write(OutputStream out, String text) throws IOException {
+  public static boolean write(OutputStream out, String text) throws IOException {
     out.write(text.getBytes(StandardCharsets.ISO_8859_1));
     out.flush();
     return true;
   }
 
   /** Listens on a port of its own and runs the script for each connection. */
-  ServerSocket listen(int backlog, Script script) {
+  public ServerSocket listen(int backlog, Script script) {
     try {
       ServerSocket server = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
       open.add(server);
@@ -134,7 +137,7 @@
   }
 
   /** Ends what listens on that port; who connects is refused from then on. */
-  void closeListeners(int port) throws IOException {
+  public void closeListeners(int port) throws IOException {
     for (Closeable c : open) {
       if (c instanceof ServerSocket server && server.getLocalPort() == port) {
         server.close();
@@ -171,7 +174,7 @@
     }
   }
 
-  void serveCounter(InputStream in, OutputStream out, Socket socket) throws IOException {
+  public void serveCounter(InputStream in, OutputStream out, Socket socket) throws IOException {
     while (true) {
       String line = line(in);
       if (line.equals("ping")) {
@@ -188,7 +191,7 @@
     }
   }
 
-  String count(String line) {
+  public String count(String line) {
     String[] parts = line.split(" ");
     return "ok " + counts.merge(parts[1], Double.valueOf(parts[2]), Double::sum);
   }
@@ -201,13 +204,13 @@
   }
 
   /** Sends bytes of the list as one chunk to the newest watch. */
-  void tell(String bytes) throws IOException {
+  public void tell(String bytes) throws IOException {
     write(
         watchers.get(watchers.size() - 1),
         Integer.toHexString(bytes.length()) + "\r\n" + bytes + "\r\n");
   }
 
-  static String entry(String id, int port, String state) {
+  public static String entry(String id, int port, String state) {
     return "{\"id\":\""
         + id
         + "\",\"addr\":\"127.0.0.1:"
@@ -218,7 +221,7 @@
         + "\",\"weight\":1.0,\"started_ms\":0}";
   }
 
-  static String list(int version, boolean full, String... entries) {
+  public static String list(int version, boolean full, String... entries) {
     return "{\"version\":"
         + version
         + ",\"full\":"
@@ -229,7 +232,7 @@
   }
 
   /** The configuration, with the given backends in its list. */
-  String config(String... entries) {
+  public String config(String... entries) {
     return """
         {"name":"n0","listen":"127.0.0.1:0","mgmt":"127.0.0.1:0",
          "discovery":"127.0.0.1:%d","counter":"127.0.0.1:%d",
@@ -248,7 +251,7 @@
   }
 
   /** The configuration with this test's one backend and limits that leave few places. */
-  String smallConfig() {
+  public String smallConfig() {
     return config(entry("s-1", backend.getLocalPort(), "active"))
         .replace(
             "\"seed\"",
@@ -256,13 +259,13 @@
   }
 
   /** Starts the front door with this test's one backend. */
-  FrontDoor start() throws Exception {
+  public GatewayServer start() throws Exception {
     return start(config(entry("s-1", backend.getLocalPort(), "active")));
   }
 
-  FrontDoor start(String config) throws Exception {
-    FrontDoor before = door;
-    door = FrontDoor.start(parse(config), folder);
+  public GatewayServer start(String config) throws Exception {
+    GatewayServer before = door;
+    door = GatewayServer.start(parse(config), folder);
     if (before != null) {
       open.add(before::stop);
     }
@@ -270,7 +273,7 @@
   }
 
   /** Starts a second process's front door beside the first, at the same address. */
-  FrontDoor startBeside() throws Exception {
+  public GatewayServer startBeside() throws Exception {
     return start(
         config(entry("s-1", backend.getLocalPort(), "active"))
             .replace(
@@ -283,33 +286,33 @@
   }
 
   /** An operator's one call: the status of its answer. */
-  int operator(String call) throws IOException {
+  public int operator(String call) throws IOException {
     try (Client operator = new Client((InetSocketAddress) door.adminAddress())) {
       return operator.ask(call + " HTTP/1.1\r\nHost: x\r\n\r\n").status();
     }
   }
 
   /** An operator that has connected. */
-  Client operator() throws IOException {
+  public Client operator() throws IOException {
     Client client = new Client((InetSocketAddress) door.adminAddress());
     open.add(client);
     return client;
   }
 
-  static Config parse(String json) throws IOException {
+  public static GatewayConfig parse(String json) throws IOException {
     try (JsonParser in = new JsonFactory().createParser(json)) {
       in.nextToken();
-      return Config.of(JsonFields.object(in));
+      return GatewayConfig.of(JsonFields.object(in));
     }
   }
 
-  Client client() throws IOException {
+  public Client client() throws IOException {
     Client client = new Client((InetSocketAddress) door.address());
     open.add(client);
     return client;
   }
 
-  static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
+  public static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
     T found = queue.poll(10, TimeUnit.SECONDS);
     if (found == null) {
       throw new AssertionError("nothing came in 10 s");
@@ -317,7 +320,7 @@
     return found;
   }
 
-  static String get(String id, int timeoutMs) {
+  public static String get(String id, int timeoutMs) {
     return "GET /quote/17?a=%20b&c HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: "
         + id
         + "\r\nRequest-Class: quote\r\nX-Plan: basic\r\nX-Customer: 00000000b4d65521\r\nRequest-Timeout-Ms: "
@@ -325,7 +328,7 @@
         + "\r\nX-Quota: units=2,spread=2,first=1\r\n\r\n";
   }
 
-  static String post(String id, String body) {
+  public static String post(String id, String body) {
     return "POST /buy/9 HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: "
         + id
         + "\r\nRequest-Class: buy\r\nX-Plan: basic\r\nX-Customer: 00000000b4d65521"
@@ -337,7 +340,7 @@
         + body;
   }
 
-  static Message read(InputStream in) throws IOException {
+  public static Message read(InputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     for (String l = line(in); !l.isEmpty(); l = line(in)) {
       head.append(l).append("\r\n");
@@ -385,36 +388,36 @@
   }
 
   /** A client's connection. */
-  static final class Client implements Closeable {
-    final Socket socket;
+  public static final class Client implements Closeable {
+    public final Socket socket;
     private final InputStream in;
 
-    Client(InetSocketAddress address) throws IOException {
+    public Client(InetSocketAddress address) throws IOException {
       socket = new Socket(address.getAddress(), address.getPort());
       socket.setSoTimeout(10_000);
       in = new BufferedInputStream(socket.getInputStream());
     }
 
-    void send(String text) throws IOException {
+    public void send(String text) throws IOException {
       write(socket.getOutputStream(), text);
     }
 
-    Message receive() throws IOException {
+    public Message receive() throws IOException {
       return read(in);
     }
 
-    Message ask(String text) throws IOException {
+    public Message ask(String text) throws IOException {
       send(text);
       return receive();
     }
 
     /** Reads all that follows up to the end of the connection; gives how much it was. */
-    int rest() throws IOException {
+    public int rest() throws IOException {
       return in.readAllBytes().length;
     }
 
     /** True when nothing more comes and the connection ends. */
-    boolean ended() throws IOException {
+    public boolean ended() throws IOException {
       try {
         return in.read() < 0;
       } catch (SocketException e) {
--- a/src/test/java/willowdoor/net/SweepTest.java
+++ b/src/test/java/quotagateway/transport/PeriodicTaskTest.java
@@ -1,4 +1,4 @@
-package willowdoor.net;
+package quotagateway.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class SweepTest {
+class PeriodicTaskTest {
 
   private static void fail() {
     throw new IllegalStateException("as a test has it");
@@ -17,7 +17,7 @@
   @Test
   void whatOneThrowsEndsNoOthersTurn() {
     List<Integer> done = new ArrayList<>();
-    Sweep.each(
+    PeriodicTask.each(
         List.of(1, 2, 3),
         one -> {
           done.add(one);
@@ -32,7 +32,7 @@
   @Test
   void theCollectionMayChangeMeanwhile() {
     List<Integer> all = new ArrayList<>(List.of(1, 2, 3));
-    Sweep.each(all, all::remove);
+    PeriodicTask.each(all, all::remove);
     assertEquals(List.of(), all);
   }
 
@@ -40,7 +40,7 @@
   void aRoundThatThrowsIsNotTheLast() {
     EmbeddedChannel channel = new EmbeddedChannel();
     int[] rounds = new int[1];
-    Sweep.every(
+    PeriodicTask.every(
         channel.eventLoop(),
         100,
         () -> {
