--- a/src/main/java/quotagateway/policy/GatewayPolicy.java
+++ b/src/main/java/quotagateway/policy/GatewayPolicy.java
@@ -2,7 +2,15 @@
 
 import it.unimi.dsi.fastutil.ints.Int2ObjectOpenHashMap;
 import it.unimi.dsi.fastutil.ints.IntArrayList;
-import java.util.*;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
 import quotagateway.endpoint.Endpoint;
 import quotagateway.endpoint.EndpointIndex;
 import quotagateway.endpoint.EndpointListForm;
@@ -24,6 +32,7 @@
 import quotagateway.policy.action.StartAttempt;
 import quotagateway.policy.action.Timer;
 import quotagateway.policy.action.WatchEndpoints;
+import quotagateway.policy.context.DecisionContext;
 import quotagateway.policy.event.AttemptEnded;
 import quotagateway.policy.event.ClientDisconnected;
 import quotagateway.policy.event.CounterReplied;
@@ -244,7 +253,7 @@
   private static final double UNKNOWN_SERVICE_MS = 100;
 
   private PolicySettings settings;
-  private final SplittableRandom random;
+  private final DecisionContext context;
   private final Map<String, Plan> plans = new HashMap<>();
   private List<Action> out = new ArrayList<>();
   private double now, startedAt;
@@ -255,7 +264,7 @@
 
   public GatewayPolicy(PolicySettings settings, long seed, EndpointIndex index) {
     this.settings = settings;
-    this.random = new SplittableRandom(seed);
+    this.context = new DecisionContext(settings, seed);
     this.index = index;
     retriesSaved = Math.max(1, FLEET_RETRIES_SAVED / Math.max(1, settings.gatewayCount()));
     retryTokens = retriesSaved;
@@ -269,9 +278,10 @@
 
   /** To be called once, before any event. */
   public List<Action> start(double nowMs) {
+    context.start(nowMs);
     now = nowMs;
     startedAt = nowMs;
-    out = new ArrayList<>();
+    out = context.actions();
     arm(TICK_MS);
     if (settings.capabilities().pollsDiscovery()) {
       out.add(new WatchEndpoints());
@@ -281,8 +291,9 @@
 
   /** Takes one event and gives what to do, in order. */
   public List<Action> on(double nowMs, Event event) {
+    context.begin(nowMs);
     now = nowMs;
-    out = new ArrayList<>();
+    out = context.actions();
     noteStall();
     if (event instanceof RequestReceived e) {
       onRequest(e);
@@ -317,6 +328,7 @@
     if (changed.rules().warmUpMs() != settings.rules().warmUpMs()) {
       index.recountStarting(changed.rules().warmUpMs(), now);
     }
+    context.replaceSettings(changed);
     settings = changed;
     plans.clear();
     settings.plans().forEach(p -> plans.put(p.name(), p));
@@ -346,7 +358,7 @@
               ? plan.burstUnits()
               : plan.burstUnits() / this.gateways;
       fillCeiling((now - startedAt) / 1000);
-      part = random.nextDouble() * settings.maxRequestUnits();
+      part = context.nextRandom() * settings.maxRequestUnits();
       // Most customers use little of their cap, so one that is met for the first time is let in.
       openPart = 1;
       othersRate = plan.unitsPerSecond() * (plain ? USUAL_USE : 1 - 1.0 / this.gateways);
@@ -610,7 +622,7 @@
       trialAt = nextTrial();
       return true;
     }
-    return random.nextDouble() < pace;
+    return context.nextRandom() < pace;
   }
 
   private void call(Account a, Job job) {
@@ -715,7 +727,7 @@
    */
   private double nextTrial() {
     double spacing = Math.max(TRIAL_MS, FLEET_TRIAL_MS * settings.gatewayCount());
-    return now + spacing * (0.75 + 0.5 * random.nextDouble());
+    return now + spacing * (0.75 + 0.5 * context.nextRandom());
   }
 
   /**
@@ -1036,7 +1048,7 @@
    * kept.
    */
   private void renew(int slot) {
-    double coldTokens = random.nextDouble();
+    double coldTokens = context.nextRandom();
     states.remove(slot);
     if (index.cold(slot, settings.rules().warmUpMs(), now) && states.size() < usual + MOST_STATES) {
       states.put(slot, new Backend(slot, coldTokens));
@@ -1111,12 +1123,12 @@
     boolean all = size <= wanted;
     int draws = all ? size : 3 * wanted;
     for (int i = 0, found = 0; i < draws && found < wanted; i++) {
-      Backend b = state(among.get(all ? i : random.nextInt(size)));
+      Backend b = state(among.get(all ? i : context.nextRandom(size)));
       if (!usable(b, job, ignoreRest)) {
         continue;
       }
       found++;
-      double w = b.wait(job) * (1 + SPREAD * random.nextDouble()) * (b == job.lastBackend ? 4 : 1);
+      double w = b.wait(job) * (1 + SPREAD * context.nextRandom()) * (b == job.lastBackend ? 4 : 1);
       if (w < bestWait) {
         bestWait = w;
         best = b;
@@ -1199,11 +1211,12 @@
     } else if (bad) {
       if (e.status() == Status.CONNECT_FAILED && !b.cold(settings.rules(), now)) {
         b.coldAt = b.doubtedAt = now;
-        b.coldTokens = random.nextDouble();
+        b.coldTokens = context.nextRandom();
         takeForStarted(b, now);
       }
       if (b.failing > FAILING_SHARE || b.trial) {
-        b.restUntil = now + REST_MS * (1 << Math.min(b.rests, 3)) * (1 + 0.3 * random.nextDouble());
+        b.restUntil =
+            now + REST_MS * (1 << Math.min(b.rests, 3)) * (1 + 0.3 * context.nextRandom());
         b.rests++;
         b.trial = true;
       }
