--- a/src/main/java/quotagateway/policy/GatewayState.java
+++ b/src/main/java/quotagateway/policy/GatewayState.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import quotagateway.endpoint.EndpointIndex;
+import quotagateway.policy.context.DecayingMean;
 import quotagateway.policy.event.RequestReceived;
 import quotagateway.policy.settings.Capabilities;
-import quotagateway.policy.settings.Plan;
 import quotagateway.policy.settings.RequestClass;
 import quotagateway.policy.settings.ServiceRules;
 
@@ -28,43 +28,15 @@
     return mix(id + (gateway << 32));
   }
 
-  /** A mean that forgets: by samples where they come often, by time where they are rare. */
-  static final class Mean {
-    private final double weight;
-    private final double lifeMs;
-    private double at;
-    double value;
-
-    Mean(double weight, double lifeMs, double now) {
-      this.weight = weight;
-      this.lifeMs = lifeMs;
-      this.at = now;
-    }
-
-    void add(double sample, double now) {
-      add(sample, weight, now);
-    }
-
-    void add(double sample, double least, double now) {
-      value += Math.max(least, 1 - Math.exp((at - now) / lifeMs)) * (sample - value);
-      at = now;
-    }
-
-    /** The mean, less as it ages without samples. */
-    double fresh(double now) {
-      return value * Math.exp((at - now) / lifeMs);
-    }
-  }
-
   /**
    * Whether a group of backends can be reached: the share of attempts lost there, and the last
    * answer.
    */
   static final class Reach {
-    final Mean lost;
+    final DecayingMean lost;
     double answeredAt = Double.NEGATIVE_INFINITY;
 
-    Reach(Mean lost) {
+    Reach(DecayingMean lost) {
       this.lost = lost;
     }
   }
@@ -91,88 +63,6 @@
     }
   }
 
-  /** One customer as this gateway sees it. */
-  static class AccountState {
-    final long customer;
-    Plan plan;
-
-    /** Through how many gateways its requests may come. */
-    final int gateways;
-
-    /** Shift and length of its counts' windows; plain: one burst a window, no bucket followed. */
-    double phase;
-
-    double windowMs;
-    boolean plain;
-
-    /** Units in the bucket as estimated, and when. */
-    double level;
-
-    double levelAt;
-
-    /** Spending of others taken for granted since the last answer. */
-    double assumed;
-
-    /**
-     * Units a second of the others and of this gateway, and this gateway's units since the last
-     * answer.
-     */
-    double othersRate;
-
-    double ownRate;
-    double ownSince;
-    double syncedAt = Double.NaN;
-
-    /**
-     * Units to go with the next add, that an unanswered call may have added, and in calls under
-     * way.
-     */
-    double owed;
-
-    double maybe;
-    double flying;
-
-    /** The window last answered for, and its total then. */
-    long window = Long.MIN_VALUE;
-
-    double seen;
-
-    /** The ceiling: what counted sends may use together, and this gateway's own part. */
-    double counted;
-
-    double own;
-
-    /** What this gateway may send on unasked: units, and open requests. */
-    double part;
-
-    double openPart;
-    int out;
-
-    AccountState(long customer, Plan plan, int gateways, double now) {
-      this.customer = customer;
-      this.plan = plan;
-      this.gateways = gateways;
-      levelAt = now;
-    }
-
-    long windowNow(double now) {
-      return (long) Math.floor((now + phase) / windowMs);
-    }
-
-    double windowStart(double now) {
-      return windowNow(now) * windowMs - phase;
-    }
-
-    String name(long ofWindow) {
-      return Long.toString(customer, 36) + ":" + ofWindow;
-    }
-
-    /** The count of its open requests that began in that window. */
-    String openName(long ofWindow) {
-      return Long.toString(customer, 36) + ":o" + ofWindow;
-    }
-  }
-
   /** One backend as this gateway sees it. */
   static class BackendState {
     final long id;
@@ -229,7 +119,7 @@
 
     /** The share lost on the way to its zone or to its cell, whichever is more. */
     double nearFailing(double now) {
-      return Math.max(zoneReach.lost.fresh(now), cellReach.lost.fresh(now));
+      return Math.max(zoneReach.lost.decayedValue(now), cellReach.lost.decayedValue(now));
     }
 
     boolean cold(ServiceRules rules, double now) {
@@ -266,32 +156,6 @@
     /** By the settings that it was read by. */
     final Capabilities allowed;
 
-    /**
-     * Waits for the counter; its call is unanswered; its units are, or may be, in the shared count.
-     */
-    boolean waiting;
-
-    boolean called;
-    boolean added;
-
-    /** The total is being read a second time. */
-    boolean reread;
-
-    /** Units that its call adds. */
-    double asked;
-
-    boolean inQuota;
-
-    /**
-     * The count in which it has, or may have, a place among its customer's open requests, or null.
-     */
-    String place;
-
-    /** Waits for that place; its call is unanswered; no attempt will follow. */
-    boolean claiming;
-
-    boolean claimed;
-    boolean ended;
     boolean held;
     boolean streaming;
     boolean mayHaveRun;
--- /dev/null
+++ b/src/main/java/quotagateway/policy/admission/package-info.java
@@ -0,0 +1,2 @@
+/** Admission by load: which requests are shed while the backends are overloaded. */
+package quotagateway.policy.admission;
--- /dev/null
+++ b/src/main/java/quotagateway/policy/quota/ConcurrencyLimiter.java
@@ -0,0 +1,126 @@
+package quotagateway.policy.quota;
+
+import quotagateway.policy.context.DecisionContext;
+import quotagateway.policy.event.Status;
+
+/**
+ * Bounds the open requests of a customer over all gateways by permits.
+ *
+ * <p>With no more gateways than permits, each gateway has an even part of them, which needs no
+ * call. With more, a permit is acquired by adding 1 to a shared count, and released by taking it
+ * off again. Where the counter does not reply, the even part decides: also how many requests can
+ * follow each other in it.
+ *
+ * <p>One instance for each gateway, owned by the thread of its policy.
+ */
+final class ConcurrencyLimiter {
+
+  /**
+   * Length of the window that a count of permits is for. A permit of a gateway that was killed is
+   * lost until its window ends.
+   */
+  private static final double PERMIT_WINDOW_MS = 10_000;
+
+  /** What a reply to a call for a permit shows. */
+  enum PermitReply {
+    /** The request has its permit. */
+    GRANTED,
+    /** All permits are in use. */
+    EXHAUSTED,
+    /** The call failed: the even part has to decide. */
+    UNKNOWN,
+    /** The request no longer waits. */
+    NOT_AWAITED
+  }
+
+  private final DecisionContext context;
+  private final PendingCounterCalls pendingCalls;
+
+  ConcurrencyLimiter(DecisionContext context, PendingCounterCalls pendingCalls) {
+    this.context = context;
+    this.pendingCalls = pendingCalls;
+  }
+
+  /** Whether a call to the counter could grant a permit that an even split cannot. */
+  boolean needsSharedPermit(CustomerAccount account) {
+    int limit = account.plan().concurrencyLimit();
+    return hasFewerPermitsThanGateways(account)
+        && account.attemptsInFlight() < limit
+        && context.settings().capabilities().sharedCounter();
+  }
+
+  /** Calls the counter for a permit. */
+  void acquirePermit(QuotaReservation reservation) {
+    CustomerAccount account = reservation.account;
+    long window = (long) Math.floor(context.nowMs() / PERMIT_WINDOW_MS);
+    reservation.awaitingPermit = true;
+    reservation.permitCallPending = true;
+    reservation.permitCounterName = account.permitsCounterName(window);
+    pendingCalls.submit(
+        reservation.permitCounterName,
+        1,
+        new PendingCounterCalls.PermitAcquisition(account, reservation));
+  }
+
+  /** Takes a request into this gateway's even part of the permits, if that has room. */
+  boolean tryAcquireLocally(CustomerAccount account) {
+    int limit = account.plan().concurrencyLimit();
+    if (limit <= 0) {
+      return true;
+    }
+    if (account.attemptsInFlight() >= Math.max(1, limit / account.gateways())) {
+      return false;
+    }
+    return !hasFewerPermitsThanGateways(account) || account.tryTakeConcurrencyStart();
+  }
+
+  /** Takes in the reply to a call for a permit. */
+  PermitReply onReply(QuotaReservation reservation, Status status, double totalPermits) {
+    reservation.permitCallPending = false;
+    if (status.provesNotExecuted()) {
+      reservation.permitCounterName = null;
+    }
+    if (reservation.ended) {
+      releasePermit(reservation);
+      return PermitReply.NOT_AWAITED;
+    }
+    if (!reservation.awaitingPermit) {
+      return PermitReply.NOT_AWAITED;
+    }
+    reservation.awaitingPermit = false;
+    if (status != Status.OK) {
+      return PermitReply.UNKNOWN;
+    }
+    if (totalPermits > reservation.account.plan().concurrencyLimit()) {
+      releasePermit(reservation);
+      return PermitReply.EXHAUSTED;
+    }
+    return PermitReply.GRANTED;
+  }
+
+  /**
+   * Ends a request's use of its permit. While the call for it has no reply yet, it is not known
+   * whether there is a permit to release; that reply then releases it.
+   */
+  void end(QuotaReservation reservation) {
+    reservation.ended = true;
+    reservation.awaitingPermit = false;
+    releasePermit(reservation);
+  }
+
+  private void releasePermit(QuotaReservation reservation) {
+    if (reservation.permitCounterName == null || reservation.permitCallPending) {
+      return;
+    }
+    pendingCalls.submit(
+        reservation.permitCounterName,
+        -1,
+        new PendingCounterCalls.PermitRelease(reservation.account));
+    reservation.permitCounterName = null;
+  }
+
+  private static boolean hasFewerPermitsThanGateways(CustomerAccount account) {
+    int limit = account.plan().concurrencyLimit();
+    return limit > 0 && account.gateways() > limit;
+  }
+}
--- /dev/null
+++ b/src/main/java/quotagateway/policy/quota/CounterReplyDecision.java
@@ -0,0 +1,9 @@
+package quotagateway.policy.quota;
+
+/**
+ * What a reply of the counter decides for the request that waited for it.
+ *
+ * @param requestId the request
+ * @param decision the decision, which may be to wait for another reply
+ */
+public record CounterReplyDecision(String requestId, QuotaDecision decision) {}
