--- a/src/main/java/quotagateway/endpoint/EndpointIndex.java
+++ b/src/main/java/quotagateway/endpoint/EndpointIndex.java
@@ -12,7 +12,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.IntConsumer;
-import quotagateway.policy.GatewayState;
 
 /**
  * What discovery tells of all backends, in columns of a few dozen bytes for each, and the orders
@@ -112,7 +111,7 @@
   /** Orders the ranks anew for a gateway. */
   public void rankFor(long other) {
     gateway = other;
-    ranked = new OrderedSlots(slot -> GatewayState.rank(id(slot), other));
+    ranked = new OrderedSlots(slot -> RendezvousHash.rank(id(slot), other));
     for (int i = 0; i < serving.size(); i++) {
       ranked.add(serving.get(i));
     }
@@ -220,8 +219,8 @@
   public boolean isAmong(int first, int slot) {
     return first > 0
         && phase(slot) == EndpointState.SERVING
-        && GatewayState.rank(id(slot), gateway)
-            <= GatewayState.rank(id(ranked.get(first - 1)), gateway);
+        && RendezvousHash.rank(id(slot), gateway)
+            <= RendezvousHash.rank(id(ranked.get(first - 1)), gateway);
   }
 
   /** The mean size of those that serve; 1 where none does. */
--- a/src/test/java/quotagateway/endpoint/EndpointIndexTest.java
+++ b/src/test/java/quotagateway/endpoint/EndpointIndexTest.java
@@ -12,7 +12,6 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import quotagateway.policy.GatewayPolicy;
-import quotagateway.policy.GatewayState;
 import quotagateway.policy.PolicyFixture;
 import quotagateway.policy.RandomEvents;
 import quotagateway.policy.action.ScheduleTimer;
@@ -45,7 +44,7 @@
 
     @Override
     public OrderedSlots ranked() {
-      return sorted(slot -> true, slot -> GatewayState.rank(id(slot), gateway()));
+      return sorted(slot -> true, slot -> RendezvousHash.rank(id(slot), gateway()));
     }
 
     @Override
