--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -274,7 +274,7 @@
     if (coming != null && coming.taken && current != null) {
       String id = current;
       current = null;
-      server.driver().clientLeft(id);
+      server.driver().disconnectClient(id);
     }
     endWith(status, reason);
   }
@@ -361,7 +361,7 @@
       in.arrivedAt = server.now() - SocketTransport.waitedMs(channel);
       in.body.end();
       if (in.taken && handled == in && current != null) {
-        server.driver().bodyWhole(current, in.arrivedAt + in.timeoutMs);
+        server.driver().completeBody(current, in.arrivedAt + in.timeoutMs);
       }
       queue(in);
     } else if (in.body.large()) {
@@ -435,7 +435,7 @@
   private void faulty(RuntimeException cause) {
     LOG.log(Level.SEVERE, "request failed", cause);
     if (current != null) {
-      server.driver().clientLeft(current);
+      server.driver().disconnectClient(current);
       current = null;
       answer(HttpResponseStatus.INTERNAL_SERVER_ERROR);
     } else {
@@ -465,50 +465,50 @@
     in.taken = true;
     server
         .driver()
-        .take(
+        .accept(
             in.body.whole() ? request : request.withoutDeadline(),
             onward(in),
             in.body,
             new PolicyDriver.Client() {
               @Override
-              public boolean left() {
+              public boolean isDisconnected() {
                 boolean left = ClientConnection.this.left();
                 current = left ? null : current;
                 return left;
               }
 
               @Override
-              public void served(FullHttpResponse answer) {
+              public void onResponse(FullHttpResponse answer) {
                 current = null;
                 ClientConnection.this.served(answer);
               }
 
               @Override
-              public void begins(HttpResponse head, Attempt from) {
+              public void onResponseStart(HttpResponse head, Attempt from) {
                 passing = from;
                 pass(head, in.head);
               }
 
               @Override
-              public boolean piece(HttpContent piece) {
+              public boolean onResponseContent(HttpContent piece) {
                 return ClientConnection.this.piece(piece);
               }
 
               @Override
-              public void ends(boolean whole) {
+              public void onResponseEnd(boolean whole) {
                 if (passing != null) {
                   passed(whole);
                 }
               }
 
               @Override
-              public void refused(double holdOffMs) {
+              public void onRejected(double holdOffMs) {
                 current = null;
                 ClientConnection.this.refused(holdOffMs);
               }
 
               @Override
-              public void failed() {
+              public void onFailed() {
                 current = null;
                 answer(HttpResponseStatus.BAD_GATEWAY);
               }
@@ -770,7 +770,7 @@
     server.closed(this);
     passing = null;
     if (current != null) {
-      server.driver().clientLeft(current);
+      server.driver().disconnectClient(current);
       current = null;
     }
   }
--- a/src/main/java/quotagateway/client/ClientServer.java
+++ b/src/main/java/quotagateway/client/ClientServer.java
@@ -165,7 +165,7 @@
       }
       request = former.read(message, arrivedAt);
     }
-    if (driver.holds(request.requestId())) {
+    if (driver.isActive(request.requestId())) {
       throw new RequestReader.BadRequest("Request-Id is in use");
     }
     return request;
@@ -203,7 +203,7 @@
 
   /** With so much held requests are refused, so that the process stays within its memory. */
   boolean full() {
-    return held >= bounds.bodyBytes() || driver.passing() >= bounds.passing();
+    return held >= bounds.bodyBytes() || driver.streamingResponseCount() >= bounds.streams();
   }
 
   boolean crowded() {
--- a/src/main/java/quotagateway/config/GatewayConfig.java
+++ b/src/main/java/quotagateway/config/GatewayConfig.java
@@ -18,15 +18,15 @@
 
 /** What a front door is told at its start: the file that {@code GW_CONFIG} names. */
 public record GatewayConfig(
-    InetSocketAddress listen,
-    InetSocketAddress mgmt,
-    InetSocketAddress discovery,
-    InetSocketAddress counter,
+    InetSocketAddress listenAddress,
+    InetSocketAddress adminAddress,
+    InetSocketAddress discoveryAddress,
+    InetSocketAddress counterAddress,
     long seed,
     PolicySettings settings,
     ResourceLimits limits,
-    double connectLimitMs,
-    double idleLimitMs,
+    double connectTimeoutMs,
+    double idleTimeoutMs,
     EndpointUpdate known,
     Map<String, Object> fields) {
 
@@ -76,19 +76,19 @@
   /**
    * The environment is each process's own, while two may share the file: what it names goes first.
    */
-  public GatewayConfig withMgmt(String address) throws IOException {
+  public GatewayConfig withAdminAddress(String address) throws IOException {
     return address == null
         ? this
         : new GatewayConfig(
-            listen,
+            listenAddress,
             address(Map.of("mgmt", address), "mgmt"),
-            discovery,
-            counter,
+            discoveryAddress,
+            counterAddress,
             seed,
             settings,
             limits,
-            connectLimitMs,
-            idleLimitMs,
+            connectTimeoutMs,
+            idleTimeoutMs,
             known,
             fields);
   }
--- a/src/main/java/quotagateway/config/ResourceLimits.java
+++ b/src/main/java/quotagateway/config/ResourceLimits.java
@@ -10,7 +10,12 @@
  * upgrade.
  */
 public record ResourceLimits(
-    int places, int placesBeside, int bodyBytes, int passing, int backends, double cores) {
+    int connections,
+    int connectionsDuringUpgrade,
+    int bodyBytes,
+    int streams,
+    int endpoints,
+    double cores) {
 
   /**
    * Descriptors of the JVM and of the event loop: its files, the jar, epoll, timer and event
@@ -48,7 +53,7 @@
   private static final double HEAP_PART = 2.0 / 3;
   private static final int BACKEND_BYTES = 150;
 
-  private static int backends(double memoryMb, double heapBytes) {
+  private static int endpoints(double memoryMb, double heapBytes) {
     return (int)
         (Math.min(memoryMb * (1 << 20) * BACKENDS_PART, heapBytes * HEAP_PART) / BACKEND_BYTES);
   }
@@ -59,7 +64,7 @@
         Math.max(16, (int) sockets / 2 - OWN - PEERS / 2 - AdminServer.DESCRIPTORS),
         (int) (memoryMb * BODY_PART * (1 << 20)),
         (int) (memoryMb * PASSING_PART * (1 << 20) / PASSING_BYTES),
-        backends(memoryMb, Runtime.getRuntime().maxMemory()),
+        endpoints(memoryMb, Runtime.getRuntime().maxMemory()),
         cores);
   }
 }
--- a/src/main/java/quotagateway/driver/PolicyDriver.java
+++ b/src/main/java/quotagateway/driver/PolicyDriver.java
@@ -64,22 +64,22 @@
   /** Who waits for the one final answer. */
   public interface Client {
     /** Whether it has closed its connection, as far as this machine can know by now. */
-    boolean left();
+    boolean isDisconnected();
 
-    void served(FullHttpResponse answer);
+    void onResponse(FullHttpResponse answer);
 
     /** An answer begins that comes in pieces, by and by, from the attempt. */
-    void begins(HttpResponse head, Attempt from);
+    void onResponseStart(HttpResponse head, Attempt from);
 
     /** The next piece; true while more can be taken now. */
-    boolean piece(HttpContent piece);
+    boolean onResponseContent(HttpContent piece);
 
     /** No more of that answer comes; where it is not whole, the client must see that. */
-    void ends(boolean whole);
+    void onResponseEnd(boolean whole);
 
-    void refused(double holdOffMs);
+    void onRejected(double holdOffMs);
 
-    void failed();
+    void onFailed();
   }
 
   /** One request from its taking until it is answered and none of its attempts is out. */
@@ -158,7 +158,7 @@
   private CounterClient counter;
   private final Map<String, Live> live = new HashMap<>();
   private final ArrayDeque<Event> inbox = new ArrayDeque<>();
-  private int passing;
+  private int streamingResponseCount;
   private boolean delivering;
 
   public PolicyDriver(
@@ -177,16 +177,16 @@
     backends.onRoster(known);
   }
 
-  public int held() {
+  public int activeRequestCount() {
     return live.size();
   }
 
   /** How many answers are being passed on. */
-  public int passing() {
-    return passing;
+  public int streamingResponseCount() {
+    return streamingResponseCount;
   }
 
-  public boolean holds(String id) {
+  public boolean isActive(String id) {
     return live.containsKey(id);
   }
 
@@ -194,7 +194,7 @@
    * Takes a request, and its body for good; without a time to give up at while the body is still
    * coming.
    */
-  public void take(RequestReceived request, HttpRequest head, RequestBody body, Client client) {
+  public void accept(RequestReceived request, HttpRequest head, RequestBody body, Client client) {
     Live r = new Live(request, head, body, client);
     live.put(request.requestId(), r);
     r.giveUpMs = request.deadlineAtMs();
@@ -205,7 +205,7 @@
   }
 
   /** The last byte of the request has come. */
-  public void bodyWhole(String id, double giveUpMs) {
+  public void completeBody(String id, double giveUpMs) {
     Live r = live.get(id);
     if (r != null && !r.finished) {
       r.limit(giveUpMs);
@@ -216,7 +216,7 @@
     }
   }
 
-  public void clientLeft(String id) {
+  public void disconnectClient(String id) {
     Live r = live.get(id);
     if (r == null) {
       return;
@@ -231,18 +231,18 @@
     r.forgetIfDone();
   }
 
-  public void onSettings(PolicySettings settings) {
+  public void onSettingsChanged(PolicySettings settings) {
     deliver(new SettingsChanged(settings));
   }
 
-  public void onCounted(CounterReplied counted) {
+  public void onCounterReplied(CounterReplied counted) {
     deliver(counted);
   }
 
   /**
    * The module hears it first: it chooses anew for attempts that the pool gives up because of it.
    */
-  public void onRoster(EndpointUpdate news) {
+  public void onEndpointUpdate(EndpointUpdate news) {
     deliver(new EndpointsUpdated(news.form(), news.entries()));
     backends.onRoster(news);
   }
@@ -258,7 +258,7 @@
    */
   private void fail(Live r) {
     if (r.finish()) {
-      r.client.failed();
+      r.client.onFailed();
       r.callOff(false);
       deliver(new ClientDisconnected(r.request.requestId()));
       r.forgetIfDone();
@@ -331,13 +331,13 @@
     } else if (action instanceof RejectRequest a) {
       Live r = live.get(a.requestId());
       if (r != null && r.finish()) {
-        r.client.refused(a.retryAfterMs());
+        r.client.onRejected(a.retryAfterMs());
         r.forgetIfDone();
       }
     } else if (action instanceof FailRequest a) {
       Live r = live.get(a.requestId());
       if (r != null && r.finish()) {
-        r.client.failed();
+        r.client.onFailed();
         r.forgetIfDone();
       }
     } else if (action instanceof CancelAttempt a) {
@@ -385,8 +385,8 @@
 
           @Override
           public boolean wanted() {
-            if (!ended() && !r.finished && r.client.left()) {
-              clientLeft(r.request.requestId());
+            if (!ended() && !r.finished && r.client.isDisconnected()) {
+              disconnectClient(r.request.requestId());
             }
             return super.wanted();
           }
@@ -399,7 +399,7 @@
 
           @Override
           public boolean onPiece(HttpContent piece) {
-            return r.client.piece(piece);
+            return r.client.onResponseContent(piece);
           }
 
           @Override
@@ -428,8 +428,8 @@
     }
     r.begun = true;
     r.begunAt = clock.now();
-    passing++;
-    r.client.begins(answer, attempt);
+    streamingResponseCount++;
+    r.client.onResponseStart(answer, attempt);
     deliver(new ResponseStarted(r.request.requestId(), number));
     return true;
   }
@@ -444,10 +444,10 @@
       FullHttpResponse answer) {
     r.out--;
     if (r.begun) {
-      passing--;
-      r.client.ends(status == Status.OK);
+      streamingResponseCount--;
+      r.client.onResponseEnd(status == Status.OK);
     } else if (answer != null && r.finish()) {
-      r.client.served(answer);
+      r.client.onResponse(answer);
     }
     deliver(
         new AttemptEnded(
--- a/src/main/java/quotagateway/server/GatewayServer.java
+++ b/src/main/java/quotagateway/server/GatewayServer.java
@@ -89,14 +89,14 @@
       throw new IOException("GW_CONFIG is not set");
     }
     Path path = Path.of(file);
-    GatewayConfig config = GatewayConfig.read(path).withMgmt(System.getenv("GW_MGMT"));
+    GatewayConfig config = GatewayConfig.read(path).withAdminAddress(System.getenv("GW_MGMT"));
     start(
         config,
         Path.of(System.getProperty("java.io.tmpdir")),
         wired -> {
           ReloadSignal.handle(() -> wired.reload(path));
           // Before it listens: what it takes is answered from the first request on.
-          Runtime.getRuntime().addShutdownHook(new Thread(wired::end, "end"));
+          Runtime.getRuntime().addShutdownHook(new Thread(wired::shutDownGracefully, "end"));
           WarmUp warmUp = new WarmUp(config);
           warmUp.run(warmUp.limitMs());
         });
@@ -126,14 +126,15 @@
       door.loop.submit(() -> door.wire(config)).sync();
       beforeListening.of(door);
       // The first line takes a tenth of a second of a core, which nobody waits for here.
-      LOG.info("listening on " + config.listen());
-      door.listening = door.clients.listen(door.group, config.listen()).sync().channel();
+      LOG.info("listening on " + config.listenAddress());
+      door.listening = door.clients.listen(door.group, config.listenAddress()).sync().channel();
     } catch (ReloadSignal.UnavailableException | RuntimeException e) {
       door.stop();
       throw e;
     } catch (Exception e) {
       door.stop();
-      throw new IOException("cannot listen on " + config.listen() + ": " + e.getMessage(), e);
+      throw new IOException(
+          "cannot listen on " + config.listenAddress() + ": " + e.getMessage(), e);
     }
     door.serving.enter();
     door.lifecycle.started();
@@ -142,9 +143,9 @@
 
   /** Without its admin server a front door serves all the same. */
   private void openAdmin(GatewayConfig config) {
-    if (config.mgmt() != null) {
+    if (config.adminAddress() != null) {
       try {
-        admin = new AdminServer(config.mgmt(), lifecycle, this::ready);
+        admin = new AdminServer(config.adminAddress(), lifecycle, this::ready);
       } catch (IOException e) {
         LOG.severe(e.getMessage());
       }
@@ -173,9 +174,9 @@
   }
 
   private void wire(GatewayConfig config) {
-    ConnectionBudget places = new ConnectionBudget(config.limits().places());
+    ConnectionBudget places = new ConnectionBudget(config.limits().connections());
     loop.scheduleWithFixedDelay(
-        () -> places.beside(started.another() ? config.limits().placesBeside() : 0),
+        () -> places.beside(started.another() ? config.limits().connectionsDuringUpgrade() : 0),
         0,
         BESIDE_MS,
         TimeUnit.MILLISECONDS);
@@ -184,8 +185,8 @@
         new BackendConnectionPool(
             loop,
             clock,
-            Dialer.sockets(loop, config.connectLimitMs()),
-            config.idleLimitMs(),
+            Dialer.sockets(loop, config.connectTimeoutMs()),
+            config.idleTimeoutMs(),
             places,
             policy.listing());
     driver = new PolicyDriver(loop, clock, policy, backends);
@@ -204,9 +205,9 @@
             loop,
             clock,
             Dialer.sockets(loop, CounterClient.CONNECT_LIMIT_MS),
-            config.counter(),
+            config.counterAddress(),
             config.settings().capabilities().counterTimeoutMs(),
-            driver::onCounted);
+            driver::onCounterReplied);
     counter.start();
     driver.start(counter, config.known());
     discovery =
@@ -214,10 +215,10 @@
             loop,
             clock,
             DiscoveryClient.sockets(loop),
-            config.discovery(),
+            config.discoveryAddress(),
             config.known().version(),
-            config.limits().backends(),
-            driver::onRoster);
+            config.limits().endpoints(),
+            driver::onEndpointUpdate);
     discovery.start();
   }
 
@@ -232,9 +233,9 @@
       config = read;
       loop.execute(
           () -> {
-            counter.moveTo(read.counter());
-            discovery.moveTo(read.discovery());
-            driver.onSettings(read.settings());
+            counter.moveTo(read.counterAddress());
+            discovery.moveTo(read.discoveryAddress());
+            driver.onSettingsChanged(read.settings());
             clients.read(new RequestReader(read.settings()));
           });
       LOG.info("the new configuration is taken");
@@ -248,7 +249,7 @@
    * Where another process serves at the same address, it gets all new connections at once, and so
    * is the one that the front asks.
    */
-  public void end() {
+  public void shutDownGracefully() {
     lifecycle.end();
     long answerMs =
         ANSWER_MS
@@ -276,7 +277,7 @@
         // What has begun is passed on for as long as the process is let be.
         do {
           drained.await(LAST_MS, TimeUnit.MILLISECONDS);
-        } while (loop.submit(driver::passing).sync().getNow() > 0);
+        } while (loop.submit(driver::streamingResponseCount).sync().getNow() > 0);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/main/java/quotagateway/server/WarmUp.java
+++ b/src/main/java/quotagateway/server/WarmUp.java
@@ -96,7 +96,7 @@
             loop,
             clock,
             (address, handler) -> open(backends, handler),
-            config.idleLimitMs(),
+            config.idleTimeoutMs(),
             places,
             policy.listing());
     PolicyDriver driver = new PolicyDriver(loop, clock, policy, pool);
@@ -115,9 +115,9 @@
             loop,
             clock,
             (address, handler) -> open(counters, handler),
-            config.discovery(),
+            config.discoveryAddress(),
             config.settings().capabilities().counterTimeoutMs(),
-            driver::onCounted);
+            driver::onCounterReplied);
     counter.start();
     driver.start(counter, roster());
     for (int i = 0; i < REQUESTS && clock.now() < until; i += KEPT_FOR) {
--- a/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
+++ b/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
@@ -135,44 +135,44 @@
   }
 
   private void take(String id, int type, HttpRequest head) {
-    driver.take(
+    driver.accept(
         new RequestReceived(
             id, settings.requestClasses().get(type), "basic", 1, 1, 1, clock.now() + 4_000),
         head,
         RequestBody.of(Unpooled.EMPTY_BUFFER),
         new PolicyDriver.Client() {
           @Override
-          public boolean left() {
+          public boolean isDisconnected() {
             return left;
           }
 
           @Override
-          public void served(FullHttpResponse answer) {
+          public void onResponse(FullHttpResponse answer) {
             answers.add("served");
           }
 
           @Override
-          public void begins(HttpResponse head, Attempt from) {
+          public void onResponseStart(HttpResponse head, Attempt from) {
             answers.add("begun");
           }
 
           @Override
-          public boolean piece(HttpContent piece) {
+          public boolean onResponseContent(HttpContent piece) {
             return true;
           }
 
           @Override
-          public void ends(boolean whole) {
+          public void onResponseEnd(boolean whole) {
             answers.add("ended");
           }
 
           @Override
-          public void refused(double holdOffMs) {
+          public void onRejected(double holdOffMs) {
             answers.add("refused");
           }
 
           @Override
-          public void failed() {
+          public void onFailed() {
             answers.add("failed");
           }
         });
@@ -198,7 +198,7 @@
             () -> {
               start();
               take("r1");
-              driver.clientLeft("r1");
+              driver.disconnectClient("r1");
               return null;
             })
         .sync();
@@ -239,7 +239,7 @@
             () -> {
               start();
               take("r1");
-              driver.onRoster(
+              driver.onEndpointUpdate(
                   new EndpointUpdate(
                       2,
                       false,
@@ -260,7 +260,7 @@
             () -> {
               start();
               take("r1");
-              driver.onRoster(news(false, 1, second, EndpointState.SERVING, 0));
+              driver.onEndpointUpdate(news(false, 1, second, EndpointState.SERVING, 0));
               return null;
             })
         .sync();
@@ -378,7 +378,7 @@
     half.send(Peers.get("h1", 1000).substring(0, 60));
     Client kept = peers.client();
     assertEquals(200, kept.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
-    Thread end = new Thread(door::end);
+    Thread end = new Thread(door::shutDownGracefully);
     end.start();
     assertTrue(kept.ended());
     assertEquals(503, half.receive().status());
--- a/src/test/java/quotagateway/server/GatewayServerTest.java
+++ b/src/test/java/quotagateway/server/GatewayServerTest.java
@@ -293,7 +293,7 @@
     Client busy = peers.client();
     busy.send(Peers.get("r1", 3000));
     Peers.next(peers.atBackend);
-    Thread end = new Thread(door::end);
+    Thread end = new Thread(door::shutDownGracefully);
     end.start();
     assertTrue(idle.ended());
     told.countDown();
--- a/src/test/java/quotagateway/server/MisbehavingClientTest.java
+++ b/src/test/java/quotagateway/server/MisbehavingClientTest.java
@@ -27,7 +27,8 @@
 
   private static final long OWED_NANOS = TimeUnit.SECONDS.toNanos(3);
   private static final int PLACES =
-      new ConnectionBudget(ResourceLimits.of(Peers.FEW_SOCKETS, 128, 1).places()).mostClients();
+      new ConnectionBudget(ResourceLimits.of(Peers.FEW_SOCKETS, 128, 1).connections())
+          .mostClients();
 
   private final Peers peers = new Peers();
 
--- a/src/test/java/quotagateway/server/StreamingTest.java
+++ b/src/test/java/quotagateway/server/StreamingTest.java
@@ -412,7 +412,7 @@
   }
 
   private static int held(GatewayServer door) throws Exception {
-    return door.loop.submit(() -> door.clients().driver().held()).sync().getNow();
+    return door.loop.submit(() -> door.clients().driver().activeRequestCount()).sync().getNow();
   }
 
   private static void pause(CountDownLatch until) throws IOException {
--- a/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
+++ b/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
@@ -45,7 +45,7 @@
     for (int i = 0; i < 20; i++) {
       before.add(peers.client());
     }
-    Thread end = new Thread(old::end);
+    Thread end = new Thread(old::shutDownGracefully);
     end.start();
     for (int i = 0; i < 20; i++) {
       assertEquals(200, before.get(i).ask(Peers.get("r" + i, 3000)).status());
@@ -64,7 +64,7 @@
   @Test
   void aLastOneGoesOnAccepting() throws Exception {
     GatewayServer door = peers.start();
-    Thread end = new Thread(door::end);
+    Thread end = new Thread(door::shutDownGracefully);
     end.start();
     while (door.lifecycle().serving()) {
       Thread.onSpinWait();
@@ -95,11 +95,11 @@
   @Test
   void twoProcessesShareTheDescriptors() {
     ResourceLimits limits = ResourceLimits.of(384, 144, 0.3);
-    ConnectionBudget places = new ConnectionBudget(limits.places());
+    ConnectionBudget places = new ConnectionBudget(limits.connections());
     int alone = places.mostClients();
-    places.beside(limits.placesBeside());
+    places.beside(limits.connectionsDuringUpgrade());
     assertTrue(places.mostClients() <= alone / 2, places.mostClients() + " of " + alone);
-    assertTrue(2 * limits.placesBeside() < 384);
+    assertTrue(2 * limits.connectionsDuringUpgrade() < 384);
     places.beside(0);
     assertEquals(alone, places.mostClients());
   }
