--- a/src/main/java/quotagateway/admin/AdminServer.java
+++ b/src/main/java/quotagateway/admin/AdminServer.java
@@ -54,7 +54,7 @@
   private static final int MOST_BODY = 4_096;
 
   private final EventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(1, SocketTransport.BEST.ioHandler());
+      new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
   private final Lifecycle lifecycle;
   private final BooleanSupplier ready;
 
@@ -71,7 +71,7 @@
     ChannelFuture bound =
         new ServerBootstrap()
             .group(group)
-            .channel(SocketTransport.BEST.serverSocket())
+            .channel(SocketTransport.PREFERRED.serverSocket())
             .option(ChannelOption.SO_REUSEADDR, true)
             .childHandler(
                 new ChannelInitializer<Channel>() {
--- a/src/main/java/quotagateway/backend/BackendConnectionPool.java
+++ b/src/main/java/quotagateway/backend/BackendConnectionPool.java
@@ -65,12 +65,12 @@
 
     Backend(long place, double startedMs) {
       listedPlace = place;
-      this.place = BackendAddress.address(place);
+      this.place = BackendAddress.decode(place);
       this.startedMs = startedMs;
     }
 
     private void release(List<Attempt> unsent) {
-      PeriodicTask.each(idle, BackendConnection::close);
+      PeriodicTask.forEachIsolated(idle, BackendConnection::close);
       unsent.addAll(connecting);
     }
   }
@@ -106,7 +106,7 @@
     this.places = places;
     this.listing = listing;
     this.dialer = dialer;
-    PeriodicTask.every(loop, SWEEP_MS, this::retireIdle);
+    PeriodicTask.schedule(loop, SWEEP_MS, this::retireIdle);
   }
 
   /**
@@ -116,8 +116,8 @@
    */
   public void onRoster(EndpointUpdate news) {
     List<Backend> left = new ArrayList<>();
-    news.entries().forEach(e -> look(e, left));
-    if (news.full()) {
+    news.endpoints().forEach(e -> look(e, left));
+    if (news.isSnapshot()) {
       List.copyOf(backends.keySet()).stream()
           .filter(id -> listing.address(id) == Endpoint.NO_ADDRESS)
           .forEach(id -> remove(id, left));
@@ -126,7 +126,7 @@
     // Only now, as what is given up may go to any backend of the list at once.
     List<Attempt> unsent = new ArrayList<>();
     left.forEach(b -> b.release(unsent));
-    PeriodicTask.each(unsent, a -> a.abandon(Status.NOT_SENT));
+    PeriodicTask.forEachIsolated(unsent, a -> a.abandon(Status.NOT_SENT));
   }
 
   private void look(Endpoint e, List<Backend> left) {
@@ -136,7 +136,7 @@
     } else if (b != null && (e.address() != b.listedPlace || e.startedMs() != b.startedMs)) {
       left.add(b);
       b.listedPlace = e.address();
-      b.place = BackendAddress.address(e.address());
+      b.place = BackendAddress.decode(e.address());
       b.startedMs = e.startedMs();
     }
   }
@@ -220,7 +220,7 @@
     BackendConnection c = idle(b, attempt);
     if (c != null) {
       c.carry(attempt);
-    } else if (!places.roomForBackend() && !dropIdle()) {
+    } else if (!places.hasRoomForBackendConnection() && !dropIdle()) {
       attempt.end(Status.NOT_SENT, null);
     } else {
       connect(b, attempt);
@@ -254,7 +254,7 @@
   }
 
   private void connect(Backend b, Attempt attempt) {
-    places.backend(1);
+    places.addBackendConnections(1);
     b.connections++;
     b.connecting.add(attempt);
     ResponseDecoder decoder = new ResponseDecoder();
@@ -298,7 +298,7 @@
 
   private void giveBack(Backend b) {
     b.connections--;
-    places.backend(-1);
+    places.addBackendConnections(-1);
   }
 
   /** One that did not come up has closed itself, or there was no socket for it. */
--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -358,7 +358,7 @@
     if (content instanceof LastHttpContent) {
       coming = null;
       receivingSince = Double.NaN;
-      in.arrivedAt = server.now() - SocketTransport.waitedMs(channel);
+      in.arrivedAt = server.now() - SocketTransport.msSinceLastReceive(channel);
       in.body.end();
       if (in.taken && handled == in && current != null) {
         server.driver().bodyWhole(current, in.arrivedAt + in.timeoutMs);
@@ -520,7 +520,7 @@
    * yet.
    */
   private boolean left() {
-    if (channel.isActive() && SocketTransport.endedByPeer(channel)) {
+    if (channel.isActive() && SocketTransport.isClosedByPeer(channel)) {
       channel.close();
     }
     return !channel.isActive();
--- a/src/main/java/quotagateway/client/ClientServer.java
+++ b/src/main/java/quotagateway/client/ClientServer.java
@@ -91,21 +91,22 @@
     this.bounds = bounds;
     this.places = places;
     this.lifecycle = lifecycle;
-    PeriodicTask.every(loop, SWEEP_MS, this::endOverdue);
+    PeriodicTask.schedule(loop, SWEEP_MS, this::endOverdue);
   }
 
   public ChannelFuture listen(EventLoopGroup group, InetSocketAddress address) {
     ChannelFuture bound =
         new ServerBootstrap()
             .group(group)
-            .channel(SocketTransport.BEST.serverSocket())
+            .channel(SocketTransport.PREFERRED.serverSocket())
             .option(ChannelOption.SO_BACKLOG, 512)
             .option(ChannelOption.SO_REUSEADDR, true)
-            .option(SocketTransport.BEST.reusePort(), true)
+            .option(SocketTransport.PREFERRED.reusePort(), true)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, SocketTransport.FEW_WAITING)
-            .childOption(ChannelOption.SO_SNDBUF, SocketTransport.FEW_SENT)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, SocketTransport.smallReads())
+            .childOption(
+                ChannelOption.WRITE_BUFFER_WATER_MARK, SocketTransport.WRITE_BUFFER_WATER_MARK)
+            .childOption(ChannelOption.SO_SNDBUF, SocketTransport.SEND_BUFFER_BYTES)
+            .childOption(ChannelOption.RECVBUF_ALLOCATOR, SocketTransport.boundedReads())
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
@@ -207,7 +208,7 @@
   }
 
   boolean crowded() {
-    return places.clients() > CROWDED * places.mostClients();
+    return places.clientConnections() > CROWDED * places.maxClientConnections();
   }
 
   /**
@@ -216,20 +217,20 @@
    */
   boolean opened(ClientConnection connection) {
     connections.add(connection);
-    places.client(1);
-    int most = places.mostClients();
-    if (places.clients() > most) {
+    places.addClientConnections(1);
+    int most = places.maxClientConnections();
+    if (places.clientConnections() > most) {
       evict();
     }
-    if (places.clients() > most + most / SPARE_PART) {
+    if (places.clientConnections() > most + most / SPARE_PART) {
       connection.closeIfIdle();
     }
-    return places.clients() > most;
+    return places.clientConnections() > most;
   }
 
   void closed(ClientConnection connection) {
     if (connections.remove(connection)) {
-      places.client(-1);
+      places.addClientConnections(-1);
     }
   }
 
@@ -249,13 +250,13 @@
 
   private void endOverdue() {
     double now = clock.now();
-    PeriodicTask.each(connections, c -> c.endIfOverdue(now));
+    PeriodicTask.forEachIsolated(connections, c -> c.endIfOverdue(now));
   }
 
   /** Takes what waits to be taken, and no more connections. */
   public void stopAccepting() {
     if (listening != null) {
-      SocketTransport.acceptWaiting(listening);
+      SocketTransport.acceptPending(listening);
       listening.close();
     }
   }
@@ -267,7 +268,7 @@
   public void end() {
     over = true;
     driver.failAll();
-    PeriodicTask.each(connections, ClientConnection::endUnasked);
+    PeriodicTask.forEachIsolated(connections, ClientConnection::endUnasked);
   }
 
   boolean over() {
--- a/src/main/java/quotagateway/config/GatewayConfig.java
+++ b/src/main/java/quotagateway/config/GatewayConfig.java
@@ -15,6 +15,7 @@
 import java.util.Set;
 import quotagateway.discovery.EndpointUpdate;
 import quotagateway.policy.settings.PolicySettings;
+import quotagateway.transport.SocketAddresses;
 
 /** What a front door is told at its start: the file that {@code GW_CONFIG} names. */
 public record GatewayConfig(
@@ -168,7 +169,7 @@
   private static InetSocketAddress address(Map<String, Object> fields, String name)
       throws IOException {
     String text = JsonFields.text(fields, name);
-    InetSocketAddress address = EndpointUpdate.address(text);
+    InetSocketAddress address = SocketAddresses.parse(text);
     if (address == null) {
       throw new IOException(name + " is not an address and port: '" + text + "'");
     }
--- a/src/main/java/quotagateway/counter/CounterClient.java
+++ b/src/main/java/quotagateway/counter/CounterClient.java
@@ -35,7 +35,7 @@
 public final class CounterClient {
 
   public static final int CONNECTIONS = 12;
-  public static final double CONNECT_LIMIT_MS = 250;
+  public static final double CONNECT_TIMEOUT_MS = 250;
 
   /** Answers that one connection may owe; beyond that a call is turned away here. */
   private static final int MOST_OWED = 256;
@@ -114,7 +114,7 @@
     if (counter != null) {
       open();
     }
-    PeriodicTask.every(loop, SWEEP_MS, this::sweep);
+    PeriodicTask.schedule(loop, SWEEP_MS, this::sweep);
   }
 
   private void open() {
@@ -126,20 +126,21 @@
   }
 
   /** Opens connections to another address; those to the old one finish what they owe. */
-  public void moveTo(InetSocketAddress other) {
+  public void changeAddress(InetSocketAddress other) {
     if (other == null || other.equals(counter)) {
       return;
     }
     counter = other;
-    PeriodicTask.each(leaving, Link::close);
+    PeriodicTask.forEachIsolated(leaving, Link::close);
     leaving.addAll(links);
     links.clear();
     open();
     List<Link> old = List.copyOf(leaving);
-    loop.schedule(() -> PeriodicTask.each(old, Link::close), LEAVE_MS, TimeUnit.MILLISECONDS);
+    loop.schedule(
+        () -> PeriodicTask.forEachIsolated(old, Link::close), LEAVE_MS, TimeUnit.MILLISECONDS);
   }
 
-  public void add(String name, double amount, double ttlMs) {
+  public void increment(String name, double amount, double ttlMs) {
     Call call = new Call(name, clock.now());
     Call before = lastOfName.get(name);
     Link link = before != null ? before.link : leastOwing();
@@ -211,7 +212,7 @@
 
   private void sweep() {
     double now = clock.now();
-    PeriodicTask.each(links, l -> l.check(now));
+    PeriodicTask.forEachIsolated(links, l -> l.check(now));
   }
 
   /** The lines of one connection. */
--- a/src/main/java/quotagateway/discovery/DiscoveryClient.java
+++ b/src/main/java/quotagateway/discovery/DiscoveryClient.java
@@ -111,7 +111,7 @@
   }
 
   /** Sockets to the agent, which come up within the time in which it has to answer. */
-  public static Dialer sockets(EventLoop loop) {
+  public static Dialer dialer(EventLoop loop) {
     FixedRecvByteBufAllocator reads = new FixedRecvByteBufAllocator(READ_BYTES);
     reads.maxMessagesPerRead(1);
     return Dialer.sockets(loop, BEGIN_MS, reads);
@@ -122,7 +122,7 @@
   }
 
   /** Watches at another address; the old watch goes on until the new one tells something. */
-  public void moveTo(InetSocketAddress other) {
+  public void changeAddress(InetSocketAddress other) {
     if (!other.equals(watch.agent)) {
       backoff.reset();
       replace(other);
@@ -266,7 +266,7 @@
         LOG.info("the list of backends is taken again, version " + version);
       }
     }
-    feed.take(news);
+    feed.dispatch(news);
   }
 
   /** Hands the bytes of one watch to its reader. */
@@ -295,11 +295,11 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-      if (source.reader.holdsPart()) {
+      if (source.reader.hasPartialMessage()) {
         long then = pieces;
         loop.schedule(
             () -> {
-              if (source.reader.holdsPart() && pieces == then) {
+              if (source.reader.hasPartialMessage() && pieces == then) {
                 ctx.close();
               }
             },
--- a/src/main/java/quotagateway/discovery/EndpointListReader.java
+++ b/src/main/java/quotagateway/discovery/EndpointListReader.java
@@ -74,7 +74,7 @@
   }
 
   /** Whether part of a message has come whose rest has not. */
-  boolean holdsPart() {
+  boolean hasPartialMessage() {
     return depth > 0;
   }
 
--- a/src/main/java/quotagateway/discovery/EndpointUpdateDispatcher.java
+++ b/src/main/java/quotagateway/discovery/EndpointUpdateDispatcher.java
@@ -16,7 +16,7 @@
   /**
    * Entries of one piece: applying one takes 10 us or less, so a piece takes about a millisecond.
    */
-  static final int PIECE_ENTRIES = 128;
+  static final int MAX_FRAGMENT_ENDPOINTS = 128;
 
   private final Executor loop;
   private final Consumer<EndpointUpdate> listener;
@@ -32,13 +32,13 @@
    * Takes a whole message; one of a single piece is handed on at once, unless others are still
    * waiting.
    */
-  public void take(EndpointUpdate news) {
-    List<Endpoint> entries = news.entries();
+  public void dispatch(EndpointUpdate news) {
+    List<Endpoint> entries = news.endpoints();
     int at = 0;
-    for (; entries.size() - at > PIECE_ENTRIES; at += PIECE_ENTRIES) {
+    for (; entries.size() - at > MAX_FRAGMENT_ENDPOINTS; at += MAX_FRAGMENT_ENDPOINTS) {
       pieces.add(
           new EndpointUpdate(
-              0, EndpointListForm.FRAGMENT, entries.subList(at, at + PIECE_ENTRIES)));
+              0, EndpointListForm.FRAGMENT, entries.subList(at, at + MAX_FRAGMENT_ENDPOINTS)));
     }
     pieces.add(
         new EndpointUpdate(news.version(), news.form(), entries.subList(at, entries.size())));
--- a/src/main/java/quotagateway/driver/PolicyDriver.java
+++ b/src/main/java/quotagateway/driver/PolicyDriver.java
@@ -173,7 +173,7 @@
     this.counter = counter;
     double decidedAt = clock.now();
     policy.start(decidedAt).forEach(action -> execute(action, decidedAt));
-    deliver(new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, known.entries()));
+    deliver(new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, known.endpoints()));
     backends.onRoster(known);
   }
 
@@ -243,13 +243,13 @@
    * The module hears it first: it chooses anew for attempts that the pool gives up because of it.
    */
   public void onRoster(EndpointUpdate news) {
-    deliver(new EndpointsUpdated(news.form(), news.entries()));
+    deliver(new EndpointsUpdated(news.form(), news.endpoints()));
     backends.onRoster(news);
   }
 
   /** Fails all that is still unanswered: the process is about to end. */
   public void failAll() {
-    PeriodicTask.each(live.values(), this::fail);
+    PeriodicTask.forEachIsolated(live.values(), this::fail);
   }
 
   /**
@@ -325,7 +325,7 @@
     if (action instanceof StartAttempt a) {
       send(a, decidedAt);
     } else if (action instanceof IncrementCounter a) {
-      counter.add(a.counterName(), a.amount(), a.ttlMs());
+      counter.increment(a.counterName(), a.amount(), a.ttlMs());
     } else if (action instanceof ScheduleTimer a) {
       wake(a);
     } else if (action instanceof RejectRequest a) {
--- a/src/main/java/quotagateway/server/GatewayServer.java
+++ b/src/main/java/quotagateway/server/GatewayServer.java
@@ -54,7 +54,7 @@
   private static final long BESIDE_MS = 500;
 
   private final EventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(1, SocketTransport.BEST.ioHandler());
+      new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
   public final EventLoop loop = group.next();
   private final MonotonicClock clock = new MonotonicClock();
   private final CountDownLatch drained = new CountDownLatch(1);
@@ -175,7 +175,7 @@
   private void wire(GatewayConfig config) {
     ConnectionBudget places = new ConnectionBudget(config.limits().places());
     loop.scheduleWithFixedDelay(
-        () -> places.beside(started.another() ? config.limits().placesBeside() : 0),
+        () -> places.shareWithOtherProcess(started.another() ? config.limits().placesBeside() : 0),
         0,
         BESIDE_MS,
         TimeUnit.MILLISECONDS);
@@ -203,7 +203,7 @@
         new CounterClient(
             loop,
             clock,
-            Dialer.sockets(loop, CounterClient.CONNECT_LIMIT_MS),
+            Dialer.sockets(loop, CounterClient.CONNECT_TIMEOUT_MS),
             config.counter(),
             config.settings().capabilities().counterTimeoutMs(),
             driver::onCounted);
@@ -213,7 +213,7 @@
         new DiscoveryClient(
             loop,
             clock,
-            DiscoveryClient.sockets(loop),
+            DiscoveryClient.dialer(loop),
             config.discovery(),
             config.known().version(),
             config.limits().backends(),
@@ -232,8 +232,8 @@
       config = read;
       loop.execute(
           () -> {
-            counter.moveTo(read.counter());
-            discovery.moveTo(read.discovery());
+            counter.changeAddress(read.counter());
+            discovery.changeAddress(read.discovery());
             driver.onSettings(read.settings());
             clients.read(new RequestReader(read.settings()));
           });
--- a/src/main/java/quotagateway/transport/BackendAddress.java
+++ b/src/main/java/quotagateway/transport/BackendAddress.java
@@ -17,7 +17,7 @@
   private BackendAddress() {}
 
   /** The number of an address and port; {@link Endpoint#NOWHERE} for any other, and for none. */
-  public static long of(InetSocketAddress address) {
+  public static long encode(InetSocketAddress address) {
     if (address == null || !(address.getAddress() instanceof Inet4Address ip)) {
       return Endpoint.NO_ADDRESS;
     }
@@ -28,7 +28,7 @@
     return number << PORT_BITS | address.getPort();
   }
 
-  public static InetSocketAddress address(long place) {
+  public static InetSocketAddress decode(long place) {
     long number = place >>> PORT_BITS;
     byte[] ip = {
       (byte) (number >>> 24), (byte) (number >>> 16), (byte) (number >>> 8), (byte) number
--- a/src/main/java/quotagateway/transport/ConnectionBudget.java
+++ b/src/main/java/quotagateway/transport/ConnectionBudget.java
@@ -7,46 +7,50 @@
 public final class ConnectionBudget {
 
   /** Kept free for backends in any case, and beyond what they have. */
-  private static final double LEAST_FOR_BACKENDS = 0.25;
+  private static final double MIN_BACKEND_SHARE = 0.25;
 
-  private static final double AHEAD_FOR_BACKENDS = 0.08;
+  private static final double BACKEND_HEADROOM_SHARE = 0.08;
 
   /** Clients hold a third of all descriptors at most for requests, each with one attempt out. */
-  private static final double MOST_FOR_BACKENDS = 0.44;
+  private static final double MAX_BACKEND_SHARE = 0.44;
 
-  private final int alone;
-  private int all;
-  private int clients;
-  private int backends;
+  private final int limitWithoutPeer;
+  private int limit;
+  private int clientConnections;
+  private int backendConnections;
 
   public ConnectionBudget(int all) {
-    this.alone = all;
-    this.all = all;
+    this.limitWithoutPeer = all;
+    this.limit = all;
   }
 
   /** So many there are while another process has its part of the descriptors; 0: there is none. */
-  public void beside(int places) {
-    all = places > 0 ? Math.min(alone, places) : alone;
+  public void shareWithOtherProcess(int places) {
+    limit = places > 0 ? Math.min(limitWithoutPeer, places) : limitWithoutPeer;
   }
 
-  public void client(int change) {
-    clients += change;
+  public void addClientConnections(int change) {
+    clientConnections += change;
   }
 
-  public void backend(int change) {
-    backends += change;
+  public void addBackendConnections(int change) {
+    backendConnections += change;
   }
 
-  public int clients() {
-    return clients;
+  public int clientConnections() {
+    return clientConnections;
   }
 
   /** How many clients there may be by now. */
-  public int mostClients() {
-    return all - (int) (Math.max(all * LEAST_FOR_BACKENDS, backends + all * AHEAD_FOR_BACKENDS));
+  public int maxClientConnections() {
+    return limit
+        - (int)
+            (Math.max(
+                limit * MIN_BACKEND_SHARE, backendConnections + limit * BACKEND_HEADROOM_SHARE));
   }
 
-  public boolean roomForBackend() {
-    return backends < all * MOST_FOR_BACKENDS && clients + backends < all;
+  public boolean hasRoomForBackendConnection() {
+    return backendConnections < limit * MAX_BACKEND_SHARE
+        && clientConnections + backendConnections < limit;
   }
 }
--- a/src/main/java/quotagateway/transport/Dialer.java
+++ b/src/main/java/quotagateway/transport/Dialer.java
@@ -16,7 +16,7 @@
 
   /** Real ones, driven by the loop, that come up within the limit or not at all. */
   static Dialer sockets(EventLoop loop, double limitMs) {
-    return sockets(loop, limitMs, SocketTransport.smallReads());
+    return sockets(loop, limitMs, SocketTransport.boundedReads());
   }
 
   /** The same, which read as the allocator says. */
@@ -24,10 +24,10 @@
     Bootstrap bootstrap =
         new Bootstrap()
             .group(loop)
-            .channel(SocketTransport.BEST.socket())
+            .channel(SocketTransport.PREFERRED.socket())
             .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, SocketTransport.FEW_WAITING)
-            .option(ChannelOption.SO_SNDBUF, SocketTransport.FEW_SENT)
+            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, SocketTransport.WRITE_BUFFER_WATER_MARK)
+            .option(ChannelOption.SO_SNDBUF, SocketTransport.SEND_BUFFER_BYTES)
             .option(ChannelOption.RECVBUF_ALLOCATOR, reads)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(limitMs));
     return (address, handler) -> bootstrap.clone().handler(handler).connect(address);
--- a/src/main/java/quotagateway/transport/PeriodicTask.java
+++ b/src/main/java/quotagateway/transport/PeriodicTask.java
@@ -20,12 +20,12 @@
   private PeriodicTask() {}
 
   /** Has the loop run a round again and again, so long after the one before. */
-  public static void every(EventLoop loop, long pauseMs, Runnable round) {
+  public static void schedule(EventLoop loop, long pauseMs, Runnable round) {
     loop.scheduleWithFixedDelay(() -> guarded(round), pauseMs, pauseMs, TimeUnit.MILLISECONDS);
   }
 
   /** Works on all that are there by now; the collection may change meanwhile. */
-  public static <T> void each(Collection<T> all, Consumer<? super T> work) {
+  public static <T> void forEachIsolated(Collection<T> all, Consumer<? super T> work) {
     List.copyOf(all).forEach(one -> guarded(() -> work.accept(one)));
   }
 
--- a/src/main/java/quotagateway/transport/SocketTransport.java
+++ b/src/main/java/quotagateway/transport/SocketTransport.java
@@ -33,7 +33,7 @@
     Class<? extends ServerSocketChannel> serverSocket,
     ChannelOption<Boolean> reusePort) {
 
-  public static final SocketTransport BEST =
+  public static final SocketTransport PREFERRED =
       Epoll.isAvailable()
           ? new SocketTransport(
               StaleEventFilter.newFactory(),
@@ -47,7 +47,7 @@
               NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT));
 
   /** What one side of a large body or answer may have waiting before the other stops reading. */
-  public static final WriteBufferWaterMark FEW_WAITING =
+  public static final WriteBufferWaterMark WRITE_BUFFER_WATER_MARK =
       new WriteBufferWaterMark(16 * 1024, 32 * 1024);
 
   /**
@@ -55,7 +55,7 @@
    * has gone, and lets the buffer grow to megabytes by itself: at 64 kB a second a peer that reads
    * all the time would look stuck for a quarter of a minute.
    */
-  public static final int FEW_SENT = 128 * 1024;
+  public static final int SEND_BUFFER_BYTES = 128 * 1024;
 
   /** TCP_CLOSE, TCP_CLOSE_WAIT, TCP_LAST_ACK and TCP_CLOSING, as Linux numbers the states. */
   private static final Set<Integer> ENDED_STATES = Set.of(7, 8, 9, 11);
@@ -63,14 +63,14 @@
   private static final Logger LOG = Logger.getLogger(SocketTransport.class.getName());
 
   /** Bytes of the longest address, as Netty encodes it, and of its length. */
-  private static final int MOST_ADDRESS = 26;
+  private static final int MAX_ENCODED_ADDRESS_BYTES = 26;
 
   /**
    * For how long the newest bytes of a connection had been with the kernel, in milliseconds; 0
    * where it does not tell. A loop that is short of CPU reads late, and only the kernel knows how
    * late.
    */
-  public static double waitedMs(Channel channel) {
+  public static double msSinceLastReceive(Channel channel) {
     try {
       return channel instanceof EpollSocketChannel socket ? socket.tcpInfo().lastDataRecv() : 0;
     } catch (ChannelException e) {
@@ -98,7 +98,7 @@
    * Whether the kernel has seen the other side end the connection or its sending, though it may not
    * have been read here yet; false where the kernel does not tell.
    */
-  public static boolean endedByPeer(Channel channel) {
+  public static boolean isClosedByPeer(Channel channel) {
     try {
       return channel instanceof EpollSocketChannel socket
           && ENDED_STATES.contains(socket.tcpInfo().state());
@@ -111,7 +111,7 @@
    * Reads of up to 32 KiB, so that what waits to be written keeps no larger buffers from being
    * freed.
    */
-  public static RecvByteBufAllocator smallReads() {
+  public static RecvByteBufAllocator boundedReads() {
     return new AdaptiveRecvByteBufAllocator(1_024, 2_048, 32 * 1_024);
   }
 
@@ -120,10 +120,10 @@
    * listening socket leaves behind when it closes. Harm: none; what comes between the last of them
    * and the close is lost all the same.
    */
-  public static void acceptWaiting(Channel listening) {
+  public static void acceptPending(Channel listening) {
     if (listening instanceof EpollServerSocketChannel server) {
       Socket socket = new Socket(server.fd().intValue());
-      byte[] address = new byte[MOST_ADDRESS];
+      byte[] address = new byte[MAX_ENCODED_ADDRESS_BYTES];
       try {
         for (int fd = socket.accept(address); fd >= 0; fd = socket.accept(address)) {
           server.pipeline().fireChannelRead(new EpollSocketChannel(fd));
--- a/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
+++ b/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
@@ -56,7 +56,7 @@
   private static final double FOREVER = Double.POSITIVE_INFINITY;
 
   private final EventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(1, SocketTransport.BEST.ioHandler());
+      new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
   private final EventLoop loop = group.next();
   private final BlockingQueue<Status> ends = new LinkedBlockingQueue<>();
 
@@ -225,7 +225,7 @@
       Bootstrap bootstrap =
           new Bootstrap()
               .group(loop)
-              .channel(SocketTransport.BEST.socket())
+              .channel(SocketTransport.PREFERRED.socket())
               .option(ChannelOption.SO_SNDBUF, FEW_BYTES);
       Dialer fewBytes = (address, handler) -> bootstrap.clone().handler(handler).connect(address);
       loop.submit(
--- a/src/test/java/quotagateway/backend/SingleEndpoint.java
+++ b/src/test/java/quotagateway/backend/SingleEndpoint.java
@@ -11,7 +11,7 @@
 
   /** At a port of this machine. */
   SingleEndpoint(int port) {
-    this(BackendAddress.of(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)), 0);
+    this(BackendAddress.encode(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)), 0);
   }
 
   @Override
--- a/src/test/java/quotagateway/counter/CounterClientTest.java
+++ b/src/test/java/quotagateway/counter/CounterClientTest.java
@@ -26,7 +26,7 @@
 
   private final Peers peers = new Peers();
   private final EventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(1, SocketTransport.BEST.ioHandler());
+      new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
   private final BlockingQueue<CounterReplied> ends = new LinkedBlockingQueue<>();
   private CounterClient client;
 
@@ -54,7 +54,7 @@
   }
 
   private void add(String name, double amount) {
-    group.next().execute(() -> client.add(name, amount, 4000));
+    group.next().execute(() -> client.increment(name, amount, 4000));
   }
 
   @Test
@@ -171,7 +171,9 @@
       group
           .next()
           .submit(
-              () -> client.moveTo(new InetSocketAddress("127.0.0.1", other.counter.getLocalPort())))
+              () ->
+                  client.changeAddress(
+                      new InetSocketAddress("127.0.0.1", other.counter.getLocalPort())))
           .sync();
       moved.countDown();
       assertEquals(77, Peers.next(ends).total());
@@ -195,7 +197,10 @@
                   Peers.write(out, "no line's end");
                 })
             .getLocalPort();
-    group.next().submit(() -> client.moveTo(new InetSocketAddress("127.0.0.1", port))).sync();
+    group
+        .next()
+        .submit(() -> client.changeAddress(new InetSocketAddress("127.0.0.1", port)))
+        .sync();
     Status status;
     do {
       add("a", 1);
@@ -206,7 +211,9 @@
     group
         .next()
         .submit(
-            () -> client.moveTo(new InetSocketAddress("127.0.0.1", peers.counter.getLocalPort())))
+            () ->
+                client.changeAddress(
+                    new InetSocketAddress("127.0.0.1", peers.counter.getLocalPort())))
         .sync();
     peers.atCounter.clear();
     while (peers.atCounter.isEmpty()) {
--- a/src/test/java/quotagateway/discovery/DiscoveryFailureTest.java
+++ b/src/test/java/quotagateway/discovery/DiscoveryFailureTest.java
@@ -72,7 +72,7 @@
 
   private final Peers peers = new Peers();
   private final EventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(1, SocketTransport.BEST.ioHandler());
+      new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
   private final EventLoop loop = group.next();
   private final List<SocketChannel> filling = new ArrayList<>();
   private ServerSocket full;
@@ -120,7 +120,7 @@
     CompletableFuture<Long> told = new CompletableFuture<>();
     AtomicInteger calls = new AtomicInteger();
     AtomicLong silentSince = new AtomicLong();
-    Dialer sockets = DiscoveryClient.sockets(loop);
+    Dialer sockets = DiscoveryClient.dialer(loop);
     InetSocketAddress agent =
         (InetSocketAddress)
             peers
--- a/src/test/java/quotagateway/discovery/EndpointListReaderTest.java
+++ b/src/test/java/quotagateway/discovery/EndpointListReaderTest.java
@@ -49,7 +49,7 @@
   }
 
   private List<Endpoint> entries() {
-    return heard.stream().flatMap(news -> news.entries().stream()).toList();
+    return heard.stream().flatMap(news -> news.endpoints().stream()).toList();
   }
 
   @Test
@@ -58,7 +58,7 @@
     assertEquals(2, heard.size());
     List<Endpoint> whole = entries();
     assertEquals(4, whole.size());
-    long place = BackendAddress.of(new InetSocketAddress("10.1.0.18", 7070));
+    long place = BackendAddress.encode(new InetSocketAddress("10.1.0.18", 7070));
     assertEquals(
         new Endpoint(whole.get(0).id(), "a", 3, EndpointState.SERVING, 1.5, 1760000000000.0, place),
         whole.get(0));
@@ -76,8 +76,8 @@
       read(FIRST + "\n\n" + SECOND, pieces);
       assertEquals(whole, entries());
       assertEquals(List.of(41L, 43L), heard.stream().map(EndpointUpdate::version).toList());
-      assertEquals(List.of(true, false), heard.stream().map(EndpointUpdate::full).toList());
-      assertFalse(reader.holdsPart());
+      assertEquals(List.of(true, false), heard.stream().map(EndpointUpdate::isSnapshot).toList());
+      assertFalse(reader.hasPartialMessage());
     }
   }
 
@@ -86,7 +86,7 @@
   void aListThatIsCutOrSpoiltChangesNothing() throws IOException {
     int cut = FIRST.indexOf("{\"addr\"");
     read(FIRST.substring(0, cut), 40);
-    assertTrue(reader.holdsPart());
+    assertTrue(reader.hasPartialMessage());
     assertEquals(List.of(), heard);
     assertThrows(IOException.class, () -> read("junk", 40));
     assertEquals(List.of(), heard);
@@ -97,13 +97,13 @@
   void aLongListIsHandedOnInPiecesAndInOrder() {
     Queue<Runnable> turns = new ArrayDeque<>();
     EndpointUpdateDispatcher feed = new EndpointUpdateDispatcher(turns::add, heard::add);
-    int length = 2 * EndpointUpdateDispatcher.PIECE_ENTRIES + 1;
+    int length = 2 * EndpointUpdateDispatcher.MAX_FRAGMENT_ENDPOINTS + 1;
     List<Endpoint> all =
         IntStream.range(0, length)
             .mapToObj(id -> new Endpoint(id, "a", 0, EndpointState.SERVING, 1, 0))
             .toList();
-    feed.take(new EndpointUpdate(5, true, all));
-    feed.take(new EndpointUpdate(6, false, List.of()));
+    feed.dispatch(new EndpointUpdate(5, true, all));
+    feed.dispatch(new EndpointUpdate(6, false, List.of()));
     assertEquals(1, heard.size());
     while (!turns.isEmpty()) {
       turns.poll().run();
@@ -117,7 +117,7 @@
             EndpointListForm.DELTA),
         heard.stream().map(EndpointUpdate::form).toList());
     assertEquals(List.of(0L, 0L, 5L, 6L), heard.stream().map(EndpointUpdate::version).toList());
-    feed.take(new EndpointUpdate(7, false, List.of()));
+    feed.dispatch(new EndpointUpdate(7, false, List.of()));
     assertEquals(7, heard.get(4).version());
   }
 
--- a/src/test/java/quotagateway/discovery/EndpointListTiming.java
+++ b/src/test/java/quotagateway/discovery/EndpointListTiming.java
@@ -49,8 +49,8 @@
     EndpointUpdateDispatcher feed =
         new EndpointUpdateDispatcher(
             turns::add,
-            news -> take(policy.on(NOW_MS, new EndpointsUpdated(news.form(), news.entries()))));
-    reader = new EndpointListReader(Integer.MAX_VALUE, feed::take);
+            news -> take(policy.on(NOW_MS, new EndpointsUpdated(news.form(), news.endpoints()))));
+    reader = new EndpointListReader(Integer.MAX_VALUE, feed::dispatch);
   }
 
   public static void main(String[] arguments) throws IOException {
--- a/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
+++ b/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
@@ -56,7 +56,7 @@
 
   private final Peers peers = new Peers();
   private final EventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(1, SocketTransport.BEST.ioHandler());
+      new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
   private final EventLoop loop = group.next();
   private final AtomicLong offsetNanos = new AtomicLong();
 
@@ -94,7 +94,7 @@
   }
 
   private static long at(ServerSocket place) {
-    return BackendAddress.of((InetSocketAddress) place.getLocalSocketAddress());
+    return BackendAddress.encode((InetSocketAddress) place.getLocalSocketAddress());
   }
 
   private static EndpointUpdate news(
--- a/src/test/java/quotagateway/server/MisbehavingClientTest.java
+++ b/src/test/java/quotagateway/server/MisbehavingClientTest.java
@@ -27,7 +27,8 @@
 
   private static final long OWED_NANOS = TimeUnit.SECONDS.toNanos(3);
   private static final int PLACES =
-      new ConnectionBudget(ResourceLimits.of(Peers.FEW_SOCKETS, 128, 1).places()).mostClients();
+      new ConnectionBudget(ResourceLimits.of(Peers.FEW_SOCKETS, 128, 1).places())
+          .maxClientConnections();
 
   private final Peers peers = new Peers();
 
@@ -78,17 +79,17 @@
   @Test
   void clientsAndBackendsNeverHoldMoreThanThereIs() {
     ConnectionBudget places = new ConnectionBudget(100);
-    int crowd = places.mostClients();
-    places.client(crowd);
+    int crowd = places.maxClientConnections();
+    places.addClientConnections(crowd);
     int backends = 0;
-    while (places.roomForBackend()) {
-      places.backend(1);
+    while (places.hasRoomForBackendConnection()) {
+      places.addBackendConnections(1);
       backends++;
     }
     assertEquals(100, crowd + backends);
-    assertTrue(places.mostClients() < crowd);
-    places.client(-crowd);
-    assertTrue(places.roomForBackend());
+    assertTrue(places.maxClientConnections() < crowd);
+    places.addClientConnections(-crowd);
+    assertTrue(places.hasRoomForBackendConnection());
   }
 
   /**
--- a/src/test/java/quotagateway/server/ResourceLimitsTest.java
+++ b/src/test/java/quotagateway/server/ResourceLimitsTest.java
@@ -235,7 +235,8 @@
       most = Math.max(most, descriptors());
     }
     int places =
-        new ConnectionBudget(ResourceLimits.of(sockets, MEMORY_MB, 1).places()).mostClients();
+        new ConnectionBudget(ResourceLimits.of(sockets, MEMORY_MB, 1).places())
+            .maxClientConnections();
     assertTrue(most > places, "clients fill their places: " + most + " descriptors");
     away.set(false);
     long back = System.nanoTime();
--- a/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
+++ b/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
@@ -96,11 +96,12 @@
   void twoProcessesShareTheDescriptors() {
     ResourceLimits limits = ResourceLimits.of(384, 144, 0.3);
     ConnectionBudget places = new ConnectionBudget(limits.places());
-    int alone = places.mostClients();
-    places.beside(limits.placesBeside());
-    assertTrue(places.mostClients() <= alone / 2, places.mostClients() + " of " + alone);
+    int alone = places.maxClientConnections();
+    places.shareWithOtherProcess(limits.placesBeside());
+    assertTrue(
+        places.maxClientConnections() <= alone / 2, places.maxClientConnections() + " of " + alone);
     assertTrue(2 * limits.placesBeside() < 384);
-    places.beside(0);
-    assertEquals(alone, places.mostClients());
+    places.shareWithOtherProcess(0);
+    assertEquals(alone, places.maxClientConnections());
   }
 }
--- a/src/test/java/quotagateway/testing/WireFormats.java
+++ b/src/test/java/quotagateway/testing/WireFormats.java
@@ -33,7 +33,7 @@
     if (heard.size() != 1) {
       throw new IOException("not one whole message");
     }
-    return new EndpointsUpdated(heard.get(0).form(), heard.get(0).entries());
+    return new EndpointsUpdated(heard.get(0).form(), heard.get(0).endpoints());
   }
 
   /**
@@ -44,8 +44,8 @@
     Queue<Runnable> turns = new ArrayDeque<>();
     List<EndpointsUpdated> pieces = new ArrayList<>();
     new EndpointUpdateDispatcher(
-            turns::add, piece -> pieces.add(new EndpointsUpdated(piece.form(), piece.entries())))
-        .take(new EndpointUpdate(0, whole.form(), whole.endpoints()));
+            turns::add, piece -> pieces.add(new EndpointsUpdated(piece.form(), piece.endpoints())))
+        .dispatch(new EndpointUpdate(0, whole.form(), whole.endpoints()));
     while (!turns.isEmpty()) {
       turns.poll().run();
     }
--- a/src/test/java/quotagateway/transport/PeriodicTaskTest.java
+++ b/src/test/java/quotagateway/transport/PeriodicTaskTest.java
@@ -17,7 +17,7 @@
   @Test
   void whatOneThrowsEndsNoOthersTurn() {
     List<Integer> done = new ArrayList<>();
-    PeriodicTask.each(
+    PeriodicTask.forEachIsolated(
         List.of(1, 2, 3),
         one -> {
           done.add(one);
@@ -32,7 +32,7 @@
   @Test
   void theCollectionMayChangeMeanwhile() {
     List<Integer> all = new ArrayList<>(List.of(1, 2, 3));
-    PeriodicTask.each(all, all::remove);
+    PeriodicTask.forEachIsolated(all, all::remove);
     assertEquals(List.of(), all);
   }
 
@@ -40,7 +40,7 @@
   void aRoundThatThrowsIsNotTheLast() {
     EmbeddedChannel channel = new EmbeddedChannel();
     int[] rounds = new int[1];
-    PeriodicTask.every(
+    PeriodicTask.schedule(
         channel.eventLoop(),
         100,
         () -> {
