--- a/src/main/java/quotagateway/policy/admission/LoadShedder.java
+++ b/src/main/java/quotagateway/policy/admission/LoadShedder.java
@@ -1,8 +1,8 @@
 package quotagateway.policy.admission;
 
 import java.util.function.IntSupplier;
-import quotagateway.policy.context.DecayingMean;
 import quotagateway.policy.context.DecisionContext;
+import quotagateway.policy.context.ExponentialMean;
 import quotagateway.policy.event.AttemptEnded;
 import quotagateway.policy.event.Status;
 
@@ -62,9 +62,9 @@
 
   private final DecisionContext context;
   private final IntSupplier servingBackends;
-  private final DecayingMean latencyRatio;
-  private final DecayingMean inFlightWhenMeasured;
-  private final DecayingMean inFlight;
+  private final ExponentialMean latencyRatio;
+  private final ExponentialMean inFlightWhenMeasured;
+  private final ExponentialMean inFlight;
   private int attemptsInFlight;
   private double lastOkAtMs = Double.NEGATIVE_INFINITY;
   private double meanPriorityWeight = Double.NaN;
@@ -79,9 +79,9 @@
     this.context = context;
     this.servingBackends = servingBackends;
     double nowMs = context.nowMs();
-    latencyRatio = new DecayingMean(NEWEST_RESPONSE_WEIGHT, MEASURE_LIFETIME_MS, nowMs);
-    inFlightWhenMeasured = new DecayingMean(NEWEST_RESPONSE_WEIGHT, MEASURE_LIFETIME_MS, nowMs);
-    inFlight = new DecayingMean(NEWEST_IN_FLIGHT_WEIGHT, IN_FLIGHT_LIFETIME_MS, nowMs);
+    latencyRatio = new ExponentialMean(NEWEST_RESPONSE_WEIGHT, MEASURE_LIFETIME_MS, nowMs);
+    inFlightWhenMeasured = new ExponentialMean(NEWEST_RESPONSE_WEIGHT, MEASURE_LIFETIME_MS, nowMs);
+    inFlight = new ExponentialMean(NEWEST_IN_FLIGHT_WEIGHT, IN_FLIGHT_LIFETIME_MS, nowMs);
   }
 
   /** Notes a request that has come, before any decision about it. */
@@ -104,9 +104,9 @@
     attemptsInFlight--;
   }
 
-  /** Attempts of this gateway in flight, as a mean over the latest requests. */
-  public double meanAttemptsInFlight() {
-    return inFlight.value();
+  /** Attempts of this gateway in flight, as a mean over the latest requests; only to be read. */
+  public ExponentialMean attemptsInFlight() {
+    return inFlight;
   }
 
   /**
@@ -180,6 +180,6 @@
     double heldWhenMeasured =
         Math.max(inFlightWhenMeasured.value() * gatewaysPerBackend, MIN_QUEUEING_REQUESTS);
     double growth = (heldNow + idleShare) / (heldWhenMeasured + idleShare);
-    return latencyRatio.decayedValue(context.nowMs()) * growth;
+    return latencyRatio.fadedValue(context.nowMs()) * growth;
   }
 }
