--- a/src/main/java/quotagateway/policy/GatewayPolicy.java
+++ b/src/main/java/quotagateway/policy/GatewayPolicy.java
@@ -1,15 +1,12 @@
 package quotagateway.policy;
 
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import quotagateway.endpoint.EndpointIndex;
 import quotagateway.endpoint.ServingEndpoints;
 import quotagateway.policy.action.Action;
 import quotagateway.policy.action.CancelAttempt;
-import quotagateway.policy.action.FailRequest;
-import quotagateway.policy.action.RejectRequest;
 import quotagateway.policy.action.ScheduleTimer;
 import quotagateway.policy.action.StartAttempt;
 import quotagateway.policy.action.Timer;
@@ -78,11 +75,11 @@
   private final RetryPolicy retryPolicy;
   private final AttemptTimeout attemptTimeout;
   private final WakeUpTimer wakeUpTimer = new WakeUpTimer();
+  private final OpenRequests openRequests;
 
-  /** In the order of their arrival, which is the order of the checks. */
-  private final LinkedHashMap<String, OpenRequest> openRequests = new LinkedHashMap<>();
-
-  /** Requests by their attempts in progress; some have had their final response already. */
+  /**
+   * Requests by their attempts in progress; those whose clients have gone are not open any more.
+   */
   private final Map<AttemptKey, OpenRequest> requestsByAttempt = new HashMap<>();
 
   /**
@@ -111,6 +108,7 @@
     RetryBudget retryBudget = new RetryBudget(settings.gatewayCount());
     retryPolicy = new RetryPolicy(context, retryBudget);
     attemptTimeout = new AttemptTimeout(retryBudget);
+    openRequests = new OpenRequests(context, quotaLimiter, retryPolicy);
   }
 
   /** What is known of the endpoints, always as of the last event. */
@@ -148,7 +146,7 @@
     } else if (event instanceof AttemptEnded ended) {
       onAttemptEnded(ended);
     } else if (event instanceof ClientDisconnected disconnected) {
-      onClientDisconnected(disconnected);
+      openRequests.clientDisconnected(disconnected.requestId());
     } else if (event instanceof EndpointsUpdated updated) {
       router.updateEndpoints(updated);
     } else if (event instanceof TimerFired fired) {
@@ -156,7 +154,8 @@
     } else if (event instanceof SettingsChanged changed) {
       onSettingsChanged(changed.settings());
     } else {
-      throw new IllegalArgumentException("not an event of the policy: " + event);
+      // Not reached: Event is sealed, and all its kinds are above.
+      throw new IllegalArgumentException("unknown kind of event: " + event);
     }
     return context.actions();
   }
@@ -176,7 +175,7 @@
             capabilities,
             quotaLimiter.open(event, requestClass.priorityWeight()),
             context.nowMs());
-    openRequests.put(request.id, request);
+    openRequests.add(request);
     loadShedder.recordRequest(request.quota.priorityWeight());
     admit(request);
     boolean nextCheckIsFar = wakeUpTimer.dueAtMs() > context.nowMs() + CHECK_INTERVAL_MS;
@@ -189,7 +188,7 @@
     if (openRequests.size() >= context.settings().capabilities().maxOpenRequests()
         || isLastCheck(request)
         || loadShedder.isOverloaded(request.quota.priorityWeight())) {
-      reject(request, 0);
+      openRequests.reject(request, 0);
     } else {
       apply(quotaLimiter.acquire(request.quota), request);
     }
@@ -209,7 +208,7 @@
       if (request.quota.mayExceedQuota() && loadShedder.hasSpareCapacity()) {
         forward(request);
       } else {
-        reject(request, overQuota.retryAfterMs());
+        openRequests.reject(request, overQuota.retryAfterMs());
       }
     }
   }
@@ -238,13 +237,13 @@
     if (backend != null) {
       startAttempt(request, backend);
     } else if (!request.awaitingBackend) {
-      giveUp(request);
+      openRequests.giveUp(request);
     }
   }
 
   private void startAttempt(OpenRequest request, BackendStatus backend) {
     if (!retryPolicy.mayStart(request.attempts, request.deadlineAtMs)) {
-      giveUp(request);
+      openRequests.giveUp(request);
       return;
     }
     int number = request.attempts.started();
@@ -304,13 +303,16 @@
     request.liveAttempt = null;
     recordOutcome(request, attempt, event);
     if (event.requestFinished()) {
-      close(request);
-    } else if (openRequests.containsKey(request.id)) {
+      openRequests.finish(request);
+    } else if (openRequests.contains(request)) {
       retryOrGiveUp(request);
     }
   }
 
-  /** Each class learns from an attempt what it decides by; load first, as service times change. */
+  /**
+   * Each class learns from an attempt what it decides by. The load shedder comes before the router,
+   * as it measures by the mean service time that was known while the attempt was in flight.
+   */
   private void recordOutcome(OpenRequest request, Attempt attempt, AttemptEnded event) {
     if (attempt.reachedBackend()) {
       quotaLimiter.attemptEnded(request.quota);
@@ -338,54 +340,8 @@
     if (retryPolicy.mayRetry(request.attempts, request.deadlineAtMs, router.fleetServiceMs())) {
       forward(request);
     } else {
-      giveUp(request);
-    }
-  }
-
-  // ---- Final responses ----
-
-  /** No attempt will follow: rejects where nothing was executed or does harm, else fails. */
-  private void giveUp(OpenRequest request) {
-    if (retryPolicy.mayReject(request.attempts)) {
-      reject(request, 0);
-    } else {
-      close(request);
-      context.emit(new FailRequest(request.id));
-    }
-  }
-
-  private void reject(OpenRequest request, double retryAfterMs) {
-    refundUnlessAttempted(request);
-    close(request);
-    double adviceMs = 0;
-    if (request.capabilities.retryAfter()) {
-      adviceMs = Math.min(retryAfterMs, request.capabilities.maxRetryAfterMs());
-    }
-    context.emit(new RejectRequest(request.id, adviceMs));
-  }
-
-  /** A reply of the counter that comes later must not have the request forwarded. */
-  private void onClientDisconnected(ClientDisconnected event) {
-    OpenRequest request = openRequests.remove(event.requestId());
-    if (request == null) {
-      return;
+      openRequests.giveUp(request);
     }
-    quotaLimiter.cancelWait(request.quota);
-    refundUnlessAttempted(request);
-    if (request.liveAttempt == null) {
-      quotaLimiter.end(request.quota);
-    }
-  }
-
-  private void refundUnlessAttempted(OpenRequest request) {
-    if (request.attempts.started() == 0) {
-      quotaLimiter.refund(request.quota);
-    }
-  }
-
-  private void close(OpenRequest request) {
-    openRequests.remove(request.id);
-    quotaLimiter.end(request.quota);
   }
 
   // ---- Timers and settings ----
@@ -408,7 +364,7 @@
       scheduleCheck(CHECK_AFTER_STALL_MS);
       return;
     }
-    List.copyOf(openRequests.values()).forEach(this::check);
+    openRequests.snapshot().forEach(this::check);
     scheduleCheck(openRequests.isEmpty() ? IDLE_CHECK_INTERVAL_MS : CHECK_INTERVAL_MS);
   }
 
@@ -422,7 +378,7 @@
       }
     } else if (request.awaitingBackend) {
       if (hasWaited(request, MAX_BACKEND_WAIT_PER_OBJECTIVE)) {
-        giveUp(request);
+        openRequests.giveUp(request);
       } else {
         forward(request);
       }
--- a/src/main/java/quotagateway/policy/quota/ConcurrencyLimiter.java
+++ b/src/main/java/quotagateway/policy/quota/ConcurrencyLimiter.java
@@ -55,7 +55,7 @@
     long window = (long) Math.floor(context.nowMs() / PERMIT_WINDOW_MS);
     reservation.awaitingPermit = true;
     reservation.permitCallPending = true;
-    reservation.permitCounterName = account.permitsCounterName(window);
+    reservation.permitCounterName = account.windows().permitsCounterName(window);
     pendingCalls.submit(
         reservation.permitCounterName,
         1,
@@ -71,7 +71,7 @@
     if (account.attemptsInFlight() >= Math.max(1, limit / account.gateways())) {
       return false;
     }
-    return !hasFewerPermitsThanGateways(account) || account.tryTakeConcurrencyStart();
+    return !hasFewerPermitsThanGateways(account) || account.localShare().tryTakeStart();
   }
 
   /** Takes in the reply to a call for a permit. */
--- a/src/main/java/quotagateway/policy/quota/CustomerAccount.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerAccount.java
@@ -8,9 +8,8 @@
  * totals of shared counts.
  *
  * <p>The counter has no buckets, only counts. All gateways add a customer's units to one count for
- * each window of time, under a name that ends with the window's number. From the growth of its
- * total a gateway learns what the others have used, and takes it off its replica. Between replies
- * it assumes that they go on as before.
+ * each window of time. From the growth of its total a gateway learns what its peers have used, and
+ * takes it off its replica. Between replies it assumes that they go on as before.
  *
  * <p>Where a window would hold fewer than two refills of the bucket, the bucket is not replicated:
  * each window then allows one burst ({@code fixedWindow}).
@@ -19,9 +18,6 @@
  */
 final class CustomerAccount {
 
-  /** Longest window of a count: many refills of usual quotas, so that window edges are rare. */
-  private static final double MAX_WINDOW_MS = 25_000;
-
   /**
    * Up to this many gateways, each meets a customer often enough to follow its bucket over the
    * longest window; with more gateways the windows become shorter.
@@ -57,22 +53,17 @@
   /** Lifetime of the measured rates in fixed windows. */
   private static final double FIXED_WINDOW_RATE_LIFETIME_MS = SPELL_LIFETIME_MS / 3;
 
-  /** Shortest time that a rate is measured over. */
-  private static final double MIN_RATE_SECONDS = 0.001;
-
   private final DecisionContext context;
-  private final long customer;
 
   /** Through how many gateways its requests may come. */
   private final int gateways;
 
+  private final CounterWindows windows;
+  private final CounterSettlement settlement = new CounterSettlement();
   private final HardLimit hardLimit;
+  private final LocalShare localShare;
+  private final UseRates rates;
   private Plan plan;
-
-  /** Windows begin at different times for different customers, so their edges do not coincide. */
-  private final double windowOffsetMs;
-
-  private double windowMs;
   private boolean fixedWindow;
 
   /** Units in the bucket, or left in the window, as estimated at {@link #advancedAtMs}. */
@@ -83,15 +74,6 @@
   /** Units assumed to have been used by other gateways since the last reply. */
   private double assumedPeerUnits;
 
-  /** Units a second of the other gateways. */
-  private double peerUnitsPerSecond;
-
-  /** Units a second of this gateway. */
-  private double localUnitsPerSecond;
-
-  /** Units admitted by this gateway since the last reply. */
-  private double localUnitsSinceSync;
-
   /** When the last reply came; NaN before the first. */
   private double syncedAtMs = Double.NaN;
 
@@ -99,22 +81,6 @@
   private long syncedWindow = Long.MIN_VALUE;
 
   private double syncedTotalUnits;
-
-  /** Units to be added to the shared count with the next call; negative to take units off. */
-  private double unsettledUnits;
-
-  /** Units that calls without a reply may have added to the shared count. */
-  private double unconfirmedUnits;
-
-  /** Estimates of the requests whose calls are under way. */
-  private double inFlightUnits;
-
-  /** This gateway's even part of the quota, which fixed windows admit from without a reply. */
-  private double localQuotaUnits;
-
-  /** Starts that this gateway's even part of the concurrency limit allows without a reply. */
-  private double localConcurrencyStarts;
-
   private int attemptsInFlight;
 
   /**
@@ -127,20 +93,17 @@
    */
   CustomerAccount(DecisionContext context, long customer, Plan plan, int gatewaysOfCustomer) {
     this.context = context;
-    this.customer = customer;
-    this.gateways = Math.max(1, Math.min(gatewaysOfCustomer, context.settings().gatewayCount()));
-    this.advancedAtMs = context.nowMs();
-    this.hardLimit = new HardLimit(context, plan, gateways);
+    gateways = Math.max(1, Math.min(gatewaysOfCustomer, context.settings().gatewayCount()));
+    advancedAtMs = context.nowMs();
+    windows = new CounterWindows(customer);
+    hardLimit = new HardLimit(context, plan, gateways);
     follow(plan);
-    windowOffsetMs = Math.floorMod(customer * 0x9E3779B97F4A7C15L, (long) MAX_WINDOW_MS);
     availableUnits = bucketSizeUnits();
     // A gateway that has just started may follow one that has used the hard limit up.
     hardLimit.refill((context.nowMs() - context.startedAtMs()) / 1000);
-    localQuotaUnits = context.nextRandom() * context.settings().maxRequestUnits();
-    // Most customers use little of their concurrency limit, so a first request is admitted.
-    localConcurrencyStarts = 1;
-    peerUnitsPerSecond =
-        plan.unitsPerSecond() * (fixedWindow ? DEFAULT_USE_RATIO : 1 - 1.0 / gateways);
+    localShare = new LocalShare(context, gateways);
+    double peerUseRatio = fixedWindow ? DEFAULT_USE_RATIO : 1 - 1.0 / gateways;
+    rates = new UseRates(plan.unitsPerSecond() * peerUseRatio);
   }
 
   Plan plan() {
@@ -151,37 +114,28 @@
     return gateways;
   }
 
-  HardLimit hardLimit() {
-    return hardLimit;
-  }
-
-  boolean usesFixedWindow() {
-    return fixedWindow;
+  CounterWindows windows() {
+    return windows;
   }
 
-  double availableUnits() {
-    return availableUnits;
+  CounterSettlement settlement() {
+    return settlement;
   }
 
-  double inFlightUnits() {
-    return inFlightUnits;
+  HardLimit hardLimit() {
+    return hardLimit;
   }
 
-  double localQuotaUnits() {
-    return localQuotaUnits;
+  LocalShare localShare() {
+    return localShare;
   }
 
-  /** Takes a start in this gateway's even part of the concurrency limit, if there is one. */
-  boolean tryTakeConcurrencyStart() {
-    if (localConcurrencyStarts < 1) {
-      return false;
-    }
-    localConcurrencyStarts -= 1;
-    return true;
+  boolean usesFixedWindow() {
+    return fixedWindow;
   }
 
-  double unsettledUnits() {
-    return unsettledUnits;
+  double availableUnits() {
+    return availableUnits;
   }
 
   /** When the account was last used. */
@@ -202,19 +156,40 @@
     attemptsInFlight--;
   }
 
-  /** The number of the present window. */
-  long currentWindow() {
-    return (long) Math.floor((context.nowMs() + windowOffsetMs) / windowMs);
+  /** Charges the units of an admitted request. */
+  void charge(double units) {
+    availableUnits -= units;
+    localShare.charge(units);
+    rates.recordLocalUse(units);
+  }
+
+  /** Corrects a charge by so many units, negative ones being returned, here and at the counter. */
+  void correctCharge(double units) {
+    availableUnits -= units;
+    settlement.addUnsettled(units);
   }
 
-  /** The name of the shared count of its units in a window. */
-  String unitsCounterName(long window) {
-    return Long.toString(customer, 36) + ":" + window;
+  /** How many units a call for a request should add: none where the bucket has no room for it. */
+  double unitsToAsk(double units) {
+    return fixedWindow || availableUnits >= units ? units : 0;
   }
 
-  /** The name of the shared count of its open requests that began in a window. */
-  String permitsCounterName(long window) {
-    return Long.toString(customer, 36) + ":o" + window;
+  /**
+   * Whether the quota surely has no room for so many units, so that a call would only add to the
+   * load of the counter.
+   */
+  boolean isKnownExhausted(double units) {
+    if (fixedWindow) {
+      boolean confirmed =
+          syncedWindow == windows.windowAt(context.nowMs())
+              && syncedTotalUnits >= plan.burstUnits();
+      double leastUnits = confirmed ? units : -MAX_ESTIMATED_OVERDRAFT_RATIO * plan.burstUnits();
+      return availableUnits < leastUnits;
+    }
+    // The most that the bucket holds if the others have used nothing since the last reply.
+    double maxUnits =
+        Math.min(plan.burstUnits(), availableUnits + assumedPeerUnits) - settlement.inFlightUnits();
+    return maxUnits < units && context.nowMs() - syncedAtMs < EXHAUSTED_RECHECK_MS;
   }
 
   /**
@@ -234,14 +209,17 @@
     if (plan.unitsPerSecond() > 0) {
       refillMs = 1000 * plan.burstUnits() / plan.unitsPerSecond();
     }
-    double longestMs = MAX_WINDOW_MS;
+    double longestMs = CounterWindows.MAX_LENGTH_MS;
     if (!hardLimit.isSet()) {
-      longestMs = MAX_WINDOW_MS * MAX_GATEWAYS_FOR_LONGEST_WINDOW / gateways;
+      longestMs = CounterWindows.MAX_LENGTH_MS * MAX_GATEWAYS_FOR_LONGEST_WINDOW / gateways;
     }
-    windowMs = Math.max(refillMs, Math.min(MAX_WINDOW_MS, longestMs));
+    double windowMs = Math.max(refillMs, Math.min(CounterWindows.MAX_LENGTH_MS, longestMs));
+    windows.setLengthMs(windowMs);
     fixedWindow = windowMs < MIN_REFILLS_FOR_BUCKET * refillMs && hasSharedCounter();
   }
 
+  // ---- Time goes by ----
+
   /**
    * Refills to the present. The other gateways are assumed to go on as they did, but not beyond
    * their share of the refill, so that this gateway keeps its own.
@@ -254,7 +232,7 @@
     if (seconds <= 0) {
       return;
     }
-    refillLocalParts(seconds, meanServiceMs);
+    localShare.refill(plan, seconds, meanServiceMs);
     if (fixedWindow) {
       advanceFixedWindow(seconds);
     } else {
@@ -263,24 +241,14 @@
     }
   }
 
-  private void refillLocalParts(double seconds, double meanServiceMs) {
-    double maxUnits = Math.max(plan.burstUnits() / gateways, context.settings().maxRequestUnits());
-    localQuotaUnits =
-        Math.min(maxUnits, localQuotaUnits + plan.unitsPerSecond() / gateways * seconds);
-    // So many requests can follow each other in this gateway's part of the permits.
-    double startsPerSecond = plan.concurrencyLimit() / (meanServiceMs / 1000) / gateways;
-    localConcurrencyStarts = Math.min(1, localConcurrencyStarts + startsPerSecond * seconds);
-  }
-
   private void advanceBucket(double seconds) {
     double unitsPerSecond = plan.unitsPerSecond();
-    double minUse = unitsPerSecond * MIN_GATEWAY_USE_RATIO;
-    double localShare =
-        (localUnitsPerSecond + minUse)
-            / (localUnitsPerSecond + peerUnitsPerSecond + minUse * gateways);
-    double peerUse = peerUnitsPerSecond;
+    double peerUse = rates.peerUnitsPerSecond();
     if (hasSharedCounter()) {
-      peerUse = Math.min(peerUnitsPerSecond, unitsPerSecond * (1 - localShare));
+      double minUse = unitsPerSecond * MIN_GATEWAY_USE_RATIO;
+      double localUse = rates.localUnitsPerSecond();
+      double localUseShare = (localUse + minUse) / (localUse + peerUse + minUse * gateways);
+      peerUse = Math.min(peerUse, unitsPerSecond * (1 - localUseShare));
     }
     double sizeUnits = bucketSizeUnits();
     double withoutPeers = Math.min(sizeUnits, availableUnits + unitsPerSecond * seconds);
@@ -290,8 +258,8 @@
 
   /** A new window begins with a whole burst; what peers are expected to use is taken off. */
   private void advanceFixedWindow(double seconds) {
-    double windowStartMs = currentWindow() * windowMs - windowOffsetMs;
-    double elapsedMs = context.nowMs() - windowStartMs;
+    double nowMs = context.nowMs();
+    double elapsedMs = nowMs - windows.startMs(windows.windowAt(nowMs));
     double spanMs = Math.min(elapsedMs, seconds * 1000);
     if (spanMs == elapsedMs) {
       availableUnits = plan.burstUnits();
@@ -299,73 +267,17 @@
     double defaultUse = DEFAULT_USE_RATIO * plan.unitsPerSecond();
     double confidence = 0;
     if (!Double.isNaN(syncedAtMs)) {
-      confidence = Math.exp((syncedAtMs - context.nowMs()) / SPELL_LIFETIME_MS);
+      confidence = Math.exp((syncedAtMs - nowMs) / SPELL_LIFETIME_MS);
     }
-    double expectedUse = defaultUse + confidence * (peerUnitsPerSecond - defaultUse);
+    double expectedUse = defaultUse + confidence * (rates.peerUnitsPerSecond() - defaultUse);
     availableUnits -= expectedUse * spanMs / 1000;
   }
 
-  /**
-   * Whether the quota surely has no room for so many units, so that a call would only add to the
-   * load of the counter.
-   */
-  boolean isKnownExhausted(double units) {
-    if (fixedWindow) {
-      boolean confirmed = syncedWindow == currentWindow() && syncedTotalUnits >= plan.burstUnits();
-      double leastUnits = confirmed ? units : -MAX_ESTIMATED_OVERDRAFT_RATIO * plan.burstUnits();
-      return availableUnits < leastUnits;
-    }
-    // The most that the bucket holds if the others have used nothing since the last reply.
-    double maxUnits =
-        Math.min(plan.burstUnits(), availableUnits + assumedPeerUnits) - inFlightUnits;
-    return maxUnits < units && context.nowMs() - syncedAtMs < EXHAUSTED_RECHECK_MS;
-  }
-
-  /** How many units a call for a request should add: none where the bucket has no room for it. */
-  double unitsToAsk(double units) {
-    return fixedWindow || availableUnits >= units ? units : 0;
-  }
-
-  /** Takes all unsettled units, for a call that asks for so many units beside them. */
-  double beginCall(double askedUnits) {
-    double settledUnits = unsettledUnits;
-    inFlightUnits += askedUnits;
-    unsettledUnits = 0;
-    return askedUnits + settledUnits;
-  }
-
-  /** Ends the wait for a call that asked for so many units. */
-  void endCall(double askedUnits) {
-    inFlightUnits -= askedUnits;
-  }
-
-  /** Notes units that a call without a reply may have added to the shared count. */
-  void recordUnconfirmed(double units) {
-    unconfirmedUnits += units;
-  }
-
-  /** Has the next call add so many units to the shared count; negative ones are taken off it. */
-  void addUnsettled(double units) {
-    unsettledUnits += units;
-  }
-
-  /** Charges the units of an admitted request. */
-  void charge(double units) {
-    availableUnits -= units;
-    localQuotaUnits = Math.max(0, localQuotaUnits - units);
-    localUnitsSinceSync += units;
-  }
-
-  /** Corrects a charge by so many units, negative ones being returned, here and at the counter. */
-  void correctCharge(double units) {
-    availableUnits -= units;
-    unsettledUnits += units;
-  }
+  // ---- Replies of the counter ----
 
   /**
    * Replays the growth of a shared total into the replica. Growth beyond what this gateway added is
-   * the others'. A total that has halved shows a counter that was emptied, not fresh quota: the
-   * replica keeps its units.
+   * its peers'.
    *
    * @param window the window of the count
    * @param addedUnits what the call added, settlements included
@@ -373,32 +285,37 @@
    * @param totalUnits the total after that
    */
   void recordTotal(long window, double addedUnits, double askedUnits, double totalUnits) {
+    double nowMs = context.nowMs();
     boolean firstOfWindow = syncedWindow != window;
     boolean synced = !Double.isNaN(syncedAtMs);
-    double sinceMs = context.nowMs() - syncedAtMs;
+    double sinceMs = nowMs - syncedAtMs;
     if (firstOfWindow || !synced) {
-      double windowStartMs = window * windowMs - windowOffsetMs;
-      sinceMs = context.nowMs() - windowStartMs;
+      sinceMs = nowMs - windows.startMs(window);
     }
     double peerUnits = growthByPeers(firstOfWindow, addedUnits, totalUnits);
-    double confirmedUnits = Math.min(unconfirmedUnits, Math.max(0, peerUnits));
-    double missingUnits = unconfirmedUnits - confirmedUnits;
-    peerUnits -= confirmedUnits;
-    unconfirmedUnits = 0;
+    peerUnits -= settlement.confirm(peerUnits, !fixedWindow);
     syncedWindow = window;
     syncedTotalUnits = totalUnits;
     if (fixedWindow) {
-      if (window == currentWindow()) {
+      if (window == windows.windowAt(nowMs)) {
         availableUnits = plan.burstUnits() - (totalUnits - askedUnits);
       }
-      updateRates(Math.max(0, peerUnits), sinceMs);
+      double ageMs = synced ? nowMs - syncedAtMs : sinceMs;
+      rates.update(Math.max(0, peerUnits), sinceMs, ageMs, FIXED_WINDOW_RATE_LIFETIME_MS);
     } else {
-      unsettledUnits += missingUnits;
       replay(peerUnits, sinceMs, synced);
-      updateRates(peerUnits, sinceMs);
+      rates.update(peerUnits, sinceMs, sinceMs, RATE_LIFETIME_MS);
     }
+    syncedAtMs = nowMs;
   }
 
+  /**
+   * Growth of a total beyond what this gateway added with the call.
+   *
+   * <p>A total that has more than halved shows a counter that was emptied, not fresh quota: only
+   * what it holds beyond the call counts. Prevents a counter that restarts from giving every
+   * customer a second burst. Cost: what peers had added since the reply before is not seen.
+   */
   private double growthByPeers(boolean firstOfWindow, double addedUnits, double totalUnits) {
     double growthUnits = firstOfWindow ? totalUnits : totalUnits - syncedTotalUnits;
     double peerUnits = growthUnits - addedUnits;
@@ -406,7 +323,7 @@
     return emptied ? Math.max(0, totalUnits - addedUnits) : peerUnits;
   }
 
-  /** Puts what the others are seen to have used in the place of what they were assumed to use. */
+  /** Puts what the peers are seen to have used in the place of what they were assumed to use. */
   private void replay(double peerUnits, double sinceMs, boolean synced) {
     double returnedUnits;
     if (synced) {
@@ -420,21 +337,6 @@
     assumedPeerUnits = 0;
   }
 
-  private void updateRates(double peerUnits, double sinceMs) {
-    double ageMs = sinceMs;
-    double lifetimeMs = RATE_LIFETIME_MS;
-    if (fixedWindow) {
-      ageMs = Double.isNaN(syncedAtMs) ? sinceMs : context.nowMs() - syncedAtMs;
-      lifetimeMs = FIXED_WINDOW_RATE_LIFETIME_MS;
-    }
-    double keep = Math.exp(-ageMs / lifetimeMs);
-    double seconds = Math.max(MIN_RATE_SECONDS, sinceMs / 1000);
-    peerUnitsPerSecond = Math.max(0, keep * peerUnitsPerSecond + (1 - keep) * peerUnits / seconds);
-    localUnitsPerSecond = keep * localUnitsPerSecond + (1 - keep) * localUnitsSinceSync / seconds;
-    localUnitsSinceSync = 0;
-    syncedAtMs = context.nowMs();
-  }
-
   /** Without a shared counter each gateway has an even part of the bucket. */
   private double bucketSizeUnits() {
     return hasSharedCounter() ? plan.burstUnits() : plan.burstUnits() / gateways;
--- a/src/main/java/quotagateway/policy/quota/QuotaLimiter.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaLimiter.java
@@ -191,10 +191,10 @@
     reservation.awaitingUnits = true;
     reservation.unitsCallPending = true;
     reservation.askedUnits = account.unitsToAsk(reservation.units);
-    long window = account.currentWindow();
-    double units = account.beginCall(reservation.askedUnits);
+    long window = account.windows().windowAt(context.nowMs());
+    double units = account.settlement().beginCall(reservation.askedUnits);
     pendingCalls.submit(
-        account.unitsCounterName(window),
+        account.windows().unitsCounterName(window),
         units,
         new PendingCounterCalls.UnitsCall(account, reservation, window, units));
   }
@@ -208,15 +208,15 @@
       readAgain(reply.counterName(), call);
       return Optional.empty();
     }
-    account.endCall(reservation.askedUnits);
+    account.settlement().endCall(reservation.askedUnits);
     throttle.recordOutcome(status, gatewayStalled);
     boolean mayBeCounted = reservation.readAgain || !status.provesNotExecuted();
     if (status == Status.OK) {
       account.recordTotal(call.window(), call.units(), reservation.askedUnits, reply.total());
     } else if (mayBeCounted) {
-      account.recordUnconfirmed(call.units());
+      account.settlement().addUnconfirmed(call.units());
     } else {
-      account.addUnsettled(call.units() - reservation.askedUnits);
+      account.settlement().addUnsettled(call.units() - reservation.askedUnits);
     }
     reservation.unitsCallPending = false;
     if (!reservation.awaitingUnits) {
@@ -233,7 +233,7 @@
   private static void settleLateReply(QuotaReservation reservation, boolean mayBeCounted) {
     double chargedUnits = reservation.charged ? reservation.units : 0;
     double countedUnits = mayBeCounted ? reservation.askedUnits : 0;
-    reservation.account.addUnsettled(chargedUnits - countedUnits);
+    reservation.account.settlement().addUnsettled(chargedUnits - countedUnits);
   }
 
   /** A broken connection shows nothing of the counter, which may have added the amount. */
@@ -249,7 +249,7 @@
    */
   private void readAgain(String counterName, PendingCounterCalls.UnitsCall call) {
     call.reservation().readAgain = true;
-    call.account().recordUnconfirmed(call.units());
+    call.account().settlement().addUnconfirmed(call.units());
     pendingCalls.submit(
         counterName,
         0,
@@ -268,7 +268,7 @@
     double units = reservation.units;
     boolean unconfirmed = hasSharedCounter() && !confirmed;
     boolean hasUnits = unitsFor(reservation, confirmed) >= units;
-    if (unconfirmed && account.usesFixedWindow() && account.localQuotaUnits() < units) {
+    if (unconfirmed && account.usesFixedWindow() && !account.localShare().hasUnits(units)) {
       hasUnits = false;
     }
     boolean overRate = account.plan().unitsPerSecond() > 0 && !hasUnits;
@@ -276,7 +276,7 @@
         unconfirmed && backendLoad.isOverloadedForUnconfirmed(reservation.priorityWeight());
     if (overRate || overloaded || !account.hardLimit().tryAcquire(units, confirmed)) {
       if (reservation.unitsCounted && !account.usesFixedWindow()) {
-        account.addUnsettled(-units);
+        account.settlement().addUnsettled(-units);
       }
       reservation.unitsCounted = false;
       return overQuota(reservation);
@@ -284,7 +284,7 @@
     account.charge(units);
     reservation.charged = true;
     if (!reservation.unitsCounted && !reservation.unitsCallPending) {
-      account.addUnsettled(units);
+      account.settlement().addUnsettled(units);
     }
     return ADMITTED;
   }
@@ -295,7 +295,7 @@
       return account.availableUnits();
     }
     double ownAskedUnits = reservation.unitsCallPending ? reservation.askedUnits : 0;
-    return account.availableUnits() - account.inFlightUnits() + ownAskedUnits;
+    return account.availableUnits() - account.settlement().inFlightUnits() + ownAskedUnits;
   }
 
   /**
