--- a/src/main/java/quotagateway/config/GatewayConfig.java
+++ b/src/main/java/quotagateway/config/GatewayConfig.java
@@ -153,7 +153,7 @@
         held,
         JsonFields.number(bounds, "DialTimeoutMs", 250),
         JsonFields.number(bounds, "ConnIdleMs", 15_000),
-        EndpointUpdate.of(JsonFields.child(fields, "known")),
+        EndpointUpdate.fromConfiguration(JsonFields.child(fields, "known")),
         fields);
   }
 
--- a/src/main/java/quotagateway/discovery/EndpointListReader.java
+++ b/src/main/java/quotagateway/discovery/EndpointListReader.java
@@ -12,45 +12,54 @@
 import quotagateway.endpoint.Endpoint;
 
 /**
- * Reads the messages of a watch as their bytes come, entry by entry, and hands each on once it is
- * whole: one that is cut or spoilt changes nothing. Until then its entries are held, not its text.
- * Only the end of a message shows its version, and whether it is the whole list.
+ * Reads the messages of a watch, in JSON, as their bytes arrive, and passes each on once it is
+ * complete: one that is cut off or malformed changes nothing. Until then its endpoints are kept in
+ * memory, not its text, as only the end of a message shows its version and whether it is a
+ * snapshot. Not thread-safe: belongs to the event loop of its watch.
  */
 public final class EndpointListReader {
 
   private static final JsonFactory JSON = new JsonFactory();
-  private static final String LIST = "servers";
 
-  /**
-   * Depths of the fields of a message, of the elements of its list, and of the fields of an entry.
-   */
-  private static final int MESSAGE = 1;
+  /** How many objects and arrays enclose a message. */
+  private static final int OUTSIDE_DEPTH = 0;
+
+  /** How many enclose the fields of a message. */
+  private static final int MESSAGE_DEPTH = 1;
+
+  /** How many enclose the elements of its list. */
+  private static final int LIST_DEPTH = 2;
 
-  private static final int ELEMENT = 2;
-  private static final int ENTRY = 3;
+  /** How many enclose the fields of an entry of the list. */
+  private static final int ENTRY_DEPTH = 3;
 
-  private final int mostBackends;
+  private final int maxEndpoints;
   private final Consumer<EndpointUpdate> listener;
   private final JsonParser parser;
   private final ByteArrayFeeder feeder;
   private int depth;
   private String field;
 
-  /** Of the message that is being read. */
-  private long version;
+  // Of the message that is being read.
 
-  private boolean full;
-  private boolean listed;
+  private long version;
+  private boolean snapshot;
+  private boolean listFound;
   private boolean inList;
-  private int backends;
-  private List<Endpoint> entries = new ArrayList<>();
+  private int entryCount;
+  private List<Endpoint> endpoints = new ArrayList<>();
 
   /** The entry that is being read, or null. */
-  private EndpointFields entry;
+  private EndpointBuilder entry;
 
-  /** For lists of so many backends at most. */
-  public EndpointListReader(int mostBackends, Consumer<EndpointUpdate> listener) {
-    this.mostBackends = mostBackends;
+  /**
+   * Creates a reader of one stream.
+   *
+   * @param maxEndpoints entries of the longest list that is accepted
+   * @param listener gets each complete message
+   */
+  public EndpointListReader(int maxEndpoints, Consumer<EndpointUpdate> listener) {
+    this.maxEndpoints = maxEndpoints;
     this.listener = listener;
     try {
       parser = JSON.createNonBlockingByteArrayParser();
@@ -61,92 +70,112 @@
   }
 
   /**
-   * Takes the next bytes; an IOException shows a message that cannot be taken: nothing can be read
-   * then.
+   * Reads the next bytes of the stream.
+   *
+   * @throws InvalidEndpointListException where a message cannot be accepted; the reader is of no
+   *     use then
    */
-  public void read(byte[] bytes) throws IOException {
-    feeder.feedInput(bytes, 0, bytes.length);
-    JsonToken token = parser.nextToken();
-    while (token != JsonToken.NOT_AVAILABLE) {
-      take(token);
-      token = parser.nextToken();
+  public void read(byte[] bytes) throws InvalidEndpointListException {
+    try {
+      feeder.feedInput(bytes, 0, bytes.length);
+      JsonToken token = parser.nextToken();
+      while (token != JsonToken.NOT_AVAILABLE) {
+        onToken(token);
+        token = parser.nextToken();
+      }
+    } catch (InvalidEndpointListException e) {
+      throw e;
+    } catch (IOException e) {
+      throw new InvalidEndpointListException(e);
     }
   }
 
-  /** Whether part of a message has come whose rest has not. */
+  /** Whether a message has begun to arrive and is not complete. */
   boolean hasPartialMessage() {
-    return depth > 0;
+    return depth > OUTSIDE_DEPTH;
   }
 
-  private void take(JsonToken token) throws IOException {
+  private void onToken(JsonToken token) throws IOException {
     if (token.isStructStart()) {
-      begin(token);
+      onStructureStart(token);
       depth++;
     } else if (token.isStructEnd()) {
       depth--;
-      finish();
+      onStructureEnd();
     } else if (token == JsonToken.FIELD_NAME) {
-      field = depth == MESSAGE || depth == ENTRY ? parser.currentName() : field;
-    } else if (depth == 0) {
-      throw new IOException("a message that is no object");
-    } else if (depth == MESSAGE) {
-      takeField(token);
-    } else if (depth == ENTRY && entry != null) {
-      entry.take(field, token, parser);
+      onFieldName();
+    } else if (depth == OUTSIDE_DEPTH) {
+      throw new InvalidEndpointListException("a message that is no object");
+    } else if (depth == MESSAGE_DEPTH) {
+      onMessageField(token);
+    } else if (depth == ENTRY_DEPTH && entry != null) {
+      entry.set(field, token, parser);
+    }
+  }
+
+  private void onFieldName() throws IOException {
+    if (depth == MESSAGE_DEPTH || depth == ENTRY_DEPTH) {
+      field = parser.currentName();
     }
   }
 
-  private void begin(JsonToken token) throws IOException {
-    boolean object = token == JsonToken.START_OBJECT;
-    if (depth == 0 && !object) {
-      throw new IOException("a message that is no object");
-    } else if (depth == 0) {
-      version = 0;
-      full = false;
-      listed = false;
-      backends = 0;
-    } else if (depth == MESSAGE && !object && field.equals(LIST)) {
+  /** An object or array starts; the depth is that of what encloses it. */
+  private void onStructureStart(JsonToken token) throws InvalidEndpointListException {
+    boolean isObject = token == JsonToken.START_OBJECT;
+    if (depth == OUTSIDE_DEPTH && !isObject) {
+      throw new InvalidEndpointListException("a message that is no object");
+    } else if (depth == OUTSIDE_DEPTH) {
+      version = EndpointUpdate.NO_VERSION;
+      snapshot = false;
+      listFound = false;
+      entryCount = 0;
+    } else if (depth == MESSAGE_DEPTH && !isObject && field.equals(DiscoveryProtocol.SERVERS)) {
       inList = true;
-      listed = true;
-    } else if (depth == ELEMENT && inList && object) {
-      entry = new EndpointFields();
+      listFound = true;
+    } else if (depth == LIST_DEPTH && inList && isObject) {
+      entry = new EndpointBuilder();
     }
   }
 
-  private void takeField(JsonToken token) throws IOException {
-    if (field.equals("version") && token.isNumeric()) {
+  private void onMessageField(JsonToken token) throws IOException {
+    if (field.equals(DiscoveryProtocol.VERSION) && token.isNumeric()) {
       version = (long) parser.getDoubleValue();
-    } else if (field.equals("full")) {
-      full = token == JsonToken.VALUE_TRUE;
+    } else if (field.equals(DiscoveryProtocol.FULL)) {
+      snapshot = token == JsonToken.VALUE_TRUE;
     }
   }
 
-  /** An object or array has ended; the depth is that of what it is in. */
-  private void finish() throws IOException {
-    if (depth == ELEMENT && entry != null) {
-      add(entry.read());
+  /** An object or array has ended; the depth is that of what encloses it. */
+  private void onStructureEnd() throws InvalidEndpointListException {
+    if (depth == LIST_DEPTH && entry != null) {
+      addEntry(entry.build());
       entry = null;
-    } else if (depth == MESSAGE) {
+    } else if (depth == MESSAGE_DEPTH) {
       inList = false;
-    } else if (depth == 0 && !listed) {
-      // Guards against a full list that names nothing because it is junk: the last list would be
-      // gone.
-      throw new IOException("a message without a list");
-    } else if (depth == 0) {
-      List<Endpoint> told = entries;
-      entries = new ArrayList<>();
-      listener.accept(new EndpointUpdate(version, full, told));
+    } else if (depth == OUTSIDE_DEPTH) {
+      onMessageEnd();
+    }
+  }
+
+  private void onMessageEnd() throws InvalidEndpointListException {
+    if (!listFound) {
+      // Prevents a snapshot without a list, which is junk, from removing every endpoint: requests
+      // would have nowhere to go.
+      throw new InvalidEndpointListException("a message without a list");
     }
+    List<Endpoint> complete = endpoints;
+    endpoints = new ArrayList<>();
+    listener.accept(new EndpointUpdate(version, snapshot, complete));
   }
 
-  private void add(Endpoint read) throws IOException {
-    backends++;
-    if (backends > mostBackends) {
-      throw new IOException("a list of more than " + mostBackends + " backends");
+  private void addEntry(Endpoint endpoint) throws InvalidEndpointListException {
+    entryCount++;
+    if (entryCount > maxEndpoints) {
+      throw new InvalidEndpointListException("a list of more than " + maxEndpoints + " backends");
     }
-    // One entry that cannot be used must not keep the others from being told, drains above all.
-    if (read != null) {
-      entries.add(read);
+    // One entry that cannot be used must not hide the others, above all not those that drain.
+    if (endpoint != null) {
+      endpoints.add(endpoint);
     }
   }
 }
--- a/src/main/java/quotagateway/discovery/EndpointUpdate.java
+++ b/src/main/java/quotagateway/discovery/EndpointUpdate.java
@@ -7,39 +7,57 @@
 import quotagateway.endpoint.Endpoint;
 import quotagateway.endpoint.EndpointListForm;
 
-/** One message of discovery, or a piece of one; the version is 0 where it is not told. */
+/**
+ * One message of discovery, or a fragment of one.
+ *
+ * @param version the list's version after this message; {@link #NO_VERSION} where it is not known
+ * @param form what the endpoints stand for
+ * @param endpoints the endpoints that it names
+ */
 public record EndpointUpdate(long version, EndpointListForm form, List<Endpoint> endpoints) {
 
-  public EndpointUpdate(long version, boolean isSnapshot, List<Endpoint> endpoints) {
-    this(version, isSnapshot ? EndpointListForm.SNAPSHOT : EndpointListForm.DELTA, endpoints);
+  /** Stands for a version that is not known. */
+  static final long NO_VERSION = 0;
+
+  /**
+   * A complete message.
+   *
+   * @param snapshot whether it names all endpoints, and not only those that changed
+   */
+  public EndpointUpdate(long version, boolean snapshot, List<Endpoint> endpoints) {
+    this(version, snapshot ? EndpointListForm.SNAPSHOT : EndpointListForm.DELTA, endpoints);
   }
 
-  /** Whether it is the whole list, or the end of one. */
+  /** Whether it is a list of all endpoints, or the last fragment of one. */
   public boolean isSnapshot() {
     return form == EndpointListForm.SNAPSHOT;
   }
 
-  /** The list of a configuration. */
-  public static EndpointUpdate of(Map<String, Object> message) {
-    List<Endpoint> entries = new ArrayList<>();
-    for (Map<String, Object> fields : JsonFields.children(message, "servers")) {
-      EndpointFields entry = new EndpointFields();
-      fields.forEach(
-          (name, value) -> {
-            if (value instanceof String text) {
-              entry.text(name, text);
-            } else if (value instanceof Number number) {
-              entry.number(name, number.doubleValue());
-            }
-          });
-      Endpoint read = entry.read();
-      if (read != null) {
-        entries.add(read);
+  /** Reads the endpoint list of a configuration, which has the form of a message. */
+  public static EndpointUpdate fromConfiguration(Map<String, Object> message) {
+    List<Endpoint> endpoints = new ArrayList<>();
+    for (Map<String, Object> fields : JsonFields.children(message, DiscoveryProtocol.SERVERS)) {
+      Endpoint endpoint = endpoint(fields);
+      if (endpoint != null) {
+        endpoints.add(endpoint);
       }
     }
     return new EndpointUpdate(
-        (long) JsonFields.number(message, "version"),
-        Boolean.TRUE.equals(message.get("full")),
-        entries);
+        (long) JsonFields.number(message, DiscoveryProtocol.VERSION),
+        JsonFields.flag(message, DiscoveryProtocol.FULL),
+        endpoints);
+  }
+
+  private static Endpoint endpoint(Map<String, Object> fields) {
+    EndpointBuilder builder = new EndpointBuilder();
+    fields.forEach(
+        (name, value) -> {
+          if (value instanceof String text) {
+            builder.setText(name, text);
+          } else if (value instanceof Number number) {
+            builder.setNumber(name, number.doubleValue());
+          }
+        });
+    return builder.build();
   }
 }
--- a/src/main/java/quotagateway/discovery/EndpointUpdateDispatcher.java
+++ b/src/main/java/quotagateway/discovery/EndpointUpdateDispatcher.java
@@ -8,52 +8,63 @@
 import quotagateway.endpoint.EndpointListForm;
 
 /**
- * Hands messages of discovery on in their order, a long one in pieces, each in a turn of the event
- * loop of its own, so that requests do not wait until a long list is applied.
+ * Passes the messages of discovery to their listener in order, a long one in fragments, each in a
+ * task of its own on the event loop, so that requests do not wait until a long list is applied. Not
+ * thread-safe: belongs to the event loop that it is given.
  */
 public final class EndpointUpdateDispatcher {
 
   /**
-   * Entries of one piece: applying one takes 10 us or less, so a piece takes about a millisecond.
+   * Bounds the work of one task: applying an endpoint takes 10 us or less, so a fragment takes
+   * about a millisecond.
    */
   static final int MAX_FRAGMENT_ENDPOINTS = 128;
 
   private final Executor loop;
   private final Consumer<EndpointUpdate> listener;
-  private final ArrayDeque<EndpointUpdate> pieces = new ArrayDeque<>();
-  private boolean busy;
+  private final ArrayDeque<EndpointUpdate> fragments = new ArrayDeque<>();
+  private boolean dispatching;
 
+  /**
+   * Creates a dispatcher.
+   *
+   * @param loop runs the tasks after the first
+   * @param listener gets the messages and fragments
+   */
   public EndpointUpdateDispatcher(Executor loop, Consumer<EndpointUpdate> listener) {
     this.loop = loop;
     this.listener = listener;
   }
 
   /**
-   * Takes a whole message; one of a single piece is handed on at once, unless others are still
-   * waiting.
+   * Passes on a complete message: its first fragment, or all of a short one, before this returns,
+   * unless others are still waiting.
    */
-  public void dispatch(EndpointUpdate news) {
-    List<Endpoint> entries = news.endpoints();
-    int at = 0;
-    for (; entries.size() - at > MAX_FRAGMENT_ENDPOINTS; at += MAX_FRAGMENT_ENDPOINTS) {
-      pieces.add(
+  public void dispatch(EndpointUpdate update) {
+    List<Endpoint> endpoints = update.endpoints();
+    int from = 0;
+    while (endpoints.size() - from > MAX_FRAGMENT_ENDPOINTS) {
+      int to = from + MAX_FRAGMENT_ENDPOINTS;
+      fragments.add(
           new EndpointUpdate(
-              0, EndpointListForm.FRAGMENT, entries.subList(at, at + MAX_FRAGMENT_ENDPOINTS)));
+              EndpointUpdate.NO_VERSION, EndpointListForm.FRAGMENT, endpoints.subList(from, to)));
+      from = to;
     }
-    pieces.add(
-        new EndpointUpdate(news.version(), news.form(), entries.subList(at, entries.size())));
-    if (!busy) {
-      handOn();
+    fragments.add(
+        new EndpointUpdate(
+            update.version(), update.form(), endpoints.subList(from, endpoints.size())));
+    if (!dispatching) {
+      dispatchNext();
     }
   }
 
-  private void handOn() {
-    busy = true;
-    listener.accept(pieces.poll());
-    if (pieces.isEmpty()) {
-      busy = false;
+  private void dispatchNext() {
+    dispatching = true;
+    listener.accept(fragments.poll());
+    if (fragments.isEmpty()) {
+      dispatching = false;
     } else {
-      loop.execute(this::handOn);
+      loop.execute(this::dispatchNext);
     }
   }
 }
--- a/src/main/java/quotagateway/discovery/WatchBackoff.java
+++ b/src/main/java/quotagateway/discovery/WatchBackoff.java
@@ -1,71 +1,94 @@
 package quotagateway.discovery;
 
 import java.util.function.DoubleSupplier;
+import quotagateway.transport.ExponentialBackoff;
 
 /**
- * How long to wait before the next watch of the list. A watch that ended is opened again soon, as
- * what its agent has counts as told; while list after list cannot be taken, the waits grow, as
- * every front door asks for the same one again. All waits are spread by chance.
+ * How long to wait before the next watch of the endpoint list. A watch that ended is opened again
+ * soon, since every change counts as notified a few seconds after discovery had it. While list
+ * after list is invalid the delays grow, since every gateway asks for the same list again. Not
+ * thread-safe: belongs to the event loop of its client.
  */
 final class WatchBackoff {
 
-  private static final double LEAST_MS = 100;
+  private static final double MIN_BACKOFF_MS = 100;
 
   /**
-   * What the agent has counts as told without a watch: well within the second that a drain leaves.
+   * Bounds the base of a delay after a watch that ended. With jitter the delay is 300 ms at most,
+   * well within the second that a draining endpoint leaves for its last requests.
    */
-  private static final double MOST_MS = 200;
+  private static final double MAX_BACKOFF_MS = 200;
 
   /**
-   * For lists that cannot be taken. Spread by chance it is 3 s at most: the next list may be good,
-   * and what it tells counts as told 6 s after discovery had it, whatever became of calls
-   * meanwhile.
+   * Bounds the base of a delay while lists are invalid. With jitter the delay is 3 s at most: the
+   * next list may be valid, and its changes count as notified 6 s after discovery had them, even if
+   * watches failed meanwhile.
    */
-  private static final double MOST_UNTAKEN_MS = 2_000;
+  private static final double MAX_INVALID_LIST_BACKOFF_MS = 2_000;
 
-  /** So many in a row are taken for bytes spoilt on the way. */
-  private static final int SPOILT = 3;
+  /**
+   * So many invalid lists in a row are taken for bytes damaged on the way: the delays after them
+   * are those after a watch that ended.
+   */
+  private static final int MAX_TRANSIENT_INVALID_LISTS = 3;
 
-  /** A watch that lasted so long was a good one; junk on each new one must not make a busy loop. */
-  private static final double GOOD_MS = 5_000;
+  /**
+   * A watch that lasted longer was a good one. A shorter one does not reset the backoff: junk on
+   * each new watch would become a busy loop.
+   */
+  private static final double MIN_STABLE_WATCH_MS = 5_000;
 
-  private final DoubleSupplier random;
-  private double nextMs = LEAST_MS;
-  private int untaken;
+  private final ExponentialBackoff backoff;
+  private int consecutiveInvalidLists;
 
-  /** With a source of numbers from 0 to 1. */
+  /**
+   * Creates a backoff that starts at its minimum.
+   *
+   * @param random gives numbers from 0 to 1, one for each delay
+   */
   WatchBackoff(DoubleSupplier random) {
-    this.random = random;
+    backoff = new ExponentialBackoff(MIN_BACKOFF_MS, random);
   }
 
-  /** Another address is watched from now on. */
+  /** Starts anew, as another address is watched from now on. */
   void reset() {
-    nextMs = LEAST_MS;
-    untaken = 0;
+    backoff.reset();
+    consecutiveInvalidLists = 0;
   }
 
-  /** A list was taken; true where others before it could not be. */
-  boolean taken() {
-    boolean after = untaken > 0;
-    if (after) {
+  /**
+   * Notes that a list was valid.
+   *
+   * @return whether the one before was invalid
+   */
+  boolean onValidList() {
+    boolean recovered = consecutiveInvalidLists > 0;
+    if (recovered) {
       reset();
     }
-    return after;
+    return recovered;
   }
 
-  /** A list could not be taken; true for the first in a row. */
-  boolean notTaken() {
-    untaken++;
-    return untaken == 1;
+  /**
+   * Notes that a list was invalid.
+   *
+   * @return whether it is the first in a row
+   */
+  boolean onInvalidList() {
+    consecutiveInvalidLists++;
+    return consecutiveInvalidLists == 1;
   }
 
-  /** The time to wait after a watch that lasted so long. */
-  double waitMs(double lastedMs) {
-    if (lastedMs > GOOD_MS && untaken == 0) {
-      nextMs = LEAST_MS;
+  /**
+   * The delay before the next watch, in milliseconds.
+   *
+   * @param watchDurationMs how long the watch lasted that has just ended
+   */
+  double nextDelayMs(double watchDurationMs) {
+    if (watchDurationMs > MIN_STABLE_WATCH_MS && consecutiveInvalidLists == 0) {
+      backoff.reset();
     }
-    double wait = nextMs * (0.5 + random.getAsDouble());
-    nextMs = Math.min(untaken < SPOILT ? MOST_MS : MOST_UNTAKEN_MS, 2 * nextMs);
-    return wait;
+    boolean transientFault = consecutiveInvalidLists < MAX_TRANSIENT_INVALID_LISTS;
+    return backoff.nextDelayMs(transientFault ? MAX_BACKOFF_MS : MAX_INVALID_LIST_BACKOFF_MS);
   }
 }
--- a/src/test/java/quotagateway/discovery/EndpointListReaderTest.java
+++ b/src/test/java/quotagateway/discovery/EndpointListReaderTest.java
@@ -8,19 +8,15 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import java.util.Queue;
-import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import quotagateway.endpoint.Endpoint;
-import quotagateway.endpoint.EndpointListForm;
 import quotagateway.endpoint.EndpointState;
 import quotagateway.transport.BackendAddress;
 
-/** The messages of a watch, in bytes that come in pieces of any length. */
+/** The messages of a watch, whose bytes arrive in pieces of any length. */
 class EndpointListReaderTest {
 
   private static final String FIRST =
@@ -38,8 +34,8 @@
        "full":false,"version":43}
       """;
 
-  private final List<EndpointUpdate> heard = new ArrayList<>();
-  private final EndpointListReader reader = new EndpointListReader(5, heard::add);
+  private final List<EndpointUpdate> received = new ArrayList<>();
+  private final EndpointListReader reader = new EndpointListReader(5, received::add);
 
   private void read(String text, int pieces) throws IOException {
     byte[] bytes = text.getBytes(UTF_8);
@@ -49,13 +45,13 @@
   }
 
   private List<Endpoint> entries() {
-    return heard.stream().flatMap(news -> news.endpoints().stream()).toList();
+    return received.stream().flatMap(update -> update.endpoints().stream()).toList();
   }
 
   @Test
-  void readsTheSameWhereverTheBytesAreCut() throws IOException {
+  void readsTheSameMessagesWhereverTheBytesAreCut() throws IOException {
     read(FIRST + "\n\n" + SECOND, Integer.MAX_VALUE);
-    assertEquals(2, heard.size());
+    assertEquals(2, received.size());
     List<Endpoint> whole = entries();
     assertEquals(4, whole.size());
     long place = BackendAddress.encode(new InetSocketAddress("10.1.0.18", 7070));
@@ -72,57 +68,31 @@
         whole.stream().map(Endpoint::state).toList());
     assertEquals(whole.get(1).id(), whole.get(3).id());
     for (int pieces = 1; pieces < 200; pieces++) {
-      heard.clear();
+      received.clear();
       read(FIRST + "\n\n" + SECOND, pieces);
       assertEquals(whole, entries());
-      assertEquals(List.of(41L, 43L), heard.stream().map(EndpointUpdate::version).toList());
-      assertEquals(List.of(true, false), heard.stream().map(EndpointUpdate::isSnapshot).toList());
+      assertEquals(List.of(41L, 43L), received.stream().map(EndpointUpdate::version).toList());
+      assertEquals(
+          List.of(true, false), received.stream().map(EndpointUpdate::isSnapshot).toList());
       assertFalse(reader.hasPartialMessage());
     }
   }
 
-  /** The rest may never come, or be junk: nothing of it is told before it is whole. */
+  /**
+   * What follows may never come, or be junk: nothing is passed on before the message is complete.
+   */
   @Test
-  void aListThatIsCutOrSpoiltChangesNothing() throws IOException {
+  void passesNothingOnOfAMessageThatIsCutOffOrMalformed() throws IOException {
     int cut = FIRST.indexOf("{\"addr\"");
     read(FIRST.substring(0, cut), 40);
     assertTrue(reader.hasPartialMessage());
-    assertEquals(List.of(), heard);
-    assertThrows(IOException.class, () -> read("junk", 40));
-    assertEquals(List.of(), heard);
+    assertEquals(List.of(), received);
+    assertThrows(InvalidEndpointListException.class, () -> read("junk", 40));
+    assertEquals(List.of(), received);
   }
 
-  /** Each piece has a turn of its own, and a message behind a long one waits for its last. */
   @Test
-  void aLongListIsHandedOnInPiecesAndInOrder() {
-    Queue<Runnable> turns = new ArrayDeque<>();
-    EndpointUpdateDispatcher feed = new EndpointUpdateDispatcher(turns::add, heard::add);
-    int length = 2 * EndpointUpdateDispatcher.MAX_FRAGMENT_ENDPOINTS + 1;
-    List<Endpoint> all =
-        IntStream.range(0, length)
-            .mapToObj(id -> new Endpoint(id, "a", 0, EndpointState.SERVING, 1, 0))
-            .toList();
-    feed.dispatch(new EndpointUpdate(5, true, all));
-    feed.dispatch(new EndpointUpdate(6, false, List.of()));
-    assertEquals(1, heard.size());
-    while (!turns.isEmpty()) {
-      turns.poll().run();
-    }
-    assertEquals(all, entries());
-    assertEquals(
-        List.of(
-            EndpointListForm.FRAGMENT,
-            EndpointListForm.FRAGMENT,
-            EndpointListForm.SNAPSHOT,
-            EndpointListForm.DELTA),
-        heard.stream().map(EndpointUpdate::form).toList());
-    assertEquals(List.of(0L, 0L, 5L, 6L), heard.stream().map(EndpointUpdate::version).toList());
-    feed.dispatch(new EndpointUpdate(7, false, List.of()));
-    assertEquals(7, heard.get(4).version());
-  }
-
-  @Test
-  void whatIsNoListCannotBeTaken() {
+  void rejectsMessagesWithoutAList() {
     for (String junk :
         new String[] {
           "[]",
@@ -133,20 +103,22 @@
           "{\"version\":4,\"servers\":7}",
           "<html>"
         }) {
-      EndpointListReader other = new EndpointListReader(5, heard::add);
-      assertThrows(IOException.class, () -> other.read(junk.getBytes(UTF_8)), junk);
+      EndpointListReader other = new EndpointListReader(5, received::add);
+      assertThrows(
+          InvalidEndpointListException.class, () -> other.read(junk.getBytes(UTF_8)), junk);
     }
-    assertEquals(List.of(), heard);
+    assertEquals(List.of(), received);
   }
 
-  /** Of lists too long for the memory that there is, what fits is not taken for the whole. */
+  /** Of a list too long for the memory, the part that fits must not be taken for a snapshot. */
   @Test
-  void aListBeyondTheLimitCannotBeTaken() {
+  void rejectsAListOfMoreEndpointsThanTheLimit() {
     String entry = "{\"id\":\"s\",\"state\":\"leaving\"}";
     String list =
         "{\"version\":4,\"full\":true,\"servers\":[" + (entry + ",").repeat(5) + entry + "]}";
-    String message = assertThrows(IOException.class, () -> read(list, 40)).getMessage();
+    String message =
+        assertThrows(InvalidEndpointListException.class, () -> read(list, 40)).getMessage();
     assertTrue(message.contains("more than 5"), message);
-    assertEquals(List.of(), heard);
+    assertEquals(List.of(), received);
   }
 }
--- a/src/test/java/quotagateway/server/DiscoveryTest.java
+++ b/src/test/java/quotagateway/server/DiscoveryTest.java
@@ -158,7 +158,7 @@
       Peers.next(peers.watches);
       assertEquals(1, warnings.size(), () -> warnings + "");
       assertTrue(
-          warnings.get(0).startsWith("the list after version 7 cannot be taken: "),
+          warnings.get(0).startsWith("endpoint list rejected version_in_use=7 reason="),
           warnings.get(0));
       assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
     } finally {
