--- a/src/main/java/quotagateway/counter/CounterClient.java
+++ b/src/main/java/quotagateway/counter/CounterClient.java
@@ -1,24 +1,11 @@
 package quotagateway.counter;
 
-import io.netty.buffer.ByteBuf;
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelInitializer;
 import io.netty.channel.EventLoop;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.LineBasedFrameDecoder;
-import io.netty.handler.codec.TooLongFrameException;
-import java.math.BigDecimal;
-import java.math.RoundingMode;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import quotagateway.policy.event.CounterReplied;
@@ -28,384 +15,212 @@
 import quotagateway.transport.PeriodicTask;
 
 /**
- * Calls to the counter, pipelined on a few kept connections. A call goes to the connection with the
- * fewest answers owed, so that one slow part of the counter holds up only what already waits behind
- * it; calls for one name keep their order.
+ * Calls to the counter, pipelined on a few kept connections. A call goes to the connection that
+ * owes the fewest replies, so that a slow part of the counter delays only the calls already behind
+ * it; calls for one name stay in order, as they go to one connection while the last of them is
+ * open. Not thread-safe: belongs to its event loop.
  */
 public final class CounterClient {
 
+  /**
+   * Connections to one address. The counter holds 32 for a gateway, which has to do for a second
+   * process beside this one too.
+   */
   public static final int CONNECTIONS = 12;
-  public static final double CONNECT_TIMEOUT_MS = 250;
-
-  /** Answers that one connection may owe; beyond that a call is turned away here. */
-  private static final int MOST_OWED = 256;
-
-  private static final int MOST_LINE = 256;
-  private static final long SWEEP_MS = 100;
 
-  /** A line comes whole; a part of one that stays alone for so long is none. */
-  private static final long WHOLE_MS = 10;
+  /** For the dialer of the connections: one that takes longer to come up is dialed again. */
+  public static final double CONNECT_TIMEOUT_MS = 250;
 
   /**
-   * A connection silent for so many limits of a call, though it owes an answer, is taken for dead.
+   * Bounds the replies that one connection owes, and so the memory that a silent counter takes;
+   * calls beyond that fail at once.
    */
-  private static final double SILENT_LIMITS = 12;
+  private static final int MAX_OWED_REPLIES = 256;
 
-  /** An idle connection is pinged this often: it stays open, and a dead one shows. */
-  private static final double PING_MS = 3_000;
+  /** How often connections are checked for silence and idleness. */
+  private static final long LIVENESS_CHECK_INTERVAL_MS = 100;
 
   /**
-   * A left address closes its connections after 1.5 s; what is owed on them by then is given up
-   * before.
+   * A connection that owes a reply and is silent for so many call timeouts is taken for dead: slow
+   * replies alone must not cost the connection.
    */
-  private static final long LEAVE_MS = 1_300;
-
-  private static final double LEAST_BACKOFF_MS = 50;
-  private static final double MOST_BACKOFF_MS = 400;
-
-  /** One call, or a ping where the name is null; it keeps its place when it is given up. */
-  private static final class Call {
-    final String name;
-    final double startedAt;
-    Link link;
-    boolean written;
-    boolean done;
+  private static final double SILENCE_TIMEOUT_PER_CALL_TIMEOUT = 12;
 
-    Call(String name, double startedAt) {
-      this.name = name;
-      this.startedAt = startedAt;
-    }
-  }
+  /**
+   * An address that is not configured any more closes its connections after 1.5 s; the gateway does
+   * so before, and gives up the replies that they still owe.
+   */
+  private static final long RETIREMENT_MS = 1_300;
 
   private final EventLoop loop;
   private final MonotonicClock clock;
-  private final double limitMs;
+  private final double callTimeoutMs;
   private final Consumer<CounterReplied> listener;
   private final Dialer dialer;
-  private final List<Link> links = new ArrayList<>(CONNECTIONS);
-
-  /** Connections to the address that a new configuration has left; in use until new ones are up. */
-  private final List<Link> leaving = new ArrayList<>(0);
+  private final CounterCallTimeouts timeouts;
+  private final CounterConnection.Owner connectionOwner = new ConnectionOwner();
+  private final List<CounterConnection> connections = new ArrayList<>(CONNECTIONS);
 
-  private InetSocketAddress counter;
+  /** Connections to the address before, which are in use until one to the new address is up. */
+  private final List<CounterConnection> retiring = new ArrayList<>(0);
 
-  /** Calls in the order of their starts, and so of their limits. */
-  private final ArrayDeque<Call> pending = new ArrayDeque<>();
+  /** The last open call for each name. */
+  private final Map<String, CounterCall> lastCalls = new HashMap<>();
 
-  private final Map<String, Call> lastOfName = new HashMap<>();
-  private boolean watching;
+  /** Null where the deployment has no counter. */
+  private InetSocketAddress address;
 
+  /**
+   * Creates a client that has yet to be started.
+   *
+   * @param loop runs the client
+   * @param clock measures the calls
+   * @param dialer opens connections
+   * @param address where the counter listens, or null: then all calls fail
+   * @param callTimeoutMs how long a call may take, in milliseconds
+   * @param listener gets the end of each call, each exactly once
+   */
   public CounterClient(
       EventLoop loop,
       MonotonicClock clock,
       Dialer dialer,
-      InetSocketAddress counter,
-      double limitMs,
+      InetSocketAddress address,
+      double callTimeoutMs,
       Consumer<CounterReplied> listener) {
     this.loop = loop;
     this.clock = clock;
-    this.limitMs = limitMs;
-    this.listener = listener;
-    this.counter = counter;
     this.dialer = dialer;
+    this.address = address;
+    this.callTimeoutMs = callTimeoutMs;
+    this.listener = listener;
+    timeouts =
+        new CounterCallTimeouts(
+            loop, clock, callTimeoutMs, call -> onCallEnded(call, Status.TIMED_OUT, 0));
   }
 
+  /** Opens the connections. */
   public void start() {
-    if (counter != null) {
-      open();
+    if (address != null) {
+      connect();
     }
-    PeriodicTask.schedule(loop, SWEEP_MS, this::sweep);
+    PeriodicTask.schedule(loop, LIVENESS_CHECK_INTERVAL_MS, this::checkConnections);
   }
 
-  private void open() {
+  private void connect() {
     for (int i = 0; i < CONNECTIONS; i++) {
-      Link link = new Link(counter);
-      links.add(link);
-      link.connect();
+      CounterConnection connection =
+          new CounterConnection(
+              loop,
+              clock,
+              dialer,
+              address,
+              SILENCE_TIMEOUT_PER_CALL_TIMEOUT * callTimeoutMs,
+              connectionOwner);
+      connections.add(connection);
+      connection.connect();
     }
   }
 
-  /** Opens connections to another address; those to the old one finish what they owe. */
-  public void changeAddress(InetSocketAddress other) {
-    if (other == null || other.equals(counter)) {
-      return;
-    }
-    counter = other;
-    PeriodicTask.forEachIsolated(leaving, Link::close);
-    leaving.addAll(links);
-    links.clear();
-    open();
-    List<Link> old = List.copyOf(leaving);
-    loop.schedule(
-        () -> PeriodicTask.forEachIsolated(old, Link::close), LEAVE_MS, TimeUnit.MILLISECONDS);
+  private void checkConnections() {
+    double now = clock.now();
+    PeriodicTask.forEachIsolated(connections, connection -> connection.checkAlive(now));
   }
 
-  public void increment(String name, double amount, double ttlMs) {
-    Call call = new Call(name, clock.now());
-    Call before = lastOfName.get(name);
-    Link link = before != null ? before.link : leastOwing();
-    if (link == null || !link.open() || link.owed.size() >= MOST_OWED) {
-      listener.accept(new CounterReplied(name, Status.CONNECT_FAILED, 0, 0));
+  /**
+   * Connects to another address; connections to the old one get a while for the replies that they
+   * owe.
+   *
+   * @param newAddress the address; null changes nothing
+   */
+  public void changeAddress(InetSocketAddress newAddress) {
+    if (newAddress == null || newAddress.equals(address)) {
       return;
     }
-    lastOfName.put(name, call);
-    pending.add(call);
-    link.send(
-        call, "incr " + name + ' ' + plain(amount) + ' ' + Math.max(1, (long) ttlMs) + "\r\n");
-    watchLimit();
-  }
-
-  /** Decimal digits without an exponent, which the counter does not read. */
-  public static String plain(double amount) {
-    if (amount == Math.rint(amount) && Math.abs(amount) < 1e9) {
-      return Long.toString((long) amount);
-    }
-    return BigDecimal.valueOf(amount).setScale(6, RoundingMode.HALF_UP).toPlainString();
-  }
-
-  private Link leastOwing() {
-    Link best = leastOwing(links);
-    return best != null ? best : leastOwing(leaving);
-  }
-
-  private static Link leastOwing(List<Link> among) {
-    Link best = null;
-    for (Link l : among) {
-      if (l.open() && (best == null || l.owed.size() < best.owed.size())) {
-        best = l;
-      }
-    }
-    return best;
+    address = newAddress;
+    PeriodicTask.forEachIsolated(retiring, CounterConnection::close);
+    retiring.addAll(connections);
+    connections.clear();
+    connect();
+    List<CounterConnection> old = List.copyOf(retiring);
+    loop.schedule(
+        () -> PeriodicTask.forEachIsolated(old, CounterConnection::close),
+        RETIREMENT_MS,
+        TimeUnit.MILLISECONDS);
   }
 
-  private void finish(Call call, Status status, double total) {
-    if (call.done) {
+  /**
+   * Adds to a named count. Where no connection can take the call, its end is reported before this
+   * returns.
+   *
+   * @param counterName the name
+   * @param amount what to add; may be negative
+   * @param ttlMs how long a count that does not exist yet is kept, in milliseconds
+   */
+  public void increment(String counterName, double amount, double ttlMs) {
+    double startedAtMs = clock.now();
+    CounterConnection connection = connectionFor(counterName);
+    if (!hasRoom(connection)) {
+      listener.accept(new CounterReplied(counterName, Status.CONNECT_FAILED, 0, 0));
       return;
     }
-    call.done = true;
-    lastOfName.remove(call.name, call);
-    if (call.name != null) {
-      listener.accept(new CounterReplied(call.name, status, total, clock.now() - call.startedAt));
-    }
+    CounterCall call = CounterCall.increment(counterName, startedAtMs, connection);
+    lastCalls.put(counterName, call);
+    timeouts.add(call);
+    connection.send(call, CounterLineCodec.encodeIncrement(counterName, amount, ttlMs));
   }
 
-  /** One timer for all calls: their limits come in the order of their starts. */
-  private void watchLimit() {
-    if (!watching && !pending.isEmpty()) {
-      watching = true;
-      double left = pending.peekFirst().startedAt + limitMs - clock.now();
-      loop.schedule(
-          this::giveUpOverdue, (long) Math.ceil(Math.max(0, left) * 1000), TimeUnit.MICROSECONDS);
+  /** The connection of the open calls for a name, or else the least busy one; null for none. */
+  private CounterConnection connectionFor(String counterName) {
+    CounterCall last = lastCalls.get(counterName);
+    if (last != null) {
+      return last.connection();
     }
+    CounterConnection leastBusy = leastBusy(connections);
+    return leastBusy != null ? leastBusy : leastBusy(retiring);
   }
 
-  private void giveUpOverdue() {
-    watching = false;
-    double now = clock.now();
-    for (Call c = pending.peekFirst();
-        c != null && (c.done || c.startedAt + limitMs <= now);
-        c = pending.peekFirst()) {
-      finish(pending.pollFirst(), Status.TIMED_OUT, 0);
+  private static CounterConnection leastBusy(List<CounterConnection> candidates) {
+    CounterConnection leastBusy = null;
+    for (CounterConnection candidate : candidates) {
+      if (!candidate.isOpen()) {
+        continue;
+      }
+      if (leastBusy == null || candidate.owedReplies() < leastBusy.owedReplies()) {
+        leastBusy = candidate;
+      }
     }
-    watchLimit();
+    return leastBusy;
   }
 
-  private void sweep() {
-    double now = clock.now();
-    PeriodicTask.forEachIsolated(links, l -> l.check(now));
+  private static boolean hasRoom(CounterConnection connection) {
+    return connection != null && connection.isOpen() && connection.owedReplies() < MAX_OWED_REPLIES;
   }
 
-  /** The lines of one connection. */
-  private static final class Lines extends LineBasedFrameDecoder {
-    Lines() {
-      super(MOST_LINE, true, true);
-    }
-
-    boolean holdsMore() {
-      return actualReadableBytes() > 0;
+  private void onCallEnded(CounterCall call, Status status, double total) {
+    if (!call.end() || call.isPing()) {
+      return;
     }
+    lastCalls.remove(call.counterName(), call);
+    double latencyMs = clock.now() - call.startedAtMs();
+    listener.accept(new CounterReplied(call.counterName(), status, total, latencyMs));
   }
 
-  /** One kept connection and the answers that it owes, in order. */
-  private final class Link extends ChannelInitializer<Channel> {
-    private final ArrayDeque<Call> owed = new ArrayDeque<>();
-    private final InetSocketAddress address;
-    private Channel channel;
-    private boolean closed;
-    private double heardAt;
-    private double backoffMs = LEAST_BACKOFF_MS;
-
-    Link(InetSocketAddress address) {
-      this.address = address;
-    }
-
-    /** Ends it for good. */
-    void close() {
-      closed = true;
-      leaving.remove(this);
-      if (channel != null) {
-        channel.close();
-      }
-    }
-
-    boolean open() {
-      return channel != null && channel.isActive();
-    }
-
-    void connect() {
-      dialer
-          .dial(address, this)
-          .addListener(
-              (ChannelFuture f) -> {
-                if (closed) {
-                  f.channel().close();
-                } else if (f.isSuccess()) {
-                  channel = f.channel();
-                  heardAt = clock.now();
-                } else {
-                  later();
-                }
-              });
-    }
-
-    private void later() {
-      if (!links.contains(this)) {
-        closed = true;
-        leaving.remove(this);
-        return;
-      }
-      double wait = backoffMs * (0.5 + ThreadLocalRandom.current().nextDouble());
-      backoffMs = Math.min(MOST_BACKOFF_MS, 2 * backoffMs);
-      loop.schedule(
-          () -> {
-            if (!closed) {
-              connect();
-            }
-          },
-          (long) wait,
-          TimeUnit.MILLISECONDS);
-    }
-
-    void send(Call call, String line) {
-      call.link = this;
-      owed.add(call);
-      ByteBuf bytes = channel.alloc().buffer(line.length());
-      bytes.writeCharSequence(line, StandardCharsets.US_ASCII);
-      channel.writeAndFlush(bytes).addListener(f -> call.written = f.isSuccess());
-    }
-
-    /** Replaces the connection when it is silent: a vanished machine resets nothing. */
-    void check(double now) {
-      if (!open()) {
-        return;
-      }
-      if (owed.isEmpty()) {
-        if (now - heardAt > PING_MS) {
-          send(new Call(null, now), "ping\r\n");
-        }
-      } else if (now - Math.max(heardAt, owed.peekFirst().startedAt) > SILENT_LIMITS * limitMs) {
-        channel.close();
-      }
-    }
+  /** What the client does about events of its connections. */
+  private final class ConnectionOwner implements CounterConnection.Owner {
 
     @Override
-    protected void initChannel(Channel ch) {
-      Lines lines = new Lines();
-      ch.pipeline()
-          .addLast(
-              lines,
-              new SimpleChannelInboundHandler<ByteBuf>() {
-                @Override
-                protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-                  answered(line.toString(StandardCharsets.US_ASCII));
-                }
-
-                /**
-                 * Guards against noise without a line's end, to which the next answer would be
-                 * added.
-                 */
-                @Override
-                public void channelReadComplete(ChannelHandlerContext ctx) {
-                  if (lines.holdsMore()) {
-                    double heard = heardAt;
-                    loop.schedule(
-                        () -> {
-                          if (lines.holdsMore() && heard == heardAt) {
-                            spoilt();
-                          }
-                        },
-                        WHOLE_MS,
-                        TimeUnit.MILLISECONDS);
-                  }
-                }
-
-                @Override
-                public void channelInactive(ChannelHandlerContext ctx) {
-                  lost();
-                }
-
-                @Override
-                public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                  if (cause instanceof TooLongFrameException) {
-                    spoilt();
-                  }
-                  ctx.close();
-                }
-              });
+    public boolean isInUse(CounterConnection connection) {
+      return connections.contains(connection);
     }
 
-    private void answered(String line) {
-      heardAt = clock.now();
-      Call call = owed.poll();
-      if (call != null && line.startsWith("ok ") && call.name != null) {
-        double total;
-        try {
-          total = Double.parseDouble(line.substring(3));
-        } catch (NumberFormatException e) {
-          total = Double.NaN;
-        }
-        if (Double.isFinite(total)) {
-          backoffMs = LEAST_BACKOFF_MS;
-          finish(call, Status.OK, total);
-          return;
-        }
-      } else if (call != null && (line.equals("busy") || line.equals("error"))) {
-        finish(call, Status.REJECTED, 0);
-        return;
-      } else if (call != null && line.equals("pong") && call.name == null) {
-        backoffMs = LEAST_BACKOFF_MS;
-        return;
-      }
-      if (call != null) {
-        owed.addFirst(call);
-      }
-      spoilt();
-    }
-
-    /**
-     * Junk: what was asked for first was added; nothing that follows on this connection can be
-     * trusted.
-     */
-    private void spoilt() {
-      Call call = owed.poll();
-      Channel used = channel;
-      channel = null;
-      if (used != null) {
-        used.close();
-      }
-      if (call != null) {
-        finish(call, Status.MALFORMED_RESPONSE, 0);
-      }
+    @Override
+    public void onClosed(CounterConnection connection) {
+      retiring.remove(connection);
     }
 
-    /** What was not written whole added nothing; anything else may have been added. */
-    private void lost() {
-      channel = null;
-      while (!owed.isEmpty()) {
-        Call call = owed.poll();
-        finish(call, call.written ? Status.RESET : Status.CONNECT_FAILED, 0);
-      }
-      later();
+    @Override
+    public void onCallEnded(CounterCall call, Status status, double total) {
+      CounterClient.this.onCallEnded(call, status, total);
     }
   }
 }
--- a/src/test/java/quotagateway/testing/WireFormats.java
+++ b/src/test/java/quotagateway/testing/WireFormats.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Queue;
-import quotagateway.counter.CounterClient;
+import quotagateway.counter.CounterLineCodec;
 import quotagateway.discovery.EndpointListReader;
 import quotagateway.discovery.EndpointUpdate;
 import quotagateway.discovery.EndpointUpdateDispatcher;
@@ -54,13 +54,6 @@
 
   /** The line of one call to the counter, its end included. */
   public static String counterCall(IncrementCounter call) {
-    String amount = CounterClient.plain(call.amount());
-    return "incr "
-        + call.counterName()
-        + ' '
-        + amount
-        + ' '
-        + Math.max(1, (long) call.ttlMs())
-        + "\r\n";
+    return CounterLineCodec.encodeIncrement(call.counterName(), call.amount(), call.ttlMs());
   }
 }
