--- a/src/main/java/quotagateway/backend/BackendConnection.java
+++ b/src/main/java/quotagateway/backend/BackendConnection.java
@@ -143,7 +143,7 @@
               HttpVersion.HTTP_1_1,
               head.method(),
               head.uri(),
-              attempt.body.held().retainedDuplicate(),
+              attempt.body.buffered().retainedDuplicate(),
               head.headers(),
               EmptyHttpHeaders.INSTANCE));
     } else {
--- a/src/main/java/quotagateway/backend/RequestBody.java
+++ b/src/main/java/quotagateway/backend/RequestBody.java
@@ -11,7 +11,7 @@
  */
 public final class RequestBody {
 
-  public static final int MOST_HELD = 64 * 1024;
+  public static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
   /** Where it comes from. */
   public interface Source {
@@ -64,7 +64,7 @@
     }
     held.writeBytes(bytes);
     account.accept(more);
-    if (large()) {
+    if (exceedsBuffer()) {
       source.wants(false);
     }
   }
@@ -87,12 +87,12 @@
   }
 
   /** More is held than is to be. */
-  public boolean large() {
-    return held.readableBytes() > MOST_HELD;
+  public boolean exceedsBuffer() {
+    return held.readableBytes() > MAX_BUFFERED_BYTES;
   }
 
   /** All of it where it is whole; only lent. */
-  public ByteBuf held() {
+  public ByteBuf buffered() {
     return held;
   }
 
--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -1,785 +1,379 @@
 package quotagateway.client;
 
-import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.SocketChannel;
 import io.netty.handler.codec.CodecException;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
-import io.netty.handler.codec.http.DefaultHttpRequest;
-import io.netty.handler.codec.http.DefaultHttpResponse;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaderValues;
-import io.netty.handler.codec.http.HttpHeaders;
-import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
-import java.util.Locale;
-import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import quotagateway.backend.Attempt;
-import quotagateway.backend.RequestBody;
-import quotagateway.driver.PolicyDriver;
-import quotagateway.policy.event.RequestReceived;
-import quotagateway.transport.ProtocolHeaders;
 import quotagateway.transport.SocketTransport;
 
-/** One client's connection: a request at a time, each with the one final answer. */
-final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
+/**
+ * One client's connection: requests one at a time in the order of their coming, each with its one
+ * final response; and when the connection is closed. Reading requests, one exchange, writing
+ * responses and the closing itself are {@link RequestAssembler}'s, {@link Exchange}'s, {@link
+ * ResponseWriter}'s and {@link ConnectionCloser}'s. On the event loop's thread; times are in
+ * milliseconds on the gateway's clock.
+ */
+final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
+    implements RequestAssembler.Listener {
 
   private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
 
   /**
-   * How long a connection that is ended over bad input stays half open, so that the answer is read.
+   * Between requests a connection may be closed after this if another needs its place: clients
+   * accept that after 2 s.
    */
-  private static final long LINGER_MS = 300;
-
-  /** One over a larger request stays so for as long as more of that comes, within this. */
-  private static final double MOST_LINGER_MS = 10_000;
+  private static final double MIN_IDLE_BEFORE_EVICTION_MS = 2_050;
 
   /**
-   * From its connecting, or for a later request from its first byte, a client has so long for a
-   * request's head. A trickle does not extend it: each held connection is one that another client
-   * cannot have.
+   * One with no complete request in so long is evicted sooner: clients connect in order to ask, and
+   * ask at once.
    */
-  private static final double REQUEST_MS = 2_200;
-
-  /** For the body it has this and the time that it takes at the least pace, 64 kB a second. */
-  private static final double BODY_MS = 700;
-
-  private static final double BODY_BYTES_PER_MS = 60;
-  private static final long MOST_BODY = 32L << 20;
-
-  /** Who has taken nothing of an answer, or of a body, for so long is not there any more. */
-  private static final double STUCK_MS = 30_000;
-
-  /** Between requests a connection may be ended after this, if another wants its place. */
-  private static final double EVICT_MS = 2_050;
+  private static final double MIN_SILENCE_BEFORE_EVICTION_MS = 300;
 
   /**
-   * One with no whole request in so long goes sooner: clients connect in order to ask, and ask at
-   * once.
+   * Between requests a connection is closed after this in any case: some clients never come back.
    */
-  private static final double EVICT_SILENT_MS = 300;
+  private static final double MAX_IDLE_MS = 10_000;
 
-  /**
-   * Between requests a connection is ended after this in any case: some clients never come back.
-   */
-  private static final double IDLE_MS = 10_000;
-
-  /** Requests kept behind the one under way; a client with more gets no further answers. */
-  private static final int MOST_BEHIND = 16;
-
-  private final ClientServer server;
-  private Channel channel;
+  private final Channel channel;
+  private final ClientContext context;
+  private final ClientConnections connections;
+  private final RequestAssembler assembler;
+  private final ResponseWriter writer;
+  private final ConnectionCloser closer;
 
-  /** One connection too many: its first request is refused, and it ends. */
-  private boolean over;
+  /** Requests that wait for their turn. */
+  private final ArrayDeque<InboundRequest> queue = new ArrayDeque<>(1);
 
-  /** The request that is being worked on, and whether its connection is kept after it. */
-  private String current;
+  /** Whether the first of them is about to have it. */
+  private boolean nextScheduled;
 
-  private Incoming handled;
-  private boolean keepAlive;
+  /** The exchange that was started last, or null before the first. */
+  private Exchange exchange;
 
-  /** Where the pieces of its answer come from, and since when the client takes none. */
-  private Attempt passing;
-
-  private double stuckSince = Double.NaN;
-  private boolean ending;
+  /** The connection exceeds the budget: its first request is rejected, and it ends. */
+  private boolean overBudget;
 
   /** When it was opened or last answered. */
-  private double quietSince;
-
-  private boolean asked;
-
-  /**
-   * When the request that is being received began, or NaN; and how many bytes have come of its
-   * head.
-   */
-  private double receivingSince = Double.NaN;
-
-  private int headBytes;
-
-  /** That request, once its head has come; and since when its body is not wanted for now. */
-  private Incoming coming;
-
-  private double pausedSince;
-  private double heardAt;
-
-  /** Too many requests came at once: those kept are answered, and then the connection ends. */
-  private boolean overrun;
-
-  /** Requests that wait their turn, and whether the first of them is about to have it. */
-  private final ArrayDeque<Incoming> waiting = new ArrayDeque<>(1);
-
-  private boolean proceeding;
-
-  /** A request as it comes. */
-  private final class Incoming {
-    final HttpRequest head;
-    final RequestBody body = new RequestBody(ClientConnection.this::read, server::hold);
-
-    /** When its last byte came to this machine: from then on its time counts. */
-    double arrivedAt;
+  private double idleSinceMs;
 
-    /**
-     * When its body began, later by as long as that was not wanted; and how much has come of it.
-     */
-    double bodySince = server.now();
-
-    long bodyBytes;
-    boolean queued;
-
-    /** Taken by the module, with so much time from its last byte on. */
-    boolean taken;
-
-    double timeoutMs;
-    boolean malformed;
-    boolean expects;
-
-    Incoming(HttpRequest head) {
-      this.head = head;
-      malformed = head.decoderResult().isFailure();
-      expects = !malformed && HttpUtil.is100ContinueExpected(head);
-    }
+  ClientConnection(Channel channel, ClientContext context, ClientConnections connections) {
+    this.channel = channel;
+    this.context = context;
+    this.connections = connections;
+    assembler = new RequestAssembler(channel, context, this);
+    writer = new ResponseWriter(channel, context);
+    closer = new ConnectionCloser(channel, context, assembler, writer, this::discardRequests);
+  }
 
-    boolean tooLarge() {
-      return Math.max(bodyBytes, HttpUtil.getContentLength(head, 0L)) > MOST_BODY;
-    }
+  RequestAssembler assembler() {
+    return assembler;
   }
 
-  ClientConnection(ClientServer server) {
-    this.server = server;
+  double idleSinceMs() {
+    return idleSinceMs;
   }
 
+  // ---- Events of the channel ----
+
   @Override
   public void handlerAdded(ChannelHandlerContext ctx) {
-    channel = ctx.channel();
-    quietSince = server.now();
-    over = server.opened(this);
+    idleSinceMs = context.now();
+    overBudget = connections.opened(this);
   }
 
-  /**
-   * Called with the size of what has come, before it is decoded; false when nothing more is wanted.
-   */
-  boolean receives(int bytes) {
-    heardAt = server.now();
-    if (ending || overrun) {
-      return false;
-    }
-    if (Double.isNaN(receivingSince)) {
-      receivingSince = heardAt;
+  @Override
+  protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
+    if (closing() || assembler.overrun()) {
+      return;
     }
-    if (coming == null) {
-      headBytes += bytes;
-      server.hold(bytes);
-      if (server.full() && headBytes > bytes) {
-        endWith(HttpResponseStatus.SERVICE_UNAVAILABLE, "too much is being received");
-        return false;
-      }
+    if (part instanceof HttpRequest head) {
+      assembler.onHead(head);
     }
-    return true;
-  }
-
-  /** Called after that has been decoded; begun: part of a further request is among it. */
-  void received(boolean begun) {
-    if (begun && Double.isNaN(receivingSince)) {
-      receivingSince = server.now();
+    if (part instanceof HttpContent content) {
+      assembler.onContent(content);
     }
   }
 
-  private void receivedHead() {
-    server.hold(-headBytes);
-    headBytes = 0;
-  }
-
-  /** Reads on, or leaves what the client sends to the kernel. */
-  private void read(boolean on) {
-    if (on != channel.config().isAutoRead()) {
-      if (!on) {
-        pausedSince = server.now();
-      } else if (coming != null) {
-        coming.bodySince += server.now() - pausedSince;
+  @Override
+  public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+    if (channel.isWritable()) {
+      writer.clearStall();
+      if (exchange != null) {
+        exchange.resume();
       }
-      channel.config().setAutoRead(on);
     }
   }
 
-  double quietSince() {
-    return quietSince;
-  }
-
-  /** Whether no request is on it, and has not been for long enough to end it for another's sake. */
-  boolean evictable(double now) {
-    if (current != null || ending) {
-      return false;
-    }
-    if (asked && Double.isNaN(receivingSince)) {
-      return now - quietSince > EVICT_MS;
+  @Override
+  public void channelInactive(ChannelHandlerContext ctx) {
+    assembler.releaseHead();
+    closer.closed();
+    connections.closed(this);
+    if (exchange != null) {
+      exchange.connectionClosed();
     }
-    return now - (asked ? receivingSince : quietSince) > EVICT_SILENT_MS;
   }
 
-  /**
-   * Guards against clients that never finish a request, say nothing, never come back, or read no
-   * answer; and while draining ends what no request is on. One that has just connected may still
-   * ask.
-   */
-  void endIfOverdue(double now) {
-    if (ending) {
-      return;
-    }
-    if (now - stuckSince > STUCK_MS) {
-      channel.close();
-    } else if (coming != null && (current == null || coming.taken)) {
-      endIfSlow(now);
-    } else if (current == null && !Double.isNaN(receivingSince)) {
-      if (now - (asked ? receivingSince : quietSince) > REQUEST_MS) {
-        endWith(HttpResponseStatus.REQUEST_TIMEOUT, "request is not whole in time");
-      }
-    } else if (asked && server.drained() || now - quietSince > (asked ? IDLE_MS : REQUEST_MS)) {
-      closeIfIdle();
+  /** A broken or malformed connection is closed; a fault of this program is logged as well. */
+  @Override
+  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    if (cause instanceof RuntimeException && !(cause instanceof CodecException)) {
+      LOG.log(Level.SEVERE, "request failed", cause);
     }
+    ctx.close();
   }
 
-  private void endIfSlow(double now) {
-    double allowed = BODY_MS + coming.bodyBytes / BODY_BYTES_PER_MS;
-    if (!channel.config().isAutoRead()) {
-      if (coming.taken && now - pausedSince > STUCK_MS) {
-        giveUpBody(HttpResponseStatus.SERVICE_UNAVAILABLE, "body is not taken");
-      }
-    } else if (now - coming.bodySince > allowed
-        && now - (asked ? receivingSince : quietSince) > REQUEST_MS) {
-      giveUpBody(HttpResponseStatus.REQUEST_TIMEOUT, "body is not whole in time");
-    }
-  }
+  // ---- Requests in their order ----
 
-  /** What was taken of it reaches no backend whole. */
-  private void giveUpBody(HttpResponseStatus status, String reason) {
-    if (coming != null && coming.taken && current != null) {
-      String id = current;
-      current = null;
-      server.driver().clientLeft(id);
-    }
-    endWith(status, reason);
+  private boolean exchangeOpen() {
+    return exchange != null && exchange.open();
   }
 
   @Override
-  protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-    if (ending || overrun) {
-      return;
-    }
-    if (part instanceof HttpRequest head) {
-      begin(head);
-    }
-    if (part instanceof HttpContent content && coming != null) {
-      more(content);
-    }
+  public boolean idle() {
+    return !exchangeOpen() && queue.isEmpty();
   }
 
-  private void begin(HttpRequest head) {
-    receivedHead();
-    boolean first = current == null && waiting.isEmpty();
-    Incoming next = new Incoming(head);
-    if (!first && (waiting.size() >= MOST_BEHIND || next.malformed)) {
-      // Reading goes on, so that a client that leaves is noticed; the bound is on what is kept.
-      overrun = true;
-      return;
-    }
-    if (next.malformed) {
-      next.body.end();
-      receivingSince = Double.NaN;
-      queue(next);
-      return;
-    }
-    coming = next;
-    if (next.tooLarge() || HttpUtil.getContentLength(head, 0L) > RequestBody.MOST_HELD) {
-      queue(next);
-    }
-    encourage();
-  }
-
-  /** Tells a client that waits for it to send its body, once no answer is owed before. */
-  private void encourage() {
-    if (coming != null
-        && coming.expects
-        && !ending
-        && !coming.tooLarge()
-        && current == null
-        && (waiting.isEmpty() || waiting.peek() == coming)) {
-      coming.expects = false;
-      channel.writeAndFlush(
-          new DefaultFullHttpResponse(
-              HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
-    }
+  /**
+   * Bounds what a client can have kept here. Prevents memory that grows with pipelined requests; a
+   * client that sends more gets the responses to those kept, and then a close.
+   */
+  @Override
+  public boolean queueFull() {
+    return queue.size() >= RequestLimits.MAX_PIPELINED_REQUESTS;
   }
 
-  private void more(HttpContent content) {
-    Incoming in = coming;
-    in.bodyBytes += content.content().readableBytes();
-    if (content instanceof LastHttpContent && in.taken && left()) {
-      // The client closed behind its body long ago, maybe: a backend that gets no last byte does
-      // not begin.
-      return;
-    }
-    if (content.decoderResult().isFailure() || in.tooLarge() && in.taken) {
-      in.malformed = !in.tooLarge();
-      if (in.taken) {
-        giveUpBody(
-            in.tooLarge()
-                ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
-                : HttpResponseStatus.BAD_REQUEST,
-            in.tooLarge() ? "body is too large" : "malformed body");
-      } else {
-        queue(in);
-      }
-      return;
-    }
-    if (!in.queued && in.bodyBytes > content.content().readableBytes() && server.full()) {
-      endWith(HttpResponseStatus.SERVICE_UNAVAILABLE, "too much is being received");
-      return;
-    }
-    in.body.add(content.content());
-    if (content instanceof LastHttpContent) {
-      coming = null;
-      receivingSince = Double.NaN;
-      in.arrivedAt = server.now() - SocketTransport.waitedMs(channel);
-      in.body.end();
-      if (in.taken && handled == in && current != null) {
-        server.driver().bodyWhole(current, in.arrivedAt + in.timeoutMs);
-      }
-      queue(in);
-    } else if (in.body.large()) {
-      queue(in);
-    }
+  @Override
+  public void headReceived() {
+    sendContinueIfExpected();
   }
 
-  private void queue(Incoming in) {
-    if (!in.queued) {
-      in.queued = true;
-      in.arrivedAt = in.body.whole() ? in.arrivedAt : server.now();
-      waiting.add(in);
-      proceed();
-    }
+  @Override
+  public void requestReady(InboundRequest request) {
+    queue.add(request);
+    startNext();
   }
 
-  /**
-   * Has the next request handled behind all that the sockets have to tell by now. Guards against
-   * work for clients that are gone: where CPU is short for any cause, connections wait long to be
-   * accepted, and the hang-up is there with the request. Serving the dead first would leave no time
-   * for the living. Harm: a client that ends its sending before it has its answer gets none, as
-   * already when it does so later.
-   */
-  private void proceed() {
-    if (!proceeding && current == null && !waiting.isEmpty()) {
-      proceeding = true;
-      channel
-          .eventLoop()
-          .execute(
-              () -> {
-                proceeding = false;
-                Incoming next = waiting.poll();
-                if (next != null) {
-                  handle(next);
-                }
-              });
-    }
-    encourage();
-  }
-
-  private void handle(Incoming in) {
-    asked = true;
-    handled = in;
-    try {
-      keepAlive = HttpUtil.isKeepAlive(in.head);
-      if (in.malformed) {
-        endWith(HttpResponseStatus.BAD_REQUEST, "malformed request");
-      } else if (in.tooLarge()) {
-        endWith(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body is too large");
-      } else if (in.head.uri().equals("/up")) {
-        up(in.head);
-      } else if (over || server.over() || server.full()) {
-        keepAlive &= !over;
-        refused(0);
-      } else {
-        take(in);
-      }
-    } catch (RuntimeException e) {
-      faulty(e);
-    } finally {
-      if (!in.taken) {
-        in.body.release();
-      }
+  @Override
+  public void requestComplete(InboundRequest request) {
+    if (request.accepted() && exchange.request() == request) {
+      exchange.requestComplete();
     }
   }
 
-  /**
-   * A fault of ours costs this request, not the connection or the process; its cause goes to the
-   * log.
-   */
-  private void faulty(RuntimeException cause) {
-    LOG.log(Level.SEVERE, "request failed", cause);
-    if (current != null) {
-      server.driver().clientLeft(current);
-      current = null;
-      answer(HttpResponseStatus.INTERNAL_SERVER_ERROR);
-    } else {
-      channel.close();
+  @Override
+  public void bodyFailed(HttpResponseStatus status, String reason) {
+    InboundRequest receiving = assembler.receiving();
+    if (receiving != null && receiving.accepted() && exchangeOpen()) {
+      exchange.abandonRequest();
     }
+    closeWithError(status, reason);
   }
 
-  private void up(HttpRequest message) {
-    boolean get = message.method().equals(HttpMethod.GET);
-    answer(
-        !get
-            ? HttpResponseStatus.METHOD_NOT_ALLOWED
-            : server.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
-  }
-
-  private void take(Incoming in) {
-    RequestReceived request;
-    try {
-      request = server.read(in.head, in.arrivedAt);
-    } catch (RequestReader.BadRequest e) {
-      keepAlive &= e.framed();
-      answer(HttpResponseStatus.BAD_REQUEST, e.getMessage());
-      return;
-    }
-    in.timeoutMs = request.deadlineAtMs() - in.arrivedAt;
-    current = request.requestId();
-    in.taken = true;
-    server
-        .driver()
-        .take(
-            in.body.whole() ? request : request.withoutDeadline(),
-            onward(in),
-            in.body,
-            new PolicyDriver.Client() {
-              @Override
-              public boolean left() {
-                boolean left = ClientConnection.this.left();
-                current = left ? null : current;
-                return left;
-              }
-
-              @Override
-              public void served(FullHttpResponse answer) {
-                current = null;
-                ClientConnection.this.served(answer);
-              }
-
-              @Override
-              public void begins(HttpResponse head, Attempt from) {
-                passing = from;
-                pass(head, in.head);
-              }
-
-              @Override
-              public boolean piece(HttpContent piece) {
-                return ClientConnection.this.piece(piece);
-              }
-
-              @Override
-              public void ends(boolean whole) {
-                if (passing != null) {
-                  passed(whole);
-                }
-              }
-
-              @Override
-              public void refused(double holdOffMs) {
-                current = null;
-                ClientConnection.this.refused(holdOffMs);
-              }
-
-              @Override
-              public void failed() {
-                current = null;
-                answer(HttpResponseStatus.BAD_GATEWAY);
-              }
-            });
+  @Override
+  public void unreadable(HttpResponseStatus status, String reason) {
+    closeWithError(status, reason);
   }
 
   /**
-   * Whether the client has ended the connection, which is closed then, though its end was not read
-   * yet.
+   * Has the next request handled behind all that the sockets have to report by now. Prevents work
+   * for clients that are gone: where CPU is short for any cause, connections wait long to be
+   * accepted, and the close is there with the request; requests of such clients, served first,
+   * would leave no time for those of others. Cost: a client that ends its sending before it has its
+   * response gets none, as already when it does so later.
    */
-  private boolean left() {
-    if (channel.isActive() && SocketTransport.endedByPeer(channel)) {
-      channel.close();
+  private void startNext() {
+    if (!nextScheduled && !exchangeOpen() && !queue.isEmpty()) {
+      nextScheduled = true;
+      channel.eventLoop().execute(this::startScheduled);
     }
-    return !channel.isActive();
+    sendContinueIfExpected();
   }
 
-  /** What goes on to a backend: the request line and the headers that are passed on, unchanged. */
-  private static HttpRequest onward(Incoming in) {
-    HttpHeaders from = in.head.headers();
-    DefaultHttpRequest onward =
-        new DefaultHttpRequest(
-            HttpVersion.HTTP_1_1, in.head.method(), RequestReader.path(in.head.uri()));
-    for (CharSequence name :
-        new CharSequence[] {
-          HttpHeaderNames.HOST,
-          ProtocolHeaders.REQUEST_ID,
-          ProtocolHeaders.REQUEST_CLASS,
-          ProtocolHeaders.IDEMPOTENCY_KEY,
-          HttpHeaderNames.CONTENT_TYPE,
-          ProtocolHeaders.TIMEOUT_MS
-        }) {
-      String value = from.get(name);
-      if (value != null) {
-        onward.headers().set(name, value);
-      }
-    }
-    long length =
-        in.body.whole() ? in.body.held().readableBytes() : HttpUtil.getContentLength(in.head, -1L);
-    if (length < 0) {
-      onward.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-    } else if (length > 0 || in.head.method().equals(HttpMethod.POST)) {
-      onward.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
+  private void startScheduled() {
+    nextScheduled = false;
+    InboundRequest next = queue.poll();
+    if (next != null) {
+      exchange = new Exchange(next, this, context, writer);
+      exchange.start(overBudget);
     }
-    return onward;
   }
 
-  private void served(FullHttpResponse from) {
-    DefaultFullHttpResponse answer =
-        new DefaultFullHttpResponse(
-            HttpVersion.HTTP_1_1, HttpResponseStatus.OK, from.content().retain());
-    copyType(from, answer);
-    write(answer);
-  }
-
-  private static void copyType(HttpResponse from, HttpResponse to) {
-    String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
-    if (type != null) {
-      to.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
+  /** Has a client send the body that it keeps back, once no response is owed before. */
+  private void sendContinueIfExpected() {
+    InboundRequest receiving = assembler.receiving();
+    if (receiving != null
+        && receiving.awaitsContinue()
+        && !closing()
+        && !receiving.tooLarge()
+        && !exchangeOpen()
+        && (queue.isEmpty() || queue.peek() == receiving)) {
+      receiving.continueSent();
+      writer.writeContinue();
     }
   }
 
-  /** Begins an answer that follows in pieces. */
-  private void pass(HttpResponse from, HttpRequest to) {
-    DefaultHttpResponse answer =
-        new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-    copyType(from, answer);
-    if (HttpUtil.isContentLengthSet(from)) {
-      answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, HttpUtil.getContentLength(from));
-    } else if (to.protocolVersion().isKeepAliveDefault()) {
-      answer.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-    } else {
-      // Of HTTP/1.0: the end of the connection is the end of the answer.
-      keepAlive = false;
-    }
-    keepAlive = keeps(answer);
-    channel.writeAndFlush(answer);
+  private void discardRequests() {
+    queue.forEach(request -> request.body().release());
+    queue.clear();
+    assembler.discard();
   }
 
-  private boolean piece(HttpContent piece) {
-    if (passing == null) {
-      return false;
-    }
-    channel.writeAndFlush(piece.retain());
-    if (!channel.isWritable() && Double.isNaN(stuckSince)) {
-      stuckSince = server.now();
-    }
-    return channel.isWritable();
-  }
+  // ---- Responses ----
 
-  /** The client takes more of its answer. */
-  @Override
-  public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-    if (channel.isWritable()) {
-      stuckSince = Double.NaN;
-      if (passing != null) {
-        passing.resume();
-      }
+  /** Writes an exchange's response; the next request follows, or the connection ends. */
+  void respond(Exchange answered, FullHttpResponse response) {
+    idleSinceMs = context.now();
+    boolean kept = keptAfter(answered);
+    ChannelFuture written =
+        writer.write(response, kept, answered.request().head().protocolVersion());
+    if (kept) {
+      written.addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
+      startNext();
+    } else {
+      closeAfter(written);
     }
   }
 
   /**
-   * Ends such an answer; one that is not whole ends with a reset, which no framing takes for its
-   * end.
+   * An exchange's streamed response has ended; the next request follows, or the connection ends.
    */
-  private void passed(boolean whole) {
-    passing = null;
-    current = null;
-    stuckSince = Double.NaN;
-    quietSince = server.now();
-    if (!whole) {
-      ending = true;
-      dropWaiting();
-      SocketTransport.reset(channel);
-    } else if (keepAlive) {
-      proceed();
+  void streamEnded(boolean complete, boolean kept) {
+    writer.clearStall();
+    idleSinceMs = context.now();
+    if (!complete) {
+      closer.reset();
+    } else if (kept) {
+      startNext();
     } else {
-      end(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
+      closeAfter(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
     }
   }
 
-  private void refused(double holdOffMs) {
-    FullHttpResponse answer =
-        empty(
-            holdOffMs > 0
-                ? HttpResponseStatus.TOO_MANY_REQUESTS
-                : HttpResponseStatus.SERVICE_UNAVAILABLE);
-    if (holdOffMs > 0) {
-      answer
-          .headers()
-          .set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", holdOffMs / 1000));
-    }
-    write(answer);
+  /**
+   * Whether the connection is kept after the response to an exchange. In a crowd a kept connection
+   * is a place that another client may not find. What has come completely behind this request was
+   * accepted from its client, and is answered first.
+   */
+  boolean keptAfter(Exchange answered) {
+    boolean endWanted = context.draining() || connections.crowded() || assembler.overrun();
+    boolean last = endWanted && queue.isEmpty();
+    return !last && answered.allowsKeepAlive();
   }
 
-  private void answer(HttpResponseStatus status) {
-    write(empty(status));
+  private void closeAfter(ChannelFuture written) {
+    InboundRequest receiving = assembler.receiving();
+    closer.closeAfter(written, receiving != null && receiving == exchange.request());
   }
 
-  private void answer(HttpResponseStatus status, String reason) {
-    ByteBuf text = Unpooled.copiedBuffer(reason + "\n", StandardCharsets.US_ASCII);
-    write(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, text));
-  }
+  // ---- Closing ----
 
-  private static FullHttpResponse empty(HttpResponseStatus status) {
-    return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
+  @Override
+  public boolean closing() {
+    return closer.closing();
   }
 
-  private void write(FullHttpResponse answer) {
-    answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
-    quietSince = server.now();
-    boolean keep = keeps(answer);
-    ChannelFuture written = channel.writeAndFlush(answer);
-    if (keep) {
-      written.addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
-      proceed();
-    } else {
-      end(written);
-    }
+  /** Answers what cannot be read any further, and closes the connection behind that. */
+  void closeWithError(HttpResponseStatus status, String reason) {
+    closer.closeWithError(status, reason);
   }
 
-  /** Whether the connection is kept after this answer, which tells the client. */
-  private boolean keeps(HttpResponse answer) {
-    // In a crowd a kept connection is a place that another client may not find. What has come whole
-    // behind
-    // this request has been taken, and is answered first.
-    boolean last = (server.draining() || server.crowded() || overrun) && waiting.isEmpty();
-    boolean keep = keepAlive && !last && handled.body.whole();
-    if (!keep) {
-      answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-    } else if (!handled.head.protocolVersion().isKeepAliveDefault()) {
-      answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
-    }
-    return keep;
+  /** Closes the connection without a response. */
+  void closeAtOnce() {
+    channel.close();
   }
 
   /**
-   * Ends the connection with its last answer; a client that still sends a body gets to read that
-   * first.
+   * Whether the client has closed the connection, though that was not read yet; then it is closed
+   * here as well. Prevents attempts for clients that are gone: a loop that was held up, or that has
+   * paused reading, has not heard of it.
    */
-  private void end(ChannelFuture answered) {
-    ending = true;
-    dropWaiting();
-    if (coming != null && coming == handled) {
-      linger(answered);
-    } else {
-      answered.addListener(ChannelFutureListener.CLOSE);
+  @Override
+  public boolean clientLeft() {
+    if (channel.isActive() && SocketTransport.endedByPeer(channel)) {
+      channel.close();
     }
+    return !channel.isActive();
+  }
+
+  /** From when the time for the request that is being received counts. */
+  private double requestStartedAtMs() {
+    return exchange == null ? idleSinceMs : assembler.receivingSinceMs();
   }
 
   /**
-   * Answers what cannot be read any further, and lets the client read that before the connection
-   * ends.
+   * Whether no request is on it, and has not been for long enough to close it for another's sake.
    */
-  void endWith(HttpResponseStatus status, String reason) {
-    if (ending) {
-      return;
+  boolean evictable(double nowMs) {
+    if (exchangeOpen() || closing()) {
+      return false;
     }
-    ending = true;
-    dropWaiting();
-    ByteBuf text = Unpooled.copiedBuffer(reason + "\n", StandardCharsets.US_ASCII);
-    FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, text);
-    answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, text.readableBytes());
-    answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-    linger(channel.writeAndFlush(answer));
-  }
-
-  private void linger(ChannelFuture answered) {
-    double until = server.now() + MOST_LINGER_MS;
-    boolean body = coming != null && coming.queued;
-    read(true);
-    answered.addListener(f -> ((SocketChannel) channel).shutdownOutput());
-    channel
-        .eventLoop()
-        .schedule(() -> lingered(body ? until : 0), LINGER_MS, TimeUnit.MILLISECONDS);
-  }
-
-  private void lingered(double until) {
-    double now = server.now();
-    if (now - heardAt < LINGER_MS && now < until) {
-      channel.eventLoop().schedule(() -> lingered(until), LINGER_MS, TimeUnit.MILLISECONDS);
-    } else {
-      channel.close();
+    if (exchange != null && !assembler.receivesRequest()) {
+      return nowMs - idleSinceMs > MIN_IDLE_BEFORE_EVICTION_MS;
     }
+    return nowMs - requestStartedAtMs() > MIN_SILENCE_BEFORE_EVICTION_MS;
   }
 
   /**
-   * Ends the connection if no request is on it; one that is answered while draining ends by itself.
+   * Closes the connection if a time limit is over. Prevents places held for good by clients that
+   * never finish a request, send nothing, never come back, or read no response; and while draining
+   * ends what no request is on. One that has just connected may still ask.
    */
-  void closeIfIdle() {
-    if (current == null && waiting.isEmpty() && !ending) {
-      ending = true;
-      channel.close();
+  void closeIfOverdue(double nowMs) {
+    if (closing()) {
+      return;
     }
-  }
-
-  /** The process ends: what is half here is refused, as nobody will take the rest of it. */
-  void endUnasked() {
-    if (current == null && waiting.isEmpty() && !Double.isNaN(receivingSince)) {
-      endWith(HttpResponseStatus.SERVICE_UNAVAILABLE, "this front door ends");
-    } else {
+    InboundRequest receiving = assembler.receiving();
+    if (writer.stalledTooLong(nowMs)) {
+      channel.close();
+    } else if (receiving != null && (!exchangeOpen() || receiving.accepted())) {
+      assembler.checkBodyProgress(nowMs, requestStartedAtMs());
+    } else if (!exchangeOpen() && assembler.receivesRequest()) {
+      if (nowMs - requestStartedAtMs() > RequestLimits.MAX_HEAD_MS) {
+        closeWithError(HttpResponseStatus.REQUEST_TIMEOUT, "request is not whole in time");
+      }
+    } else if (idleTooLong(nowMs)) {
       closeIfIdle();
     }
   }
 
-  private void dropWaiting() {
-    waiting.forEach(w -> w.body.release());
-    waiting.clear();
-    if (coming != null && !coming.taken) {
-      coming.body.release();
+  private boolean idleTooLong(double nowMs) {
+    if (exchange == null) {
+      return nowMs - idleSinceMs > RequestLimits.MAX_HEAD_MS;
     }
+    return context.drainNoticed() || nowMs - idleSinceMs > MAX_IDLE_MS;
   }
 
-  @Override
-  public void channelInactive(ChannelHandlerContext ctx) {
-    ending = true;
-    receivedHead();
-    dropWaiting();
-    server.closed(this);
-    passing = null;
-    if (current != null) {
-      server.driver().clientLeft(current);
-      current = null;
+  /**
+   * Closes the connection if no request is on it; a response while draining closes it by itself.
+   */
+  void closeIfIdle() {
+    if (idle() && !closing()) {
+      closer.close();
     }
   }
 
-  @Override
-  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    if (cause instanceof RuntimeException && !(cause instanceof CodecException)) {
-      LOG.log(Level.SEVERE, "request failed", cause);
+  /**
+   * The process ends. Prevents a request that is read after the shutdown and never answered: what
+   * is half received is rejected, as nobody will read the rest of it.
+   */
+  void closeForShutdown() {
+    if (idle() && assembler.receivesRequest()) {
+      closeWithError(HttpResponseStatus.SERVICE_UNAVAILABLE, "this front door ends");
+    } else {
+      closeIfIdle();
     }
-    ctx.close();
   }
 }
--- /dev/null
+++ b/src/main/java/quotagateway/client/ClientConnections.java
@@ -0,0 +1,98 @@
+package quotagateway.client;
+
+import io.netty.channel.EventLoop;
+import java.util.LinkedHashSet;
+import java.util.Set;
+import quotagateway.transport.ConnectionBudget;
+import quotagateway.transport.PeriodicTask;
+
+/**
+ * The open connections of clients, within the connection budget: which is ended when there are too
+ * many, and which are overdue. On the event loop's thread.
+ */
+final class ClientConnections {
+
+  /**
+   * This part of the connections may exceed the budget: those are still told so by a 503, further
+   * ones are closed at once.
+   */
+  private static final int MAX_EXCESS_DIVISOR = 16;
+
+  /** With so much of the budget taken, connections end with their responses. */
+  private static final double CROWDED_SHARE = 0.75;
+
+  /** How often connections are checked for time limits: well under the shortest of them. */
+  private static final long CHECK_INTERVAL_MS = 200;
+
+  private final ClientContext context;
+  private final ConnectionBudget budget;
+
+  /** In the order of their opening. */
+  private final Set<ClientConnection> connections = new LinkedHashSet<>();
+
+  ClientConnections(EventLoop loop, ClientContext context, ConnectionBudget budget) {
+    this.context = context;
+    this.budget = budget;
+    PeriodicTask.every(loop, CHECK_INTERVAL_MS, this::closeOverdue);
+  }
+
+  /**
+   * Counts a new connection, and evicts an idle one where there are too many. Prevents a crowd of
+   * clients that takes all descriptors: then no connection to a backend, to the counter or to
+   * discovery comes up, and the process may fail. Cost: an idle client has to connect again.
+   *
+   * @return true when the new one exceeds the budget: its first request is rejected, and it ends
+   */
+  boolean opened(ClientConnection connection) {
+    connections.add(connection);
+    budget.client(1);
+    int max = budget.mostClients();
+    if (budget.clients() > max) {
+      evictOldestIdle();
+    }
+    if (budget.clients() > max + max / MAX_EXCESS_DIVISOR) {
+      connection.closeIfIdle();
+    }
+    return budget.clients() > max;
+  }
+
+  void closed(ClientConnection connection) {
+    if (connections.remove(connection)) {
+      budget.client(-1);
+    }
+  }
+
+  boolean isEmpty() {
+    return connections.isEmpty();
+  }
+
+  /** Whether a kept connection is likely a place that another client lacks. */
+  boolean crowded() {
+    return budget.clients() > CROWDED_SHARE * budget.mostClients();
+  }
+
+  /** Closes the connection that has been idle longest, if one may be closed for another's sake. */
+  private void evictOldestIdle() {
+    double now = context.now();
+    ClientConnection oldest = null;
+    for (ClientConnection candidate : connections) {
+      if (candidate.evictable(now)
+          && (oldest == null || candidate.idleSinceMs() < oldest.idleSinceMs())) {
+        oldest = candidate;
+      }
+    }
+    if (oldest != null) {
+      oldest.closeIfIdle();
+    }
+  }
+
+  private void closeOverdue() {
+    double now = context.now();
+    PeriodicTask.each(connections, connection -> connection.closeIfOverdue(now));
+  }
+
+  /** Ends each connection; one with part of a request gets an error first. */
+  void closeAllForShutdown() {
+    PeriodicTask.each(connections, ClientConnection::closeForShutdown);
+  }
+}
--- a/src/main/java/quotagateway/client/ClientServer.java
+++ b/src/main/java/quotagateway/client/ClientServer.java
@@ -10,96 +10,63 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
-import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import io.netty.util.ReferenceCountUtil;
 import java.net.InetSocketAddress;
-import java.util.LinkedHashSet;
-import java.util.Set;
 import quotagateway.backend.BackendConnectionPool;
 import quotagateway.config.ResourceLimits;
 import quotagateway.driver.PolicyDriver;
 import quotagateway.lifecycle.Lifecycle;
-import quotagateway.policy.event.RequestReceived;
 import quotagateway.transport.ConnectionBudget;
 import quotagateway.transport.MonotonicClock;
-import quotagateway.transport.PeriodicTask;
 import quotagateway.transport.SocketTransport;
 
-/** Accepts clients, and tells their connections what all of them share. */
+/**
+ * Accepts the connections of clients, and ends them at the shutdown. On the event loop's thread,
+ * but for {@link #listen} and {@link #ready}.
+ */
 public final class ClientServer {
 
   /**
-   * Of the connections, this part is over the bound: those are still told so, any more end at once.
+   * So long after a drain has begun, the upstream load balancer has seen that {@code GET /up} says
+   * no, and sends no new connections, in milliseconds.
    */
-  private static final int SPARE_PART = 16;
+  public static final double DRAIN_NOTICE_MS = 550;
 
-  /** With so much of the places taken, connections end with their answers. */
-  private static final double CROWDED = 0.75;
+  private static final int MAX_ACCEPT_BACKLOG = 512;
 
-  /** How often connections are looked at for overdue requests. */
-  private static final long SWEEP_MS = 200;
-
-  /**
-   * So long after new settings clients may still ask by those before: 1.2 s, and those that come
-   * late.
-   */
-  private static final double FORMER_MS = 3_000;
+  private final ClientContext context;
+  private final ClientConnections connections;
+  private volatile Channel listening;
 
   /**
-   * So long after it is told to drain, the front has heard the no, and sends no new connections.
+   * Serves nobody before {@link #listen}.
+   *
+   * @param loop on which all of it runs
+   * @param reader by the settings at the start
+   * @param limits what requests may hold
+   * @param budget connections of clients and to backends together
    */
-  public static final double NOTICED_MS = 550;
-
-  private final MonotonicClock clock;
-  private final PolicyDriver driver;
-  private final BackendConnectionPool backends;
-  private RequestReader reader;
-
-  /** By the settings before, while clients may still ask by those. */
-  private RequestReader former;
-
-  private double formerUntil = Double.NEGATIVE_INFINITY;
-  private final ResourceLimits bounds;
-  private final ConnectionBudget places;
-
-  /** In the order of their opening. */
-  private final Set<ClientConnection> connections = new LinkedHashSet<>();
-
-  /** Bytes of requests that are held: being received, or until they need not go out again. */
-  private int held;
-
-  private volatile Channel listening;
-  private final Lifecycle lifecycle;
-
-  /** There is no time left for a further request. */
-  private boolean over;
-
   public ClientServer(
       EventLoop loop,
       MonotonicClock clock,
       PolicyDriver driver,
       BackendConnectionPool backends,
       RequestReader reader,
-      ResourceLimits bounds,
-      ConnectionBudget places,
+      ResourceLimits limits,
+      ConnectionBudget budget,
       Lifecycle lifecycle) {
-    this.clock = clock;
-    this.driver = driver;
-    this.backends = backends;
-    this.reader = reader;
-    this.bounds = bounds;
-    this.places = places;
-    this.lifecycle = lifecycle;
-    PeriodicTask.every(loop, SWEEP_MS, this::endOverdue);
+    context = new ClientContext(clock, driver, backends, reader, limits, lifecycle);
+    connections = new ClientConnections(loop, context, budget);
   }
 
+  /** Begins to accept connections at the address; the future says whether it could be bound. */
   public ChannelFuture listen(EventLoopGroup group, InetSocketAddress address) {
     ChannelFuture bound =
         new ServerBootstrap()
             .group(group)
             .channel(SocketTransport.BEST.serverSocket())
-            .option(ChannelOption.SO_BACKLOG, 512)
+            .option(ChannelOption.SO_BACKLOG, MAX_ACCEPT_BACKLOG)
             .option(ChannelOption.SO_REUSEADDR, true)
             .option(SocketTransport.BEST.reusePort(), true)
             .childOption(ChannelOption.TCP_NODELAY, true)
@@ -120,31 +87,35 @@
 
   /** Makes a channel a client's connection. */
   public void adopt(Channel channel) {
-    ClientConnection connection = new ClientConnection(this);
+    ClientConnection connection = new ClientConnection(channel, context, connections);
     RequestDecoder decoder = new RequestDecoder();
     channel
         .pipeline()
-        .addLast(new Inflow(connection, decoder), decoder, new HttpResponseEncoder(), connection);
+        .addLast(
+            new ReceivedBytesHandler(connection.assembler(), decoder),
+            decoder,
+            new HttpResponseEncoder(),
+            connection);
   }
 
   /**
-   * Sees a client's bytes first: when a request begins, how much of it has come, whether it is
-   * wanted.
+   * Sees a client's bytes ahead of the decoder, which does not tell when a request begins and how
+   * much of it has come; drops what is not wanted.
    */
-  private static final class Inflow extends ChannelInboundHandlerAdapter {
-    private final ClientConnection connection;
+  private static final class ReceivedBytesHandler extends ChannelInboundHandlerAdapter {
+    private final RequestAssembler assembler;
     private final RequestDecoder decoder;
 
-    Inflow(ClientConnection connection, RequestDecoder decoder) {
-      this.connection = connection;
+    ReceivedBytesHandler(RequestAssembler assembler, RequestDecoder decoder) {
+      this.assembler = assembler;
       this.decoder = decoder;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-      if (connection.receives(((ByteBuf) bytes).readableBytes())) {
+      if (assembler.bytesReceived(((ByteBuf) bytes).readableBytes())) {
         ctx.fireChannelRead(bytes);
-        connection.received(decoder.holdsMore());
+        assembler.bytesDecoded(decoder.hasMoreBytes());
       } else {
         ReferenceCountUtil.release(bytes);
       }
@@ -152,107 +123,20 @@
   }
 
   public PolicyDriver driver() {
-    return driver;
-  }
-
-  RequestReceived read(HttpRequest message, double arrivedAt) throws RequestReader.BadRequest {
-    RequestReceived request;
-    try {
-      request = reader.read(message, arrivedAt);
-    } catch (RequestReader.BadRequest e) {
-      if (clock.now() > formerUntil) {
-        throw e;
-      }
-      request = former.read(message, arrivedAt);
-    }
-    if (driver.holds(request.requestId())) {
-      throw new RequestReader.BadRequest("Request-Id is in use");
-    }
-    return request;
+    return context.driver();
   }
 
-  /** New settings hold for what is read from now on. */
-  public void read(RequestReader by) {
-    former = reader;
-    formerUntil = clock.now() + FORMER_MS;
-    reader = by;
+  /** New settings hold for the requests that are read from now on. */
+  public void read(RequestReader newReader) {
+    context.replaceReader(newReader);
   }
 
   /** Whether it takes clients' requests; asked by the admin server too, from its own thread. */
   public boolean ready() {
-    return lifecycle.serving() && backends.knowsAny();
-  }
-
-  boolean draining() {
-    return lifecycle.drainingMs() > 0;
-  }
-
-  /** True when no request is expected any more on a connection that has none. */
-  boolean drained() {
-    return lifecycle.drainingMs() > NOTICED_MS;
-  }
-
-  double now() {
-    return clock.now();
+    return context.ready();
   }
 
-  /** Counts bytes of requests that are held, or gives them back. */
-  void hold(int bytes) {
-    held += bytes;
-  }
-
-  /** With so much held requests are refused, so that the process stays within its memory. */
-  boolean full() {
-    return held >= bounds.bodyBytes() || driver.passing() >= bounds.passing();
-  }
-
-  boolean crowded() {
-    return places.clients() > CROWDED * places.mostClients();
-  }
-
-  /**
-   * True when the connection is one too many; far beyond that it ends at once, as descriptors run
-   * out.
-   */
-  boolean opened(ClientConnection connection) {
-    connections.add(connection);
-    places.client(1);
-    int most = places.mostClients();
-    if (places.clients() > most) {
-      evict();
-    }
-    if (places.clients() > most + most / SPARE_PART) {
-      connection.closeIfIdle();
-    }
-    return places.clients() > most;
-  }
-
-  void closed(ClientConnection connection) {
-    if (connections.remove(connection)) {
-      places.client(-1);
-    }
-  }
-
-  /** Ends the connection that has been idle longest, if one may be ended: others want its place. */
-  private void evict() {
-    double now = clock.now();
-    ClientConnection oldest = null;
-    for (ClientConnection c : connections) {
-      if (c.evictable(now) && (oldest == null || c.quietSince() < oldest.quietSince())) {
-        oldest = c;
-      }
-    }
-    if (oldest != null) {
-      oldest.closeIfIdle();
-    }
-  }
-
-  private void endOverdue() {
-    double now = clock.now();
-    PeriodicTask.each(connections, c -> c.endIfOverdue(now));
-  }
-
-  /** Takes what waits to be taken, and no more connections. */
+  /** Accepts the connections that wait to be accepted, and no more. */
   public void stopAccepting() {
     if (listening != null) {
       SocketTransport.acceptWaiting(listening);
@@ -261,19 +145,16 @@
   }
 
   /**
-   * The last call: what was taken is failed, and each connection ends, with an answer to what it
-   * began.
+   * The final timeout of the shutdown: what is unanswered fails, and each connection ends, with an
+   * error to a request that has come in part.
    */
   public void end() {
-    over = true;
-    driver.failAll();
-    PeriodicTask.each(connections, ClientConnection::endUnasked);
-  }
-
-  boolean over() {
-    return over;
+    context.shutDown();
+    context.driver().failAll();
+    connections.closeAllForShutdown();
   }
 
+  /** Whether no client is connected. */
   public boolean idle() {
     return connections.isEmpty();
   }
--- /dev/null
+++ b/src/main/java/quotagateway/client/ConnectionCloser.java
@@ -0,0 +1,132 @@
+package quotagateway.client;
+
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelFutureListener;
+import io.netty.channel.socket.SocketChannel;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import java.util.concurrent.TimeUnit;
+import quotagateway.transport.SocketTransport;
+
+/**
+ * Closes one connection, at once, behind its last response, or with a reset, so that its client can
+ * read what it is owed. Once closing has begun, nothing that comes is a request any more. On the
+ * event loop's thread; times are in milliseconds on the gateway's clock.
+ */
+final class ConnectionCloser {
+
+  /**
+   * A connection that ends while its client may still send stays half open until nothing has come
+   * for so long.
+   */
+  private static final long LINGER_MS = 300;
+
+  /** The longest time that a body which is not wanted is read for. */
+  private static final double MAX_LINGER_MS = 10_000;
+
+  private final Channel channel;
+  private final ClientContext context;
+  private final RequestAssembler assembler;
+  private final ResponseWriter writer;
+  private final Runnable discardRequests;
+  private boolean closing;
+
+  /**
+   * @param discardRequests drops what waits for its turn, or is being received
+   */
+  ConnectionCloser(
+      Channel channel,
+      ClientContext context,
+      RequestAssembler assembler,
+      ResponseWriter writer,
+      Runnable discardRequests) {
+    this.channel = channel;
+    this.context = context;
+    this.assembler = assembler;
+    this.writer = writer;
+    this.discardRequests = discardRequests;
+  }
+
+  /** Whether closing has begun. */
+  boolean closing() {
+    return closing;
+  }
+
+  /** Closes a connection on which no request is. */
+  void close() {
+    closing = true;
+    channel.close();
+  }
+
+  /** The channel has become inactive, for whatever reason. */
+  void closed() {
+    closing = true;
+    discardRequests.run();
+  }
+
+  /**
+   * Closes the connection behind its last response.
+   *
+   * @param written when that is with the kernel
+   * @param bodyStillComes whether the client is still sending the body of the answered request
+   */
+  void closeAfter(ChannelFuture written, boolean bodyStillComes) {
+    closing = true;
+    discardRequests.run();
+    if (bodyStillComes) {
+      linger(written);
+    } else {
+      written.addListener(ChannelFutureListener.CLOSE);
+    }
+  }
+
+  /** Answers what cannot be read any further, and closes the connection behind that. */
+  void closeWithError(HttpResponseStatus status, String reason) {
+    if (closing) {
+      return;
+    }
+    closing = true;
+    discardRequests.run();
+    linger(writer.writeFinalError(status, reason));
+  }
+
+  /**
+   * Breaks off a streamed response that cannot be completed. Prevents a client that takes a part
+   * for the whole: a reset is the end of a response in no framing.
+   */
+  void reset() {
+    closing = true;
+    discardRequests.run();
+    SocketTransport.reset(channel);
+  }
+
+  /**
+   * Ends sending behind the last response, and reads on for a while. Prevents the loss of that
+   * response: a close over unread bytes resets the connection, and the reset drops what the client
+   * has not read yet. Cost: the connection is held for {@link #LINGER_MS}, one under a queued
+   * request's body for as long as more of that comes, within {@link #MAX_LINGER_MS}.
+   */
+  private void linger(ChannelFuture written) {
+    double maxUntilMs = context.now() + MAX_LINGER_MS;
+    InboundRequest receiving = assembler.receiving();
+    double untilMs = receiving != null && receiving.queued() ? maxUntilMs : 0;
+    assembler.setReading(true);
+    written.addListener(future -> ((SocketChannel) channel).shutdownOutput());
+    scheduleLingerCheck(untilMs);
+  }
+
+  private void scheduleLingerCheck(double untilMs) {
+    channel
+        .eventLoop()
+        .schedule(() -> closeUnlessReceiving(untilMs), LINGER_MS, TimeUnit.MILLISECONDS);
+  }
+
+  private void closeUnlessReceiving(double untilMs) {
+    double now = context.now();
+    if (now - assembler.lastReadAtMs() < LINGER_MS && now < untilMs) {
+      scheduleLingerCheck(untilMs);
+    } else {
+      channel.close();
+    }
+  }
+}
--- a/src/main/java/quotagateway/server/GatewayServer.java
+++ b/src/main/java/quotagateway/server/GatewayServer.java
@@ -32,7 +32,7 @@
   private static final Logger LOG = Logger.getLogger(GatewayServer.class.getName());
 
   /** After SIGTERM new connections go on coming for up to 0.4 s. */
-  private static final long ACCEPT_MS = (long) ClientServer.NOTICED_MS;
+  private static final long ACCEPT_MS = (long) ClientServer.DRAIN_NOTICE_MS;
 
   /**
    * SIGKILL comes no sooner than the longest deadline and 0.7 s after SIGTERM: all is answered by
--- a/src/test/java/quotagateway/server/StreamingTest.java
+++ b/src/test/java/quotagateway/server/StreamingTest.java
@@ -95,7 +95,8 @@
   void aConnectionIsReadOnAfterABodyJustTooLargeToBeHeld() throws Exception {
     peers.start();
     Client client = peers.client();
-    assertEquals(200, client.ask(Peers.post("r1", "x".repeat(RequestBody.MOST_HELD + 1))).status());
+    assertEquals(
+        200, client.ask(Peers.post("r1", "x".repeat(RequestBody.MAX_BUFFERED_BYTES + 1))).status());
     assertEquals(200, client.ask(Peers.get("r2", 3000)).status());
   }
 
