--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -302,7 +302,7 @@
    */
   @Override
   public boolean clientLeft() {
-    if (channel.isActive() && SocketTransport.endedByPeer(channel)) {
+    if (channel.isActive() && SocketTransport.isClosedByPeer(channel)) {
       channel.close();
     }
     return !channel.isActive();
--- a/src/main/java/quotagateway/client/ClientConnections.java
+++ b/src/main/java/quotagateway/client/ClientConnections.java
@@ -33,7 +33,7 @@
   ClientConnections(EventLoop loop, ClientContext context, ConnectionBudget budget) {
     this.context = context;
     this.budget = budget;
-    PeriodicTask.every(loop, CHECK_INTERVAL_MS, this::closeOverdue);
+    PeriodicTask.schedule(loop, CHECK_INTERVAL_MS, this::closeOverdue);
   }
 
   /**
@@ -45,20 +45,20 @@
    */
   boolean opened(ClientConnection connection) {
     connections.add(connection);
-    budget.client(1);
-    int max = budget.mostClients();
-    if (budget.clients() > max) {
+    budget.addClientConnections(1);
+    int max = budget.maxClientConnections();
+    if (budget.clientConnections() > max) {
       evictOldestIdle();
     }
-    if (budget.clients() > max + max / MAX_EXCESS_DIVISOR) {
+    if (budget.clientConnections() > max + max / MAX_EXCESS_DIVISOR) {
       connection.closeIfIdle();
     }
-    return budget.clients() > max;
+    return budget.clientConnections() > max;
   }
 
   void closed(ClientConnection connection) {
     if (connections.remove(connection)) {
-      budget.client(-1);
+      budget.addClientConnections(-1);
     }
   }
 
@@ -68,7 +68,7 @@
 
   /** Whether a kept connection is likely a place that another client lacks. */
   boolean crowded() {
-    return budget.clients() > CROWDED_SHARE * budget.mostClients();
+    return budget.clientConnections() > CROWDED_SHARE * budget.maxClientConnections();
   }
 
   /** Closes the connection that has been idle longest, if one may be closed for another's sake. */
@@ -88,11 +88,11 @@
 
   private void closeOverdue() {
     double now = context.now();
-    PeriodicTask.each(connections, connection -> connection.closeIfOverdue(now));
+    PeriodicTask.forEachIsolated(connections, connection -> connection.closeIfOverdue(now));
   }
 
   /** Ends each connection; one with part of a request gets an error first. */
   void closeAllForShutdown() {
-    PeriodicTask.each(connections, ClientConnection::closeForShutdown);
+    PeriodicTask.forEachIsolated(connections, ClientConnection::closeForShutdown);
   }
 }
--- a/src/main/java/quotagateway/client/ClientContext.java
+++ b/src/main/java/quotagateway/client/ClientContext.java
@@ -76,7 +76,7 @@
       }
       request = previousReader.read(message, arrivedAtMs);
     }
-    if (driver.holds(request.requestId())) {
+    if (driver.isActive(request.requestId())) {
       throw new InvalidRequestException("Request-Id is in use");
     }
     return request;
@@ -99,7 +99,7 @@
    * Prevents a process that exceeds its memory limit and is killed with all that it has.
    */
   boolean memoryExhausted() {
-    return heldBytes >= limits.bodyBytes() || driver.passing() >= limits.passing();
+    return heldBytes >= limits.bodyBytes() || driver.streamingResponseCount() >= limits.streams();
   }
 
   /** Whether it takes clients' requests; asked by the admin server too, from its own thread. */
--- a/src/main/java/quotagateway/client/ClientServer.java
+++ b/src/main/java/quotagateway/client/ClientServer.java
@@ -65,14 +65,15 @@
     ChannelFuture bound =
         new ServerBootstrap()
             .group(group)
-            .channel(SocketTransport.BEST.serverSocket())
+            .channel(SocketTransport.PREFERRED.serverSocket())
             .option(ChannelOption.SO_BACKLOG, MAX_ACCEPT_BACKLOG)
             .option(ChannelOption.SO_REUSEADDR, true)
-            .option(SocketTransport.BEST.reusePort(), true)
+            .option(SocketTransport.PREFERRED.reusePort(), true)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, SocketTransport.FEW_WAITING)
-            .childOption(ChannelOption.SO_SNDBUF, SocketTransport.FEW_SENT)
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR, SocketTransport.smallReads())
+            .childOption(
+                ChannelOption.WRITE_BUFFER_WATER_MARK, SocketTransport.WRITE_BUFFER_WATER_MARK)
+            .childOption(ChannelOption.SO_SNDBUF, SocketTransport.SEND_BUFFER_BYTES)
+            .childOption(ChannelOption.RECVBUF_ALLOCATOR, SocketTransport.boundedReads())
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
@@ -139,7 +140,7 @@
   /** Accepts the connections that wait to be accepted, and no more. */
   public void stopAccepting() {
     if (listening != null) {
-      SocketTransport.acceptWaiting(listening);
+      SocketTransport.acceptPending(listening);
       listening.close();
     }
   }
--- a/src/main/java/quotagateway/client/Exchange.java
+++ b/src/main/java/quotagateway/client/Exchange.java
@@ -148,7 +148,7 @@
     boolean complete = request.body().whole();
     context
         .driver()
-        .take(
+        .accept(
             complete ? received : received.withoutDeadline(),
             headForBackend(),
             request.body(),
@@ -182,14 +182,14 @@
   /** The last byte of the request has come; the driver learns the deadline if it waits for it. */
   void requestComplete() {
     if (open()) {
-      context.driver().bodyWhole(requestId, request.deadlineAtMs());
+      context.driver().completeBody(requestId, request.deadlineAtMs());
     }
   }
 
   private void failInternally(RuntimeException cause) {
     LOG.log(Level.SEVERE, "request failed", cause);
     if (open()) {
-      context.driver().clientLeft(requestId);
+      context.driver().disconnectClient(requestId);
       end();
       respond(ResponseWriter.empty(HttpResponseStatus.INTERNAL_SERVER_ERROR));
     } else {
@@ -213,7 +213,7 @@
   void connectionClosed() {
     if (open()) {
       end();
-      context.driver().clientLeft(requestId);
+      context.driver().disconnectClient(requestId);
     }
   }
 
@@ -224,10 +224,10 @@
   void abandonRequest() {
     if (state == State.FORWARDED) {
       end();
-      context.driver().clientLeft(requestId);
+      context.driver().disconnectClient(requestId);
     } else if (state == State.STREAMING) {
-      // Ends by the driver's call to ends(false).
-      context.driver().clientLeft(requestId);
+      // Ends by the driver's call of onResponseEnd.
+      context.driver().disconnectClient(requestId);
     }
   }
 
@@ -239,7 +239,7 @@
   }
 
   @Override
-  public boolean left() {
+  public boolean isDisconnected() {
     boolean left = connection.clientLeft();
     if (left) {
       end();
@@ -248,13 +248,13 @@
   }
 
   @Override
-  public void served(FullHttpResponse fromBackend) {
+  public void onResponse(FullHttpResponse fromBackend) {
     end();
     respond(ResponseWriter.forwarded(fromBackend));
   }
 
   @Override
-  public void begins(HttpResponse fromBackend, Attempt from) {
+  public void onResponseStart(HttpResponse fromBackend, Attempt from) {
     state = State.STREAMING;
     source = from;
     HttpVersion clientVersion = request.head().protocolVersion();
@@ -269,12 +269,12 @@
   }
 
   @Override
-  public boolean piece(HttpContent piece) {
+  public boolean onResponseContent(HttpContent piece) {
     return state == State.STREAMING && writer.writePiece(piece);
   }
 
   @Override
-  public void ends(boolean whole) {
+  public void onResponseEnd(boolean whole) {
     if (state == State.STREAMING) {
       end();
       connection.streamEnded(whole, keepAlive);
@@ -282,13 +282,13 @@
   }
 
   @Override
-  public void refused(double retryAfterMs) {
+  public void onRejected(double retryAfterMs) {
     end();
     respond(ResponseWriter.rejection(retryAfterMs));
   }
 
   @Override
-  public void failed() {
+  public void onFailed() {
     end();
     respond(ResponseWriter.empty(HttpResponseStatus.BAD_GATEWAY));
   }
--- a/src/main/java/quotagateway/client/RequestAssembler.java
+++ b/src/main/java/quotagateway/client/RequestAssembler.java
@@ -229,7 +229,7 @@
   private void complete(InboundRequest request) {
     receiving = null;
     receivingSinceMs = Double.NaN;
-    request.setLastByteAtMs(context.now() - SocketTransport.waitedMs(channel));
+    request.setLastByteAtMs(context.now() - SocketTransport.msSinceLastReceive(channel));
     request.body().end();
     listener.requestComplete(request);
     ready(request);
