--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -19,39 +19,22 @@
 
 /**
  * One client's connection: requests one at a time in the order of their coming, each with its one
- * final response; and when the connection is closed. Reading requests, one exchange, writing
- * responses and the closing itself are {@link RequestAssembler}'s, {@link Exchange}'s, {@link
- * ResponseWriter}'s and {@link ConnectionCloser}'s. On the event loop's thread; times are in
- * milliseconds on the gateway's clock.
+ * final response. Reading requests, one exchange, writing responses and closing are {@link
+ * RequestAssembler}'s, {@link Exchange}'s, {@link ResponseWriter}'s and {@link ConnectionCloser}'s.
+ * On the event loop's thread; times are in milliseconds on the gateway's clock.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
-    implements RequestAssembler.Listener {
+    implements RequestAssembler.Listener, ConnectionCloser.Requests, ConnectionTimeouts.Activity {
 
   private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
 
-  /**
-   * Between requests a connection may be closed after this if another needs its place: clients
-   * accept that after 2 s.
-   */
-  private static final double MIN_IDLE_BEFORE_EVICTION_MS = 2_050;
-
-  /**
-   * One with no complete request in so long is evicted sooner: clients connect in order to ask, and
-   * ask at once.
-   */
-  private static final double MIN_SILENCE_BEFORE_EVICTION_MS = 300;
-
-  /**
-   * Between requests a connection is closed after this in any case: some clients never come back.
-   */
-  private static final double MAX_IDLE_MS = 10_000;
-
   private final Channel channel;
   private final ClientContext context;
   private final ClientConnections connections;
   private final RequestAssembler assembler;
   private final ResponseWriter writer;
   private final ConnectionCloser closer;
+  private final ConnectionTimeouts timeouts;
 
   /** Requests that wait for their turn. */
   private final ArrayDeque<InboundRequest> queue = new ArrayDeque<>(1);
@@ -65,31 +48,33 @@
   /** The connection exceeds the budget: its first request is rejected, and it ends. */
   private boolean overBudget;
 
-  /** When it was opened or last answered. */
-  private double idleSinceMs;
-
   ClientConnection(Channel channel, ClientContext context, ClientConnections connections) {
     this.channel = channel;
     this.context = context;
     this.connections = connections;
     assembler = new RequestAssembler(channel, context, this);
     writer = new ResponseWriter(channel, context);
-    closer = new ConnectionCloser(channel, context, assembler, writer, this::discardRequests);
+    closer = new ConnectionCloser(channel, context, assembler, writer, this);
+    timeouts = new ConnectionTimeouts(context, assembler, writer, closer, this);
   }
 
   RequestAssembler assembler() {
     return assembler;
   }
 
-  double idleSinceMs() {
-    return idleSinceMs;
+  ConnectionCloser closer() {
+    return closer;
+  }
+
+  ConnectionTimeouts timeouts() {
+    return timeouts;
   }
 
   // ---- Events of the channel ----
 
   @Override
   public void handlerAdded(ChannelHandlerContext ctx) {
-    idleSinceMs = context.now();
+    timeouts.restartIdleTime();
     overBudget = connections.opened(this);
   }
 
@@ -137,10 +122,16 @@
 
   // ---- Requests in their order ----
 
-  private boolean exchangeOpen() {
+  @Override
+  public boolean exchangeOpen() {
     return exchange != null && exchange.open();
   }
 
+  @Override
+  public boolean exchangeStarted() {
+    return exchange != null;
+  }
+
   @Override
   public boolean idle() {
     return !exchangeOpen() && queue.isEmpty();
@@ -179,12 +170,12 @@
     if (receiving != null && receiving.accepted() && exchangeOpen()) {
       exchange.abandonRequest();
     }
-    closeWithError(status, reason);
+    closer.closeWithError(status, reason);
   }
 
   @Override
   public void unreadable(HttpResponseStatus status, String reason) {
-    closeWithError(status, reason);
+    closer.closeWithError(status, reason);
   }
 
   /**
@@ -225,7 +216,8 @@
     }
   }
 
-  private void discardRequests() {
+  @Override
+  public void discardRequests() {
     queue.forEach(request -> request.body().release());
     queue.clear();
     assembler.discard();
@@ -235,7 +227,7 @@
 
   /** Writes an exchange's response; the next request follows, or the connection ends. */
   void respond(Exchange answered, FullHttpResponse response) {
-    idleSinceMs = context.now();
+    timeouts.restartIdleTime();
     boolean kept = keptAfter(answered);
     ChannelFuture written =
         writer.write(response, kept, answered.request().head().protocolVersion());
@@ -252,7 +244,7 @@
    */
   void streamEnded(boolean complete, boolean kept) {
     writer.clearStall();
-    idleSinceMs = context.now();
+    timeouts.restartIdleTime();
     if (!complete) {
       closer.reset();
     } else if (kept) {
@@ -285,16 +277,6 @@
     return closer.closing();
   }
 
-  /** Answers what cannot be read any further, and closes the connection behind that. */
-  void closeWithError(HttpResponseStatus status, String reason) {
-    closer.closeWithError(status, reason);
-  }
-
-  /** Closes the connection without a response. */
-  void closeAtOnce() {
-    channel.close();
-  }
-
   /**
    * Whether the client has closed the connection, though that was not read yet; then it is closed
    * here as well. Prevents attempts for clients that are gone: a loop that was held up, or that has
@@ -307,73 +289,4 @@
     }
     return !channel.isActive();
   }
-
-  /** From when the time for the request that is being received counts. */
-  private double requestStartedAtMs() {
-    return exchange == null ? idleSinceMs : assembler.receivingSinceMs();
-  }
-
-  /**
-   * Whether no request is on it, and has not been for long enough to close it for another's sake.
-   */
-  boolean evictable(double nowMs) {
-    if (exchangeOpen() || closing()) {
-      return false;
-    }
-    if (exchange != null && !assembler.receivesRequest()) {
-      return nowMs - idleSinceMs > MIN_IDLE_BEFORE_EVICTION_MS;
-    }
-    return nowMs - requestStartedAtMs() > MIN_SILENCE_BEFORE_EVICTION_MS;
-  }
-
-  /**
-   * Closes the connection if a time limit is over. Prevents places held for good by clients that
-   * never finish a request, send nothing, never come back, or read no response; and while draining
-   * ends what no request is on. One that has just connected may still ask.
-   */
-  void closeIfOverdue(double nowMs) {
-    if (closing()) {
-      return;
-    }
-    InboundRequest receiving = assembler.receiving();
-    if (writer.stalledTooLong(nowMs)) {
-      channel.close();
-    } else if (receiving != null && (!exchangeOpen() || receiving.accepted())) {
-      assembler.checkBodyProgress(nowMs, requestStartedAtMs());
-    } else if (!exchangeOpen() && assembler.receivesRequest()) {
-      if (nowMs - requestStartedAtMs() > RequestLimits.MAX_HEAD_MS) {
-        closeWithError(HttpResponseStatus.REQUEST_TIMEOUT, "request is not whole in time");
-      }
-    } else if (idleTooLong(nowMs)) {
-      closeIfIdle();
-    }
-  }
-
-  private boolean idleTooLong(double nowMs) {
-    if (exchange == null) {
-      return nowMs - idleSinceMs > RequestLimits.MAX_HEAD_MS;
-    }
-    return context.drainNoticed() || nowMs - idleSinceMs > MAX_IDLE_MS;
-  }
-
-  /**
-   * Closes the connection if no request is on it; a response while draining closes it by itself.
-   */
-  void closeIfIdle() {
-    if (idle() && !closing()) {
-      closer.close();
-    }
-  }
-
-  /**
-   * The process ends. Prevents a request that is read after the shutdown and never answered: what
-   * is half received is rejected, as nobody will read the rest of it.
-   */
-  void closeForShutdown() {
-    if (idle() && assembler.receivesRequest()) {
-      closeWithError(HttpResponseStatus.SERVICE_UNAVAILABLE, "this front door ends");
-    } else {
-      closeIfIdle();
-    }
-  }
 }
--- a/src/main/java/quotagateway/client/ClientConnections.java
+++ b/src/main/java/quotagateway/client/ClientConnections.java
@@ -51,7 +51,7 @@
       evictOldestIdle();
     }
     if (budget.clientConnections() > max + max / MAX_EXCESS_DIVISOR) {
-      connection.closeIfIdle();
+      connection.closer().closeIfIdle();
     }
     return budget.clientConnections() > max;
   }
@@ -76,23 +76,25 @@
     double now = context.now();
     ClientConnection oldest = null;
     for (ClientConnection candidate : connections) {
-      if (candidate.evictable(now)
-          && (oldest == null || candidate.idleSinceMs() < oldest.idleSinceMs())) {
+      if (candidate.timeouts().evictable(now)
+          && (oldest == null
+              || candidate.timeouts().idleSinceMs() < oldest.timeouts().idleSinceMs())) {
         oldest = candidate;
       }
     }
     if (oldest != null) {
-      oldest.closeIfIdle();
+      oldest.closer().closeIfIdle();
     }
   }
 
   private void closeOverdue() {
     double now = context.now();
-    PeriodicTask.forEachIsolated(connections, connection -> connection.closeIfOverdue(now));
+    PeriodicTask.forEachIsolated(
+        connections, connection -> connection.timeouts().closeIfOverdue(now));
   }
 
   /** Ends each connection; one with part of a request gets an error first. */
   void closeAllForShutdown() {
-    PeriodicTask.forEachIsolated(connections, ClientConnection::closeForShutdown);
+    PeriodicTask.forEachIsolated(connections, connection -> connection.closer().closeForShutdown());
   }
 }
--- a/src/main/java/quotagateway/client/ConnectionCloser.java
+++ b/src/main/java/quotagateway/client/ConnectionCloser.java
@@ -24,27 +24,34 @@
   /** The longest time that a body which is not wanted is read for. */
   private static final double MAX_LINGER_MS = 10_000;
 
+  /** The requests of the connection, as far as its closing depends on them. */
+  interface Requests {
+
+    /** Whether no request is open or waits for its turn. */
+    boolean idle();
+
+    /** Drops what waits for its turn, or is being received. */
+    void discardRequests();
+  }
+
   private final Channel channel;
   private final ClientContext context;
   private final RequestAssembler assembler;
   private final ResponseWriter writer;
-  private final Runnable discardRequests;
+  private final Requests requests;
   private boolean closing;
 
-  /**
-   * @param discardRequests drops what waits for its turn, or is being received
-   */
   ConnectionCloser(
       Channel channel,
       ClientContext context,
       RequestAssembler assembler,
       ResponseWriter writer,
-      Runnable discardRequests) {
+      Requests requests) {
     this.channel = channel;
     this.context = context;
     this.assembler = assembler;
     this.writer = writer;
-    this.discardRequests = discardRequests;
+    this.requests = requests;
   }
 
   /** Whether closing has begun. */
@@ -52,16 +59,39 @@
     return closing;
   }
 
-  /** Closes a connection on which no request is. */
-  void close() {
-    closing = true;
+  /**
+   * Closes the connection without regard to what is on it; the channel's end then does the rest.
+   */
+  void closeAtOnce() {
     channel.close();
   }
 
+  /**
+   * Closes the connection if no request is on it; a response while draining closes it by itself.
+   */
+  void closeIfIdle() {
+    if (requests.idle() && !closing) {
+      closing = true;
+      channel.close();
+    }
+  }
+
+  /**
+   * The process ends. Prevents a request that is read after the shutdown and never answered: what
+   * is half received is rejected, as nobody will read the rest of it.
+   */
+  void closeForShutdown() {
+    if (requests.idle() && assembler.receivesRequest()) {
+      closeWithError(HttpResponseStatus.SERVICE_UNAVAILABLE, "this front door ends");
+    } else {
+      closeIfIdle();
+    }
+  }
+
   /** The channel has become inactive, for whatever reason. */
   void closed() {
     closing = true;
-    discardRequests.run();
+    requests.discardRequests();
   }
 
   /**
@@ -72,7 +102,7 @@
    */
   void closeAfter(ChannelFuture written, boolean bodyStillComes) {
     closing = true;
-    discardRequests.run();
+    requests.discardRequests();
     if (bodyStillComes) {
       linger(written);
     } else {
@@ -86,7 +116,7 @@
       return;
     }
     closing = true;
-    discardRequests.run();
+    requests.discardRequests();
     linger(writer.writeFinalError(status, reason));
   }
 
@@ -96,7 +126,7 @@
    */
   void reset() {
     closing = true;
-    discardRequests.run();
+    requests.discardRequests();
     SocketTransport.reset(channel);
   }
 
--- a/src/main/java/quotagateway/client/Exchange.java
+++ b/src/main/java/quotagateway/client/Exchange.java
@@ -105,9 +105,11 @@
   void start(boolean overBudget) {
     try {
       if (request.malformed()) {
-        connection.closeWithError(HttpResponseStatus.BAD_REQUEST, "malformed request");
+        connection.closer().closeWithError(HttpResponseStatus.BAD_REQUEST, "malformed request");
       } else if (request.tooLarge()) {
-        connection.closeWithError(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body is too large");
+        connection
+            .closer()
+            .closeWithError(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body is too large");
       } else if (request.head().uri().equals(READINESS_PATH)) {
         respond(ResponseWriter.empty(readiness()));
       } else if (overBudget || context.isShutDown() || context.memoryExhausted()) {
@@ -193,7 +195,7 @@
       end();
       respond(ResponseWriter.empty(HttpResponseStatus.INTERNAL_SERVER_ERROR));
     } else {
-      connection.closeAtOnce();
+      connection.closer().closeAtOnce();
     }
   }
 
