--- a/src/test/java/quotagateway/scale/ConverterModel.java
+++ b/src/test/java/quotagateway/scale/BackendModel.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 import quotagateway.policy.event.Status;
 
-/** A stand-in for one converter: one core, a queue of bounded length, exponential service times. */
-final class ConverterModel {
+/** A stand-in for one backend: one core, a queue of bounded length, exponential service times. */
+final class BackendModel {
 
   /** DIED: its process is gone and connections are refused. VANISHED: nothing is said any more. */
   enum Health {
@@ -33,7 +33,7 @@
   private double diesAtMs = Double.POSITIVE_INFINITY;
 
   /** One that started at that time, 0 for long ago. */
-  ConverterModel(double serviceMs, double startedMs, SplittableRandom random) {
+  BackendModel(double serviceMs, double startedMs, SplittableRandom random) {
     this.serviceMs = serviceMs;
     this.startedMs = startedMs;
     this.random = random;
@@ -75,7 +75,7 @@
   }
 
   /**
-   * What an ending comes to when its moment has come: nothing answers out of a converter that went.
+   * What an ending comes to when its moment has come: nothing answers out of a backend that went.
    */
   Ending revised(Ending planned, double begunMs) {
     boolean diedMeanwhile = diesAtMs >= begunMs && diesAtMs < begunMs + planned.afterMs();
--- a/src/test/java/quotagateway/scale/BackendSweep.java
+++ b/src/test/java/quotagateway/scale/BackendSweep.java
@@ -23,7 +23,7 @@
  */
 final class BackendSweep implements Sweep {
 
-  /** Front doors of the target, by which the module sizes its subset. */
+  /** Gateways of the target, by which the module sizes its subset. */
   private static final int GATEWAYS = 2_000;
 
   private static final int MOST_CHANGES = 300;
@@ -65,7 +65,7 @@
 
   private void measure(Measurement.Subject subject, int size, Plan plan, Report report)
       throws IOException {
-    RosterModel model = new RosterModel(size, 7070, plan.seed());
+    EndpointListModel model = new EndpointListModel(size, 7070, plan.seed());
     GatewayPolicy[] copies =
         new GatewayPolicy[Math.max(1, (plan.quick() ? LEAST_HELD / 10 : LEAST_HELD) / size)];
     double[] firstMs = new double[copies.length];
@@ -88,15 +88,15 @@
   }
 
   /** Reads the list in messages and hands it on; gives the processor time of both. */
-  private static double fill(GatewayPolicy policy, RosterModel model) throws IOException {
+  private static double fill(GatewayPolicy policy, EndpointListModel model) throws IOException {
     double spent = 0;
-    List<RosterModel.Change> all =
-        model.converters().stream()
-            .map(c -> new RosterModel.Change(c, EndpointState.SERVING))
+    List<EndpointListModel.Change> all =
+        model.backends().stream()
+            .map(c -> new EndpointListModel.Change(c, EndpointState.SERVING))
             .toList();
     List<Endpoint> entries = new ArrayList<>();
     for (int from = 0; from < all.size(); from += MESSAGE) {
-      List<RosterModel.Change> part = all.subList(from, Math.min(all.size(), from + MESSAGE));
+      List<EndpointListModel.Change> part = all.subList(from, Math.min(all.size(), from + MESSAGE));
       byte[] message = model.changeMessage(part).getBytes(StandardCharsets.UTF_8);
       double cpu = Stopwatch.cpuMs();
       entries.addAll(WireFormats.roster(message).endpoints());
@@ -107,23 +107,23 @@
     return spent + Stopwatch.cpuMs() - cpu;
   }
 
-  private double[] changes(GatewayPolicy policy, RosterModel model, int most, double seconds)
+  private double[] changes(GatewayPolicy policy, EndpointListModel model, int most, double seconds)
       throws IOException {
     List<EndpointsUpdated> news = new ArrayList<>();
     for (int i = 0; i < most / 3; i++) {
-      for (RosterModel.Change change : model.replaceOne(1 + i)) {
-        news.add(roster(model, List.of(change)));
+      for (EndpointListModel.Change change : model.replaceOne(1 + i)) {
+        news.add(endpointList(model, List.of(change)));
       }
     }
     int[] next = new int[1];
     return Stopwatch.repeat(news.size(), seconds, () -> policy.on(2, news.get(next[0]++)));
   }
 
-  private static EndpointsUpdated roster(RosterModel model, List<RosterModel.Change> changes)
-      throws IOException {
+  private static EndpointsUpdated endpointList(
+      EndpointListModel model, List<EndpointListModel.Change> changes) throws IOException {
     List<Endpoint> entries = new ArrayList<>();
     for (int from = 0; from < changes.size(); from += MESSAGE) {
-      List<RosterModel.Change> part =
+      List<EndpointListModel.Change> part =
           changes.subList(from, Math.min(changes.size(), from + MESSAGE));
       String message = model.changeMessage(part);
       entries.addAll(WireFormats.roster(message.getBytes(StandardCharsets.UTF_8)).endpoints());
@@ -135,14 +135,14 @@
    * Zones go one after the other, each coming back before the next; the longest turn of the loop
    * each.
    */
-  private static double[] zones(GatewayPolicy policy, RosterModel model, double seconds)
+  private static double[] zones(GatewayPolicy policy, EndpointListModel model, double seconds)
       throws IOException {
     double until = Stopwatch.wallMs() + 1000 * seconds;
     double[] times = new double[MOST_ZONES];
     int done = 0;
     do {
-      EndpointsUpdated gone = roster(model, model.zone(done, EndpointState.REMOVED));
-      EndpointsUpdated back = roster(model, model.zone(done, EndpointState.SERVING));
+      EndpointsUpdated gone = endpointList(model, model.zone(done, EndpointState.REMOVED));
+      EndpointsUpdated back = endpointList(model, model.zone(done, EndpointState.SERVING));
       times[done++] = longestTurn(policy, gone);
       longestTurn(policy, back);
     } while (done < MOST_ZONES && Stopwatch.wallMs() < until);
--- a/src/test/java/quotagateway/scale/ChangeSweep.java
+++ b/src/test/java/quotagateway/scale/ChangeSweep.java
@@ -33,7 +33,7 @@
     report.budget("batched_core_share", 0.024);
     report.budget("each_alone_bytes_per_s", 19_000);
     int size = plan.quick() ? QUICK_BACKENDS : BACKENDS;
-    RosterModel model = new RosterModel(size, 7070, plan.seed());
+    EndpointListModel model = new EndpointListModel(size, 7070, plan.seed());
     GatewayPolicy policy = new GatewayPolicy(ScaleSettings.of(2_000, 0), plan.seed());
     policy.start(0);
     policy.on(1, new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, model.entries()));
@@ -66,8 +66,8 @@
     report.print(name());
   }
 
-  private static List<byte[]> messages(RosterModel model, int number, int changesEach) {
-    List<RosterModel.Change> changes = new ArrayList<>();
+  private static List<byte[]> messages(EndpointListModel model, int number, int changesEach) {
+    List<EndpointListModel.Change> changes = new ArrayList<>();
     while (changes.size() < number * changesEach) {
       changes.addAll(model.replaceOne(1 + changes.size()));
     }
--- a/src/test/java/quotagateway/scale/CounterCall.java
+++ b/src/test/java/quotagateway/scale/CounterCall.java
@@ -5,21 +5,21 @@
 import quotagateway.policy.event.Status;
 
 /**
- * One call of a hollow front door, to its shard and back; it ends once, at its limit at the latest.
+ * One call of a hollow gateway, to its shard and back; it ends once, at its limit at the latest.
  */
 final class CounterCall implements CounterShard.Answer {
 
   private static final double ONE_WAY_MS = 0.25;
 
   private final HollowFleet fleet;
-  private final HollowDoor door;
+  private final HollowGateway gateway;
   private final IncrementCounter add;
   private final double begunMs;
   private boolean done;
 
-  CounterCall(HollowFleet fleet, HollowDoor door, IncrementCounter add) {
+  CounterCall(HollowFleet fleet, HollowGateway gateway, IncrementCounter add) {
     this.fleet = fleet;
-    this.door = door;
+    this.gateway = gateway;
     this.add = add;
     begunMs = fleet.now();
   }
@@ -30,7 +30,7 @@
     figures.counterBytes += line.length();
     String call = line.stripTrailing();
     fleet.time().at(begunMs + ScaleSettings.COUNT_LIMIT_MS, () -> end(Status.TIMED_OUT, 0));
-    if (fleet.reachesShard(door, add.counterName())) {
+    if (fleet.reachesShard(gateway, add.counterName())) {
       fleet.time().after(ONE_WAY_MS, () -> fleet.shard(add.counterName()).call(call, this));
     }
   }
@@ -65,7 +65,7 @@
   private void end(Status status, double total) {
     if (!done) {
       done = true;
-      door.counted(new CounterReplied(add.counterName(), status, total, fleet.now() - begunMs));
+      gateway.counted(new CounterReplied(add.counterName(), status, total, fleet.now() - begunMs));
     }
   }
 }
--- a/src/test/java/quotagateway/scale/CounterShard.java
+++ b/src/test/java/quotagateway/scale/CounterShard.java
@@ -128,7 +128,7 @@
   }
 
   private String add(String line) {
-    String[] words = line.split(" ");
+    String[] words = line.split(" ", -1);
     if (words.length != 4 || !words[0].equals("incr") || words[1].length() > MOST_NAME_BYTES) {
       return "error";
     }
--- a/src/test/java/quotagateway/scale/CounterShards.java
+++ b/src/test/java/quotagateway/scale/CounterShards.java
@@ -23,7 +23,7 @@
    */
   static int spread(int customer, int among) {
     int hash = customer * 0x9E3779B1;
-    return (int) ((hash & 0xFFFFFFFFL) * among >>> 32);
+    return (int) (((hash & 0xFFFFFFFFL) * among) >>> 32);
   }
 
   CounterShard get(int shard) {
--- a/src/test/java/quotagateway/scale/DiscoveryAgent.java
+++ b/src/test/java/quotagateway/scale/DiscoveryAgent.java
@@ -137,7 +137,7 @@
       }
       watches.add(watch);
     } catch (IOException e) {
-      // The front door has ended the watch.
+      // The gateway has ended the watch.
     }
   }
 
--- a/src/test/java/quotagateway/scale/DiscoveryModel.java
+++ b/src/test/java/quotagateway/scale/DiscoveryModel.java
@@ -6,9 +6,9 @@
 import java.util.SplittableRandom;
 
 /**
- * A stand-in for discovery with an agent beside each front door, on virtual time: changes reach
- * each agent after a delay of its own. It may fall silent, tell late, or tell only a part of a
- * change until the next.
+ * A stand-in for discovery with an agent beside each gateway, on virtual time: changes reach each
+ * agent after a delay of its own. It may fall silent, tell late, or tell only a part of a change
+ * until the next.
  */
 final class DiscoveryModel {
 
@@ -28,25 +28,25 @@
   private static final int MOST_MISSED = 1_000;
 
   private final HollowFleet fleet;
-  private final RosterModel roster;
+  private final EndpointListModel endpointList;
   private final SplittableRandom random;
-  private final List<RosterModel.Change> missed = new ArrayList<>();
+  private final List<EndpointListModel.Change> missed = new ArrayList<>();
   private Health health = Health.UP;
 
-  DiscoveryModel(HollowFleet fleet, RosterModel roster, SplittableRandom random) {
+  DiscoveryModel(HollowFleet fleet, EndpointListModel endpointList, SplittableRandom random) {
     this.fleet = fleet;
-    this.roster = roster;
+    this.endpointList = endpointList;
     this.random = random;
   }
 
-  /** Tells all front doors, as its health allows. */
-  void tell(List<RosterModel.Change> changes) {
+  /** Tells all gateways, as its health allows. */
+  void tell(List<EndpointListModel.Change> changes) {
     missed.addAll(changes);
     if (health == Health.SILENT) {
       return;
     }
     int told = health == Health.PARTIAL ? (missed.size() + 1) / 2 : missed.size();
-    publish(roster.changeMessage(List.copyOf(missed.subList(0, told))));
+    publish(endpointList.changeMessage(List.copyOf(missed.subList(0, told))));
     missed.subList(0, told).clear();
   }
 
@@ -55,7 +55,7 @@
     health = next;
     if (returns && missed.size() > MOST_MISSED) {
       missed.clear();
-      publish(roster.wholeMessage());
+      publish(endpointList.wholeMessage());
     } else if (returns && !missed.isEmpty()) {
       tell(List.of());
     }
@@ -64,7 +64,7 @@
   private void publish(String message) {
     byte[] bytes = message.getBytes(StandardCharsets.UTF_8);
     double more = health == Health.LATE ? LATE_MS : 0;
-    for (HollowDoor door : fleet.doors()) {
+    for (HollowGateway gateway : fleet.gateways()) {
       double delay = more + LEAST_DELAY_MS + (MOST_DELAY_MS - LEAST_DELAY_MS) * random.nextDouble();
       fleet
           .time()
@@ -72,9 +72,9 @@
               delay,
               () -> {
                 FleetFigures figures = fleet.figures(0);
-                figures.rosterMessages++;
-                figures.rosterBytes += bytes.length;
-                door.roster(bytes);
+                figures.endpointListMessages++;
+                figures.endpointListBytes += bytes.length;
+                gateway.endpointList(bytes);
               });
     }
   }
--- a/src/test/java/quotagateway/scale/RosterModel.java
+++ b/src/test/java/quotagateway/scale/EndpointListModel.java
@@ -10,23 +10,23 @@
 import quotagateway.endpoint.EndpointState;
 import quotagateway.testing.WireFormats;
 
-/** The list of converters as discovery holds it, and the ways in which it changes. */
-final class RosterModel {
+/** The list of backends as discovery holds it, and the ways in which it changes. */
+final class EndpointListModel {
 
-  /** Zones of the target; converters are spread over them evenly. */
+  /** Zones of the target; backends are spread over them evenly. */
   static final int ZONES = 19;
 
-  /** Converters of one cell, all in one zone: a handful. */
+  /** Backends of one cell, all in one zone: a handful. */
   private static final int CELL_SIZE = 4;
 
   private final SplittableRandom random;
-  private final List<Converter> converters = new ArrayList<>();
+  private final List<Backend> backends = new ArrayList<>();
   private final int port;
   private long version = 1;
   private int named;
 
-  /** One converter of the list; a restarted or replaced one is another record. */
-  record Converter(String name, int number, int zone, long startedMs, long id, long place) {
+  /** One backend of the list; a restarted or replaced one is another record. */
+  record Backend(String name, int number, int zone, long startedMs, long id, long place) {
     String zoneName() {
       return "z" + zone;
     }
@@ -36,29 +36,29 @@
     }
   }
 
-  /** A list of that size; all converters listen at the port, each on an address of its own. */
-  RosterModel(int size, int port, long seed) {
+  /** A list of that size; all backends listen at the port, each on an address of its own. */
+  EndpointListModel(int size, int port, long seed) {
     this.random = new SplittableRandom(seed);
     this.port = port;
     for (int i = 0; i < size; i++) {
       int number = named++;
-      converters.add(next(number, number % ZONES, 0));
+      backends.add(next(number, number % ZONES, 0));
     }
   }
 
-  private Converter next(int number, int zone, long startedMs) {
-    Converter unnumbered =
-        new Converter(String.format("s-%08x", number * 0x9E3779B1), number, zone, startedMs, 0, 0);
+  private Backend next(int number, int zone, long startedMs) {
+    Backend unnumbered =
+        new Backend(String.format("s-%08x", number * 0x9E3779B1), number, zone, startedMs, 0, 0);
     Endpoint read = read(unnumbered);
-    return new Converter(unnumbered.name, number, zone, startedMs, read.id(), read.address());
+    return new Backend(unnumbered.name, number, zone, startedMs, read.id(), read.address());
   }
 
   /**
    * With the numbers that the program makes of the name and of the address, told by the program
    * itself.
    */
-  private Endpoint read(Converter converter) {
-    String text = message(false, List.of(new Change(converter, EndpointState.SERVING)));
+  private Endpoint read(Backend backend) {
+    String text = message(false, List.of(new Change(backend, EndpointState.SERVING)));
     try {
       return WireFormats.roster(text.getBytes(StandardCharsets.UTF_8)).endpoints().get(0);
     } catch (IOException e) {
@@ -66,12 +66,12 @@
     }
   }
 
-  List<Converter> converters() {
-    return List.copyOf(converters);
+  List<Backend> backends() {
+    return List.copyOf(backends);
   }
 
   int size() {
-    return converters.size();
+    return backends.size();
   }
 
   long version() {
@@ -79,14 +79,14 @@
   }
 
   /** One change of an entry, in the order in which discovery tells them. */
-  record Change(Converter converter, EndpointState phase) {}
+  record Change(Backend backend, EndpointState phase) {}
 
-  /** One converter drains, leaves, and another takes its place in its zone: three changes. */
+  /** One backend drains, leaves, and another takes its place in its zone: three changes. */
   List<Change> replaceOne(long nowMs) {
-    int place = random.nextInt(converters.size());
-    Converter old = converters.get(place);
-    Converter replacement = next(named++, old.zone(), nowMs);
-    converters.set(place, replacement);
+    int place = random.nextInt(backends.size());
+    Backend old = backends.get(place);
+    Backend replacement = next(named++, old.zone(), nowMs);
+    backends.set(place, replacement);
     return List.of(
         new Change(old, EndpointState.DRAINING),
         new Change(old, EndpointState.REMOVED),
@@ -95,26 +95,22 @@
 
   /** All entries of a zone, as they are when it goes or returns; the list itself keeps them. */
   List<Change> zone(int zone, EndpointState phase) {
-    return converters.stream()
-        .filter(c -> c.zone() == zone)
-        .map(c -> new Change(c, phase))
-        .toList();
+    return backends.stream().filter(c -> c.zone() == zone).map(c -> new Change(c, phase)).toList();
   }
 
   static Endpoint entry(Change change) {
-    Converter c = change.converter();
+    Backend c = change.backend();
     return new Endpoint(
         c.id(), c.zoneName(), c.cell(), change.phase(), 1, c.startedMs(), c.place());
   }
 
   List<Endpoint> entries() {
-    return converters.stream().map(c -> entry(new Change(c, EndpointState.SERVING))).toList();
+    return backends.stream().map(c -> entry(new Change(c, EndpointState.SERVING))).toList();
   }
 
   /** The whole list as one message. */
   String wholeMessage() {
-    return message(
-        true, converters.stream().map(c -> new Change(c, EndpointState.SERVING)).toList());
+    return message(true, backends.stream().map(c -> new Change(c, EndpointState.SERVING)).toList());
   }
 
   /** Changes as the next message. */
@@ -140,7 +136,7 @@
   }
 
   private void append(StringBuilder text, Change change) {
-    Converter c = change.converter();
+    Backend c = change.backend();
     String state =
         switch (change.phase()) {
           case SERVING -> "active";
--- a/src/test/java/quotagateway/scale/FleetFigures.java
+++ b/src/test/java/quotagateway/scale/FleetFigures.java
@@ -33,8 +33,8 @@
   long newConnections;
   long counterCalls;
   long counterBytes;
-  long rosterMessages;
-  long rosterBytes;
+  long endpointListMessages;
+  long endpointListBytes;
 
   /** From a request's coming to its first send. */
   final Histogram addedMicros = new Histogram(LONGEST_MICROS, 3);
--- a/src/test/java/quotagateway/scale/FleetOptions.java
+++ b/src/test/java/quotagateway/scale/FleetOptions.java
@@ -1,23 +1,23 @@
 package quotagateway.scale;
 
 /**
- * A fleet of hollow front doors and its load.
+ * A fleet of hollow gateways and its load.
  *
- * @param doors front doors
+ * @param gateways gateways
  * @param spread through how many of them a customer's requests come
  * @param customers customers, of which some ask far more than their quota
- * @param converters converters, all in one list
+ * @param backends backends, all in one list
  * @param shards shards of the counter
  * @param shardCallMs time of one call at a shard
- * @param regions regions of front doors, converters and shards
+ * @param regions regions of gateways, backends and shards
  * @param requestsPerSecond of all customers together
  * @param seed of all random numbers
  */
 record FleetOptions(
-    int doors,
+    int gateways,
     int spread,
     int customers,
-    int converters,
+    int backends,
     int shards,
     double shardCallMs,
     int regions,
@@ -27,18 +27,18 @@
   /** Requests a second of one customer on the mean, near the target's 1.5 million for 990,000. */
   private static final double REQUESTS_EACH = 0.8;
 
-  /** A converter's share of work: well under what it takes. */
-  private static final double REQUESTS_PER_CONVERTER = 15;
+  /** A backend's share of work: well under what it takes. */
+  private static final double REQUESTS_PER_BACKEND = 15;
 
   private static final double SHARD_CALL_MS = 0.05;
 
   /** A fleet for that load, with the counter whole and quick. */
-  static FleetOptions of(int doors, int spread, double requestsPerSecond, long seed) {
+  static FleetOptions of(int gateways, int spread, double requestsPerSecond, long seed) {
     return new FleetOptions(
-        doors,
-        Math.min(spread, doors),
+        gateways,
+        Math.min(spread, gateways),
         (int) (requestsPerSecond / REQUESTS_EACH),
-        (int) Math.ceil(requestsPerSecond / REQUESTS_PER_CONVERTER),
+        (int) Math.ceil(requestsPerSecond / REQUESTS_PER_BACKEND),
         1,
         SHARD_CALL_MS,
         1,
@@ -48,11 +48,19 @@
 
   FleetOptions withShards(int number, double callMs) {
     return new FleetOptions(
-        doors, spread, customers, converters, number, callMs, regions, requestsPerSecond, seed);
+        gateways, spread, customers, backends, number, callMs, regions, requestsPerSecond, seed);
   }
 
   FleetOptions withRegions(int number) {
     return new FleetOptions(
-        doors, spread, customers, converters, shards, shardCallMs, number, requestsPerSecond, seed);
+        gateways,
+        spread,
+        customers,
+        backends,
+        shards,
+        shardCallMs,
+        number,
+        requestsPerSecond,
+        seed);
   }
 }
--- a/src/test/java/quotagateway/scale/FleetReport.java
+++ b/src/test/java/quotagateway/scale/FleetReport.java
@@ -26,14 +26,14 @@
   }
 
   /** What each role carries, a second. */
-  void roles(double size, HollowFleet.Span span, int doors) {
+  void roles(double size, HollowFleet.Span span, int gateways) {
     FleetFigures f = span.others();
     one(size, "counter_calls_per_s", f.counterCalls / span.seconds());
     one(size, "counter_bytes_per_s", f.counterBytes / span.seconds());
-    one(size, "door_counter_bytes_per_s", f.counterBytes / span.seconds() / doors);
-    one(size, "door_roster_bytes_per_s", f.rosterBytes / span.seconds() / doors);
-    one(size, "discovery_messages_per_s", f.rosterMessages / span.seconds());
-    one(size, "discovery_bytes_per_s", f.rosterBytes / span.seconds());
+    one(size, "gateway_counter_bytes_per_s", f.counterBytes / span.seconds() / gateways);
+    one(size, "gateway_list_bytes_per_s", f.endpointListBytes / span.seconds() / gateways);
+    one(size, "discovery_messages_per_s", f.endpointListMessages / span.seconds());
+    one(size, "discovery_bytes_per_s", f.endpointListBytes / span.seconds());
     one(size, "attempts_each", f.attempts / (double) Math.max(1, f.asked));
     one(size, "new_connection_share", f.newConnectionShare());
     one(size, "added_ms_p50", f.addedMs(50));
--- a/src/test/java/quotagateway/scale/DoorSweep.java
+++ b/src/test/java/quotagateway/scale/FleetSizeSweep.java
@@ -1,10 +1,10 @@
 package quotagateway.scale;
 
 /**
- * Front doors at the same total load: what each role carries, and whether the decisions get worse.
- * Customers come through a set of the front doors, or through all of them.
+ * Gateways at the same total load: what each role carries, and whether the decisions get worse.
+ * Customers come through a set of the gateways, or through all of them.
  */
-final class DoorSweep implements Sweep {
+final class FleetSizeSweep implements Sweep {
 
   private static final double REQUESTS_PER_SECOND = 3_000;
   private static final double QUICK_REQUESTS_PER_SECOND = 300;
@@ -13,32 +13,32 @@
   private static final double REPLACEMENT_MS = 1_150;
   private final boolean throughAll;
 
-  /** Through all front doors, or through a set of three. */
-  DoorSweep(boolean throughAll) {
+  /** Through all gateways, or through a set of three. */
+  FleetSizeSweep(boolean throughAll) {
     this.throughAll = throughAll;
   }
 
   @Override
   public String name() {
-    return throughAll ? "doors-all" : "doors-set";
+    return throughAll ? "gateways-all" : "gateways-set";
   }
 
   @Override
   public void run(Plan plan, Report report) {
-    report.budget("door_counter_bytes_per_s", 19_000);
+    report.budget("gateway_counter_bytes_per_s", 19_000);
     report.budget("added_ms_p99", 2.5);
     double load = plan.quick() ? QUICK_REQUESTS_PER_SECOND : REQUESTS_PER_SECOND;
-    for (int doors : plan.sizes(new int[] {5, 10}, new int[] {10, 30, 100, 300, 1_000, 2_000})) {
-      int spread = throughAll ? doors : 3;
-      FleetReport figures = new FleetReport(plan.subject(this, "front doors"), report);
+    for (int gateways : plan.sizes(new int[] {5, 10}, new int[] {10, 30, 100, 300, 1_000, 2_000})) {
+      int spread = throughAll ? gateways : 3;
+      FleetReport figures = new FleetReport(plan.subject(this, "gateways"), report);
       double cpu = Stopwatch.cpuMs();
-      HollowFleet fleet = new HollowFleet(FleetOptions.of(doors, spread, load, plan.seed()));
+      HollowFleet fleet = new HollowFleet(FleetOptions.of(gateways, spread, load, plan.seed()));
       replaceNow(fleet);
       fleet.run(plan.quick() ? SETTLING_MS / 3 : SETTLING_MS);
       HollowFleet.Span span = fleet.run(plan.quick() ? MEASURED_MS / 4 : MEASURED_MS);
-      figures.decisions(doors, "", span.others());
-      figures.roles(doors, span, doors);
-      figures.one(doors, "harness_cpu_s", (Stopwatch.cpuMs() - cpu) / 1000);
+      figures.decisions(gateways, "", span.others());
+      figures.roles(gateways, span, gateways);
+      figures.one(gateways, "harness_cpu_s", (Stopwatch.cpuMs() - cpu) / 1000);
     }
     report.print(name());
   }
--- a/src/test/java/quotagateway/scale/HollowFleet.java
+++ b/src/test/java/quotagateway/scale/HollowFleet.java
@@ -9,9 +9,7 @@
 import java.util.function.IntPredicate;
 import quotagateway.endpoint.Endpoint;
 
-/**
- * Hollow front doors with their load and all that they speak to, in one process on virtual time.
- */
+/** Hollow gateways with their load and all that they speak to, in one process on virtual time. */
 final class HollowFleet {
 
   /** In the range of real clocks, as names of counts hold the number of a window. */
@@ -31,21 +29,21 @@
   /** A customer that asks for less than this share of its quota is a light one. */
   private static final double LIGHT_USE = 0.5;
 
-  /** A converter that drains ends after that. */
+  /** A backend that drains ends after that. */
   private static final double DRAIN_MS = 5_000;
 
   private final FleetOptions options;
   private final VirtualTime time = new VirtualTime(START_MS);
   private final SplittableRandom random;
-  private final List<HollowDoor> doors = new ArrayList<>();
-  private final Map<Long, Placed> converters = new HashMap<>();
-  private final RosterModel roster;
+  private final List<HollowGateway> gateways = new ArrayList<>();
+  private final Map<Long, Placed> backends = new HashMap<>();
+  private final EndpointListModel endpointList;
   private final DiscoveryModel discovery;
   private final CounterShards shards;
   private final QuotaLedger ledger;
   private final QuotaLedger granting;
   private final double[] demand;
-  private final ConverterModel unreachable;
+  private final BackendModel unreachable;
   private FleetFigures figures = new FleetFigures();
   private FleetFigures affectedFigures = new FleetFigures();
   private IntPredicate affected = customer -> false;
@@ -57,13 +55,13 @@
     boolean reaches(int from, int to);
   }
 
-  private record Placed(ConverterModel model, int zone) {}
+  private record Placed(BackendModel model, int zone) {}
 
   HollowFleet(FleetOptions options) {
     this.options = options;
     random = new SplittableRandom(options.seed());
-    roster = new RosterModel(options.converters(), 7070, options.seed());
-    discovery = new DiscoveryModel(this, roster, random.split());
+    endpointList = new EndpointListModel(options.backends(), 7070, options.seed());
+    discovery = new DiscoveryModel(this, endpointList, random.split());
     shards =
         new CounterShards(
             options.shards(), time, options.shardCallMs(), ScaleSettings.COUNT_LIMIT_MS);
@@ -80,14 +78,14 @@
             ScaleSettings.PLAN.burstUnits(),
             START_MS);
     demand = demand();
-    unreachable = newConverter(0);
-    unreachable.fail(ConverterModel.Health.VANISHED, 0);
-    roster.converters().forEach(c -> converters.put(c.id(), new Placed(newConverter(0), c.zone())));
-    List<Endpoint> known = roster.entries();
-    for (int i = 0; i < options.doors(); i++) {
-      HollowDoor door = new HollowDoor(this, i, random.nextLong());
-      doors.add(door);
-      door.start(known);
+    unreachable = newBackend(0);
+    unreachable.fail(BackendModel.Health.VANISHED, 0);
+    endpointList.backends().forEach(c -> backends.put(c.id(), new Placed(newBackend(0), c.zone())));
+    List<Endpoint> known = endpointList.entries();
+    for (int i = 0; i < options.gateways(); i++) {
+      HollowGateway gateway = new HollowGateway(this, i, random.nextLong());
+      gateways.add(gateway);
+      gateway.start(known);
     }
     scheduleNext();
   }
@@ -122,9 +120,9 @@
     seen.asked++;
     seen.lightAsked += light(customer) ? 1 : 0;
     seen.grantable += granting.take(customer, units, now()) ? 1 : 0;
-    HollowDoor door = door(customer, random.nextInt(options.spread()));
-    if (door.up()) {
-      door.request("r" + requests++, customer, units);
+    HollowGateway gateway = gateway(customer, random.nextInt(options.spread()));
+    if (gateway.up()) {
+      gateway.request("r" + requests++, customer, units);
     } else {
       seen.failed++;
     }
@@ -138,13 +136,13 @@
     return perSecond * meanUnits < LIGHT_USE * ScaleSettings.PLAN.unitsPerSecond();
   }
 
-  /** The n-th front door of a customer's set. */
-  private HollowDoor door(int customer, int n) {
-    return doors.get((firstDoor(customer, doors.size()) + n) % doors.size());
+  /** The n-th gateway of a customer's set. */
+  private HollowGateway gateway(int customer, int n) {
+    return gateways.get((firstGateway(customer, gateways.size()) + n) % gateways.size());
   }
 
-  private ConverterModel newConverter(double startedMs) {
-    return new ConverterModel(SERVICE_MS, startedMs, random.split());
+  private BackendModel newBackend(double startedMs) {
+    return new BackendModel(SERVICE_MS, startedMs, random.split());
   }
 
   /** The number by which requests name a customer. */
@@ -182,24 +180,24 @@
     network = reachability;
   }
 
-  /** The region of a front door; each region has a block of them. */
-  static int doorRegion(int door, int doors, int regions) {
-    return door * regions / doors;
+  /** The region of a gateway; each region has a block of them. */
+  static int gatewayRegion(int gateway, int gateways, int regions) {
+    return gateway * regions / gateways;
   }
 
-  private int doorRegion(int door) {
-    return doorRegion(door, options.doors(), options.regions());
+  private int gatewayRegion(int gateway) {
+    return gatewayRegion(gateway, options.gateways(), options.regions());
   }
 
-  /** The first front door of a customer's set, whose region is the customer's home. */
-  static int firstDoor(int customer, int doors) {
-    return (int) Math.floorMod(customer * 0x9E3779B97F4A7C15L >>> 7, (long) doors);
+  /** The first gateway of a customer's set, whose region is the customer's home. */
+  static int firstGateway(int customer, int gateways) {
+    return (int) Math.floorMod((customer * 0x9E3779B97F4A7C15L) >>> 7, (long) gateways);
   }
 
   /** The shard of a customer's counts: one of its home's, of which each region has as many. */
   int shardNumber(int customer) {
     int regions = options.regions();
-    int home = doorRegion(firstDoor(customer, options.doors()));
+    int home = gatewayRegion(firstGateway(customer, options.gateways()));
     int each = shards.size() / regions;
     return home * each + CounterShards.spread(customer, each);
   }
@@ -208,42 +206,42 @@
     return shards.get(shardNumber(customer(countName)));
   }
 
-  boolean reachesShard(HollowDoor door, String countName) {
-    int home = doorRegion(firstDoor(customer(countName), options.doors()));
-    return network.reaches(doorRegion(door.number()), home);
+  boolean reachesShard(HollowGateway gateway, String countName) {
+    int home = gatewayRegion(firstGateway(customer(countName), options.gateways()));
+    return network.reaches(gatewayRegion(gateway.number()), home);
   }
 
-  /** A converter as that front door finds it; one in a region that it cannot reach is silent. */
-  ConverterModel converter(long id, int door) {
-    Placed found = converters.get(id);
+  /** A backend as that gateway finds it; one in a region that it cannot reach is silent. */
+  BackendModel backend(long id, int gateway) {
+    Placed found = backends.get(id);
     int region = found.zone % options.regions();
-    return network.reaches(doorRegion(door), region) ? found.model : unreachable;
+    return network.reaches(gatewayRegion(gateway), region) ? found.model : unreachable;
   }
 
-  /** One converter is replaced by another, as deployments do; discovery tells of it. */
+  /** One backend is replaced by another, as deployments do; discovery tells of it. */
   void replaceOne() {
-    List<RosterModel.Change> changes = roster.replaceOne((long) now());
-    RosterModel.Converter old = changes.get(0).converter();
-    RosterModel.Converter replacement = changes.get(2).converter();
-    converters.put(replacement.id(), new Placed(newConverter(now()), replacement.zone()));
-    time.after(DRAIN_MS, () -> failConverters(List.of(old), ConverterModel.Health.DIED));
+    List<EndpointListModel.Change> changes = endpointList.replaceOne((long) now());
+    EndpointListModel.Backend old = changes.get(0).backend();
+    EndpointListModel.Backend replacement = changes.get(2).backend();
+    backends.put(replacement.id(), new Placed(newBackend(now()), replacement.zone()));
+    time.after(DRAIN_MS, () -> failBackends(List.of(old), BackendModel.Health.DIED));
     discovery.tell(changes);
   }
 
-  /** Front doors that restart come back with the list as it was told last, and nothing else. */
-  void restartDoor(int number) {
-    doors.get(number).kill();
-    doors.set(number, new HollowDoor(this, number, random.nextLong()));
-    doors.get(number).start(roster.entries());
+  /** Gateways that restart come back with the list as it was told last, and nothing else. */
+  void restartGateway(int number) {
+    gateways.get(number).kill();
+    gateways.set(number, new HollowGateway(this, number, random.nextLong()));
+    gateways.get(number).start(endpointList.entries());
   }
 
-  /** Some converters fail, or heal where the health is UP. */
-  void failConverters(List<RosterModel.Converter> which, ConverterModel.Health how) {
-    for (RosterModel.Converter c : which) {
-      if (how == ConverterModel.Health.UP) {
-        converters.get(c.id()).model.heal();
+  /** Some backends fail, or heal where the health is UP. */
+  void failBackends(List<EndpointListModel.Backend> which, BackendModel.Health how) {
+    for (EndpointListModel.Backend c : which) {
+      if (how == BackendModel.Health.UP) {
+        backends.get(c.id()).model.heal();
       } else {
-        converters.get(c.id()).model.fail(how, now());
+        backends.get(c.id()).model.fail(how, now());
       }
     }
   }
@@ -260,12 +258,12 @@
     return time.now();
   }
 
-  List<HollowDoor> doors() {
-    return doors;
+  List<HollowGateway> gateways() {
+    return gateways;
   }
 
-  RosterModel roster() {
-    return roster;
+  EndpointListModel endpointList() {
+    return endpointList;
   }
 
   DiscoveryModel discovery() {
--- a/src/test/java/quotagateway/scale/HollowDoor.java
+++ b/src/test/java/quotagateway/scale/HollowGateway.java
@@ -25,10 +25,10 @@
 import quotagateway.policy.event.TimerFired;
 import quotagateway.testing.WireFormats;
 
-/** A front door without sockets: the real module and the real message formats, on virtual time. */
-final class HollowDoor {
+/** A gateway without sockets: the real module and the real message formats, on virtual time. */
+final class HollowGateway {
 
-  /** A converter keeps an idle connection for so long. */
+  /** A backend keeps an idle connection for so long. */
   private static final double IDLE_MS = 15_000;
 
   /** One request taken here and not yet forgotten. */
@@ -58,15 +58,15 @@
   private final GatewayPolicy policy;
   private final Map<String, Open> open = new HashMap<>();
 
-  /** When the connection to a converter that was used last falls idle. */
+  /** When the connection to a backend that was used last falls idle. */
   private final Map<Long, Double> idleSinceMs = new HashMap<>();
 
   private boolean up = true;
 
-  HollowDoor(HollowFleet fleet, int number, long seed) {
+  HollowGateway(HollowFleet fleet, int number, long seed) {
     this.fleet = fleet;
     this.number = number;
-    policy = new GatewayPolicy(ScaleSettings.of(fleet.options().doors(), number), seed);
+    policy = new GatewayPolicy(ScaleSettings.of(fleet.options().gateways(), number), seed);
   }
 
   void start(List<Endpoint> known) {
@@ -106,7 +106,7 @@
   }
 
   /** A message of discovery's, read as a watch reads it. */
-  void roster(byte[] message) {
+  void endpointList(byte[] message) {
     if (up) {
       try {
         deliver(WireFormats.roster(message));
@@ -188,14 +188,14 @@
     }
     connect(send.endpointId(), figures);
     double begun = fleet.now();
-    ConverterModel converter = fleet.converter(send.endpointId(), number);
-    ConverterModel.Ending planned = converter.attempt(begun, send.timeoutMs());
+    BackendModel backend = fleet.backend(send.endpointId(), number);
+    BackendModel.Ending planned = backend.attempt(begun, send.timeoutMs());
     fleet
         .time()
         .after(
             planned.afterMs(),
             () -> {
-              ConverterModel.Ending ending = converter.revised(planned, begun);
+              BackendModel.Ending ending = backend.revised(planned, begun);
               ended(send, attempt, ending.status(), fleet.now() - begun);
             });
   }
--- a/src/test/java/quotagateway/scale/LoopPing.java
+++ b/src/test/java/quotagateway/scale/LoopPing.java
@@ -12,7 +12,7 @@
 import org.HdrHistogram.SynchronizedHistogram;
 
 /**
- * Asks a front door for /up all the time on one connection: how long its loop holds shows in the
+ * Asks a gateway for /up all the time on one connection: how long its loop holds shows in the
  * answers.
  */
 final class LoopPing implements Closeable {
--- a/src/test/java/quotagateway/scale/ProgramProcess.java
+++ b/src/test/java/quotagateway/scale/ProgramProcess.java
@@ -3,6 +3,7 @@
 import java.io.Closeable;
 import java.io.File;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.file.Files;
@@ -13,9 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 
-/**
- * The real front door as a process of its own, started with the options of deploy/balancer.toml.
- */
+/** The real gateway as a process of its own, started with the options of deploy/balancer.toml. */
 final class ProgramProcess implements Closeable {
 
   /** The kernel's clock ticks in /proc/PID/stat. */
@@ -30,8 +29,8 @@
 
   /** Starts it with those classes; its discovery's agent listens on loopback at the port. */
   ProgramProcess(String programClasses, int agentPort) throws IOException {
-    folder = Files.createTempDirectory("scale-door");
-    listen = new InetSocketAddress("127.0.0.1", freePort());
+    folder = Files.createTempDirectory("scale-gateway");
+    listen = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
     Path config = folder.resolve("config.json");
     Files.writeString(config, config(agentPort));
     List<String> command = new ArrayList<>();
@@ -99,7 +98,7 @@
   /** Processor time of the process until now, in milliseconds, to a hundredth of a second. */
   double cpuMs() throws IOException {
     String stat = Files.readString(Path.of("/proc", Long.toString(process.pid()), "stat"));
-    String[] fields = stat.substring(stat.lastIndexOf(')')).split(" ");
+    String[] fields = stat.substring(stat.lastIndexOf(')')).split(" ", -1);
     // The name, which may hold spaces, and the number before it are cut off.
     return MS_PER_TICK
         * (Long.parseLong(fields[USER_TICKS - 1]) + Long.parseLong(fields[SYSTEM_TICKS - 1]));
--- a/src/test/java/quotagateway/scale/ProgramSweep.java
+++ b/src/test/java/quotagateway/scale/ProgramSweep.java
@@ -8,7 +8,7 @@
 import quotagateway.endpoint.EndpointState;
 
 /**
- * The real front door, started with the options of the run line, and an agent with a list of each
+ * The real gateway, started with the options of the run line, and an agent with a list of each
  * length: whether it takes the list, at what cost, and how long changes and a lost zone hold its
  * loop.
  */
@@ -42,7 +42,7 @@
 
   private void measure(Measurement.Subject subject, int size, Plan plan, Report report)
       throws IOException {
-    RosterModel model = new RosterModel(size, 9, plan.seed());
+    EndpointListModel model = new EndpointListModel(size, 9, plan.seed());
     model.changeMessage(List.of());
     String whole = model.wholeMessage();
     try (DiscoveryAgent agent = new DiscoveryAgent(whole, model.version());
@@ -54,7 +54,7 @@
       report.add(Measurement.of(subject, size, "list_bytes", whole.length()));
       report.add(Measurement.of(subject, size, "list_taken", ready ? 1 : 0));
       report.add(Measurement.of(subject, size, "watches_opened", agent.opened()));
-      report.add(Measurement.of(subject, size, "bytes_told", agent.bytes()));
+      report.add(Measurement.of(subject, size, "bytes_told", (double) agent.bytes()));
       if (!ready) {
         return;
       }
@@ -82,7 +82,7 @@
       Measurement.Subject subject,
       int size,
       int replacements,
-      RosterModel model,
+      EndpointListModel model,
       DiscoveryAgent agent,
       ProgramProcess program,
       LoopPing ping,
@@ -93,7 +93,7 @@
     double cpu = program.cpuMs();
     double from = Stopwatch.wallMs();
     for (int i = 0; i < replacements; i++) {
-      for (RosterModel.Change change : model.replaceOne(1)) {
+      for (EndpointListModel.Change change : model.replaceOne(1)) {
         agent.tell(model.changeMessage(List.of(change)));
       }
       settle(program);
@@ -107,11 +107,16 @@
 
   /** The longest answer to a ping while a zone goes, of each of some zones. */
   private static double[] zones(
-      int zones, RosterModel model, DiscoveryAgent agent, ProgramProcess program, LoopPing ping)
+      int zones,
+      EndpointListModel model,
+      DiscoveryAgent agent,
+      ProgramProcess program,
+      LoopPing ping)
       throws IOException {
     double[] held = new double[zones];
     for (int zone = 0; zone < zones; zone++) {
-      List<RosterModel.Change> gone = new ArrayList<>(model.zone(zone, EndpointState.REMOVED));
+      List<EndpointListModel.Change> gone =
+          new ArrayList<>(model.zone(zone, EndpointState.REMOVED));
       ping.reset();
       agent.tell(model.changeMessage(gone));
       settle(program);
--- a/src/test/java/quotagateway/scale/RequestCycle.java
+++ b/src/test/java/quotagateway/scale/RequestCycle.java
@@ -14,13 +14,11 @@
 import quotagateway.policy.event.Status;
 import quotagateway.policy.event.TimerFired;
 
-/**
- * Takes requests through one module at once: the counter grants each, and a converter answers it.
- */
+/** Takes requests through one module at once: the counter grants each, and a backend answers it. */
 final class RequestCycle {
 
   private static final double COUNTER_MS = 1;
-  private static final double CONVERTER_MS = 20;
+  private static final double BACKEND_MS = 20;
 
   private final GatewayPolicy policy;
   private final double apartMs;
@@ -82,7 +80,7 @@
           .on(
               nowMs,
               new AttemptEnded(
-                  send.requestId(), 0, send.endpointId(), Status.OK, CONVERTER_MS, true, 0, null))
+                  send.requestId(), 0, send.endpointId(), Status.OK, BACKEND_MS, true, 0, null))
           .forEach(this::follow);
     } else if (action instanceof RejectRequest) {
       refused++;
--- a/src/test/java/quotagateway/scale/ScaleCommand.java
+++ b/src/test/java/quotagateway/scale/ScaleCommand.java
@@ -20,15 +20,15 @@
     mixinStandardHelpOptions = true,
     sortOptions = false,
     description =
-        "Measures how the front door, the counter and discovery grow with the size of the fleet.")
+        "Measures how the gateway, the counter and discovery grow with the size of the fleet.")
 public final class ScaleCommand implements Callable<Integer> {
 
   private static final List<Sweep> SWEEPS =
       List.of(
           new BackendSweep(),
           new ProgramSweep(),
-          new DoorSweep(false),
-          new DoorSweep(true),
+          new FleetSizeSweep(false),
+          new FleetSizeSweep(true),
           new SpreadSweep(),
           new ChangeSweep(),
           new TenantSweep(),
@@ -92,24 +92,29 @@
             quick ? Math.min(1, seconds) : seconds,
             label,
             OtherVersion.programClasses());
-    try (Writer lines =
-        out == null
-            ? new PrintWriter(System.out, true, StandardCharsets.UTF_8)
-            : Files.newBufferedWriter(
-                out,
-                StandardCharsets.UTF_8,
-                StandardOpenOption.CREATE,
-                StandardOpenOption.APPEND)) {
-      for (Sweep sweep : chosen) {
-        sweep.run(plan, new Report(lines, System.out));
-        if (against != null) {
-          new OtherVersion(against).run(sweep, arguments());
-        }
+    if (out == null) {
+      // Standard output stays open: the tables go there too.
+      play(chosen, plan, new PrintWriter(System.out, true, StandardCharsets.UTF_8));
+    } else {
+      try (Writer lines =
+          Files.newBufferedWriter(
+              out, StandardCharsets.UTF_8, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
+        play(chosen, plan, lines);
       }
     }
     return CommandLine.ExitCode.OK;
   }
 
+  /** Plays the sweeps one by one, each on the other version too where one is named. */
+  private void play(List<Sweep> chosen, Sweep.Plan plan, Writer lines) throws Exception {
+    for (Sweep sweep : chosen) {
+      sweep.run(plan, new Report(lines, System.out));
+      if (against != null) {
+        new OtherVersion(against).run(sweep, arguments());
+      }
+    }
+  }
+
   /** The options that a run of the other version shares with this one. */
   private List<String> arguments() {
     List<String> shared =
--- a/src/test/java/quotagateway/scale/ScaleSettings.java
+++ b/src/test/java/quotagateway/scale/ScaleSettings.java
@@ -25,12 +25,12 @@
 
   private ScaleSettings() {}
 
-  /** The settings of one of so many front doors, in a zone of the {@link RosterModel}. */
+  /** The settings of one of so many gateways, in a zone of the {@link EndpointListModel}. */
   static PolicySettings of(int gateways, int self) {
     return new PolicySettings(
         gateways,
         self,
-        "z" + self % RosterModel.ZONES,
+        "z" + self % EndpointListModel.ZONES,
         MOST_UNITS,
         0,
         false,
--- a/src/test/java/quotagateway/scale/ScaleTest.java
+++ b/src/test/java/quotagateway/scale/ScaleTest.java
@@ -143,31 +143,31 @@
   }
 
   @Test
-  void aConverterAnswersQueuesAndFails() {
-    ConverterModel converter = new ConverterModel(10, 0, new SplittableRandom(1));
-    ConverterModel.Ending ending = converter.attempt(0, 4_000);
+  void aBackendAnswersQueuesAndFails() {
+    BackendModel backend = new BackendModel(10, 0, new SplittableRandom(1));
+    BackendModel.Ending ending = backend.attempt(0, 4_000);
     assertEquals(Status.OK, ending.status());
     for (int i = 0; i < 500; i++) {
-      ending = converter.attempt(0, 4_000);
+      ending = backend.attempt(0, 4_000);
     }
     assertEquals(Status.REJECTED, ending.status());
-    assertEquals(Status.TIMED_OUT, converter.attempt(100_000, 0.01).status());
-    ConverterModel.Ending planned = converter.attempt(200_000, 4_000);
-    converter.fail(ConverterModel.Health.DIED, 200_000.1);
-    assertEquals(Status.RESET, converter.revised(planned, 200_000).status());
-    assertEquals(Status.CONNECT_FAILED, converter.attempt(200_001, 4_000).status());
+    assertEquals(Status.TIMED_OUT, backend.attempt(100_000, 0.01).status());
+    BackendModel.Ending planned = backend.attempt(200_000, 4_000);
+    backend.fail(BackendModel.Health.DIED, 200_000.1);
+    assertEquals(Status.RESET, backend.revised(planned, 200_000).status());
+    assertEquals(Status.CONNECT_FAILED, backend.attempt(200_001, 4_000).status());
   }
 
   @Test
-  void theListIsReadByTheProgramAndItsChangesNameTheSameConverters() throws IOException {
-    RosterModel model = new RosterModel(57, 7070, 3);
+  void theListIsReadByTheProgramAndItsChangesNameTheSameBackends() throws IOException {
+    EndpointListModel model = new EndpointListModel(57, 7070, 3);
     EndpointsUpdated whole = WireFormats.roster(bytes(model.wholeMessage()));
     assertEquals(EndpointListForm.SNAPSHOT, whole.form());
     assertEquals(model.entries(), whole.endpoints());
-    List<RosterModel.Change> changes = model.replaceOne(5);
+    List<EndpointListModel.Change> changes = model.replaceOne(5);
     EndpointsUpdated told = WireFormats.roster(bytes(model.changeMessage(changes)));
     assertEquals(EndpointListForm.DELTA, told.form());
-    assertEquals(changes.stream().map(RosterModel::entry).toList(), told.endpoints());
+    assertEquals(changes.stream().map(EndpointListModel::entry).toList(), told.endpoints());
     assertEquals(3, model.zone(1, EndpointState.REMOVED).size());
     assertEquals(57, model.size());
   }
@@ -199,7 +199,7 @@
 
   /** With one entry point nothing is shared, so the true stores and the module must agree. */
   @Test
-  void throughOneFrontDoorTheStandInsAndTheModuleAgreeOnTheQuota() {
+  void throughOneGatewayTheStandInsAndTheModuleAgreeOnTheQuota() {
     FleetFigures figures = play(1, 1);
     assertTrue(figures.refused > 0 && figures.served > 0);
     assertTrue(
@@ -213,21 +213,21 @@
     HollowFleet fleet = new HollowFleet(FleetOptions.of(4, 2, 100, 1));
     fleet.discovery().become(DiscoveryModel.Health.SILENT);
     fleet.replaceOne();
-    assertEquals(0, fleet.run(3_000).others().rosterMessages);
+    assertEquals(0, fleet.run(3_000).others().endpointListMessages);
     fleet.discovery().become(DiscoveryModel.Health.LATE);
     fleet.replaceOne();
-    assertEquals(0, fleet.run(3_000).others().rosterMessages);
-    assertEquals(4, fleet.run(3_000).others().rosterMessages);
+    assertEquals(0, fleet.run(3_000).others().endpointListMessages);
+    assertEquals(4, fleet.run(3_000).others().endpointListMessages);
     fleet.discovery().become(DiscoveryModel.Health.PARTIAL);
     fleet.replaceOne();
-    assertEquals(4, fleet.run(3_000).others().rosterMessages);
+    assertEquals(4, fleet.run(3_000).others().endpointListMessages);
     fleet.discovery().become(DiscoveryModel.Health.UP);
-    assertEquals(4, fleet.run(3_000).others().rosterMessages);
+    assertEquals(4, fleet.run(3_000).others().endpointListMessages);
   }
 
   @Test
   void theAgentTellsTheListFirstThenChangesAndCutsOrFallsSilent() throws IOException {
-    RosterModel model = new RosterModel(20, 7070, 1);
+    EndpointListModel model = new EndpointListModel(20, 7070, 1);
     model.changeMessage(List.of());
     try (DiscoveryAgent agent = new DiscoveryAgent(model.wholeMessage(), model.version());
         Socket watch = new Socket(InetAddress.getLoopbackAddress(), agent.port())) {
@@ -279,7 +279,7 @@
       String metric = m.get("metric").asText();
       assertTrue(Double.isFinite(median), line);
       assertTrue(m.get("least").asDouble() <= median && median <= m.get("most").asDouble(), line);
-      assertTrue(!metric.endsWith("_share") || median >= 0 && median <= 1, line);
+      assertTrue(!metric.endsWith("_share") || (median >= 0 && median <= 1), line);
       assertEquals(2, m.get("seed").asInt());
       metrics
           .computeIfAbsent(m.get("sweep").asText(), s -> new TreeMap<>())
@@ -290,8 +290,8 @@
         Set.of(
             "backends",
             "program",
-            "doors-set",
-            "doors-all",
+            "gateways-set",
+            "gateways-all",
             "spread",
             "changes",
             "tenants",
--- a/src/test/java/quotagateway/scale/ShardSweep.java
+++ b/src/test/java/quotagateway/scale/ShardSweep.java
@@ -6,7 +6,7 @@
  */
 final class ShardSweep implements Sweep {
 
-  private static final int DOORS = 60;
+  private static final int GATEWAYS = 60;
   private static final int SPREAD = 4;
   private static final double REQUESTS_PER_SECOND = 3_000;
   private static final double QUICK_REQUESTS_PER_SECOND = 300;
@@ -29,7 +29,7 @@
       double part = plan.quick() ? 0.25 : 1;
       FleetReport figures = new FleetReport(plan.subject(this, "counter shards"), report);
       FleetOptions options =
-          FleetOptions.of(plan.quick() ? 8 : DOORS, SPREAD, load, plan.seed())
+          FleetOptions.of(plan.quick() ? 8 : GATEWAYS, SPREAD, load, plan.seed())
               .withShards(shards, 1000 * CALL_SHARE / load);
       HollowFleet fleet = new HollowFleet(options);
       int dead = 0;
--- a/src/test/java/quotagateway/scale/SpreadSweep.java
+++ b/src/test/java/quotagateway/scale/SpreadSweep.java
@@ -1,12 +1,9 @@
 package quotagateway.scale;
 
-/**
- * Through how many front doors a customer comes, at the same number of front doors and the same
- * load.
- */
+/** Through how many gateways a customer comes, at the same number of gateways and the same load. */
 final class SpreadSweep implements Sweep {
 
-  private static final int DOORS = 200;
+  private static final int GATEWAYS = 200;
   private static final double REQUESTS_PER_SECOND = 3_000;
   private static final double SETTLING_MS = 15_000;
   private static final double MEASURED_MS = 20_000;
@@ -23,12 +20,12 @@
       FleetOptions options =
           plan.quick()
               ? FleetOptions.of(10, spread, 300, plan.seed())
-              : FleetOptions.of(DOORS, spread, REQUESTS_PER_SECOND, plan.seed());
+              : FleetOptions.of(GATEWAYS, spread, REQUESTS_PER_SECOND, plan.seed());
       HollowFleet fleet = new HollowFleet(options);
       fleet.run(plan.quick() ? SETTLING_MS / 3 : SETTLING_MS);
       HollowFleet.Span span = fleet.run(plan.quick() ? MEASURED_MS / 4 : MEASURED_MS);
       figures.decisions(spread, "", span.others());
-      figures.roles(spread, span, options.doors());
+      figures.roles(spread, span, options.gateways());
     }
     report.print(name());
   }
--- a/src/test/java/quotagateway/scale/TenantSweep.java
+++ b/src/test/java/quotagateway/scale/TenantSweep.java
@@ -8,7 +8,7 @@
 import quotagateway.policy.event.EndpointsUpdated;
 
 /**
- * Customers that one front door has met within a minute: memory of their accounts, and cost of a
+ * Customers that one gateway has met within a minute: memory of their accounts, and cost of a
  * request.
  */
 final class TenantSweep implements Sweep {
@@ -43,14 +43,14 @@
   private static void measure(Measurement.Subject subject, int size, Plan plan, Report report) {
     int held = plan.quick() ? LEAST_HELD / 10 : LEAST_HELD;
     RequestCycle[] copies = new RequestCycle[Math.max(1, held / size)];
-    EndpointsUpdated roster =
+    EndpointsUpdated endpointList =
         new EndpointsUpdated(
             EndpointListForm.CACHED_SNAPSHOT,
-            new RosterModel(BACKENDS, 7070, plan.seed()).entries());
+            new EndpointListModel(BACKENDS, 7070, plan.seed()).entries());
     for (int i = 0; i < copies.length; i++) {
       GatewayPolicy policy = new GatewayPolicy(ScaleSettings.of(2_000, i), plan.seed());
       policy.start(0);
-      policy.on(1, roster);
+      policy.on(1, endpointList);
       copies[i] = new RequestCycle(policy, 1_000, size);
       RequestCycle cycle = copies[i];
       IntStream.range(0, BACKENDS).forEach(n -> cycle.serve(-1 - n, 1));
