--- a/src/main/java/quotagateway/Main.java
+++ b/src/main/java/quotagateway/Main.java
@@ -1,6 +1,7 @@
 package quotagateway;
 
 import java.io.IOException;
+import quotagateway.config.InvalidConfigurationException;
 import quotagateway.server.GatewayServer;
 import quotagateway.simulator.SimulatorAdapter;
 
@@ -20,7 +21,7 @@
           System.exit(2);
         }
       }
-    } catch (IOException | RuntimeException e) {
+    } catch (IOException | InvalidConfigurationException | RuntimeException e) {
       String reason = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
       System.err.println(
           "quota-gateway: " + (mode.equals("serve") ? "cannot serve: " : "bad input: ") + reason);
--- a/src/main/java/quotagateway/admin/AdminServer.java
+++ b/src/main/java/quotagateway/admin/AdminServer.java
@@ -30,6 +30,7 @@
 import java.util.logging.Logger;
 import quotagateway.client.RequestDecoder;
 import quotagateway.client.RequestReader;
+import quotagateway.config.ResourceLimits;
 import quotagateway.lifecycle.Lifecycle;
 import quotagateway.transport.SocketTransport;
 
@@ -43,10 +44,7 @@
   private static final Logger LOG = Logger.getLogger(AdminServer.class.getName());
 
   /** Callers at a time; the oldest makes room for the next, as some connect and never call. */
-  private static final int CALLERS = 8;
-
-  /** The loop's own, the listening socket, the callers, and one that is being taken. */
-  public static final int DESCRIPTORS = CALLERS + 5;
+  private static final int CALLERS = ResourceLimits.MAX_ADMIN_CONNECTIONS;
 
   /** A call is a few bytes from close by: one that is not whole by then will not be. */
   private static final long CALL_MS = 1_000;
--- a/src/main/java/quotagateway/config/GatewayConfig.java
+++ b/src/main/java/quotagateway/config/GatewayConfig.java
@@ -1,22 +1,26 @@
 package quotagateway.config;
 
-import com.fasterxml.jackson.core.JsonFactory;
-import com.fasterxml.jackson.core.JsonParser;
-import java.io.IOException;
 import java.math.BigInteger;
 import java.net.InetSocketAddress;
-import java.nio.file.Files;
-import java.nio.file.NoSuchFileException;
-import java.nio.file.Path;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import quotagateway.discovery.EndpointUpdate;
 import quotagateway.policy.settings.PolicySettings;
+import quotagateway.transport.NumericAddress;
 
-/** What a front door is told at its start: the file that {@code GW_CONFIG} names. */
+/**
+ * The configuration of one gateway process; immutable, and replaced whole on a reload.
+ *
+ * @param listenAddress where clients connect
+ * @param adminAddress where operators connect; null where they cannot
+ * @param discoveryAddress of the discovery agent
+ * @param counterAddress of the shared counter; null where there is none
+ * @param seed of the policy's random draws
+ * @param settings that decisions depend on
+ * @param limits of what the process may hold
+ * @param connectTimeoutMs after which a connection to a backend that has not come up has failed
+ * @param idleTimeoutMs after which an idle connection to a backend is closed
+ * @param knownEndpoints the endpoint list as this gateway last had it, in discovery's form
+ * @param fields the file that all this was read from, which a reload is compared with
+ */
 public record GatewayConfig(
     InetSocketAddress listenAddress,
     InetSocketAddress adminAddress,
@@ -27,150 +31,89 @@
     ResourceLimits limits,
     double connectTimeoutMs,
     double idleTimeoutMs,
-    EndpointUpdate known,
+    Map<String, Object> knownEndpoints,
     Map<String, Object> fields) {
 
-  private static final Set<String> REPEATS = Set.of("pure", "token", "side_effect");
+  /** The list within {@code knownEndpoints}: entries come and go from one file to the next. */
+  static final String KNOWN_ENDPOINT_LIST = "servers";
 
-  /** Keys that the wire allows to be absent. */
-  private static final Set<String> OPTIONAL = Set.of("AimStretch", "Fleet");
+  private static final String LISTEN = "listen";
+  private static final String ADMIN = "mgmt";
+  private static final String DISCOVERY = "discovery";
+  private static final String COUNTER = "counter";
+  private static final String SEED = "seed";
 
   /**
-   * Reads the file; anything that keeps the front door from serving is an IOException in plain
-   * words.
+   * The configuration of a file's fields.
+   *
+   * @throws InvalidConfigurationException where the gateway cannot serve by it
    */
-  public static GatewayConfig read(Path file) throws IOException {
-    return of(fields(file));
-  }
-
-  /** Reads a replaced file, which is to have every key that the one in use has. */
-  public static GatewayConfig reread(Path file, GatewayConfig inUse) throws IOException {
-    Map<String, Object> fields = fields(file);
-    complete(fields, inUse.fields, "");
-    return of(fields);
-  }
-
-  /** Guards against a file that lacks what would else be taken for nought or for a usual value. */
-  private static void complete(Map<String, Object> fields, Map<String, Object> inUse, String where)
-      throws IOException {
-    for (Map.Entry<String, Object> e : inUse.entrySet()) {
-      String name = where + e.getKey();
-      if (fields.get(e.getKey()) == null
-          && e.getValue() != null
-          && !OPTIONAL.contains(e.getKey())) {
-        throw new IOException(name + " is missing");
-      }
-      complete(
-          JsonFields.child(fields, e.getKey()), JsonFields.child(inUse, e.getKey()), name + ".");
-      List<Map<String, Object>> before = JsonFields.children(inUse, e.getKey());
-      if (!before.isEmpty() && !e.getKey().equals("servers")) {
-        Map<String, Object> common = new HashMap<>(before.get(0));
-        before.forEach(b -> common.keySet().retainAll(b.keySet()));
-        for (Map<String, Object> item : JsonFields.children(fields, e.getKey())) {
-          complete(item, common, name + ".");
-        }
-      }
-    }
+  public static GatewayConfig of(Map<String, Object> fields) throws InvalidConfigurationException {
+    Map<String, Object> settings = JsonFields.child(fields, "settings");
+    SettingsParser.validate(settings);
+    PolicySettings parsed = SettingsParser.parse(settings);
+    boolean hasCounter = fields.get(COUNTER) != null || parsed.capabilities().sharedCounter();
+    return new GatewayConfig(
+        address(fields, LISTEN),
+        fields.get(ADMIN) == null ? null : address(fields, ADMIN),
+        address(fields, DISCOVERY),
+        hasCounter ? address(fields, COUNTER) : null,
+        seed(fields),
+        parsed,
+        limits(JsonFields.child(fields, "limits")),
+        SettingsParser.connectTimeoutMs(settings),
+        SettingsParser.idleTimeoutMs(settings),
+        JsonFields.child(fields, "known"),
+        fields);
   }
 
   /**
-   * The environment is each process's own, while two may share the file: what it names goes first.
+   * The same with another address for operators, or the same where that is null. Each process has
+   * its own environment, while two may share the file, so what the environment names goes first.
+   *
+   * @throws InvalidConfigurationException where it is not an address and port
    */
-  public GatewayConfig withAdminAddress(String address) throws IOException {
-    return address == null
-        ? this
-        : new GatewayConfig(
-            listenAddress,
-            address(Map.of("mgmt", address), "mgmt"),
-            discoveryAddress,
-            counterAddress,
-            seed,
-            settings,
-            limits,
-            connectTimeoutMs,
-            idleTimeoutMs,
-            known,
-            fields);
-  }
-
-  private static Map<String, Object> fields(Path file) throws IOException {
-    try (JsonParser in = new JsonFactory().createParser(Files.readAllBytes(file))) {
-      in.nextToken();
-      Map<String, Object> fields = JsonFields.object(in);
-      if (in.nextToken() != null) {
-        throw new IOException("more follows the object");
-      }
-      return fields;
-    } catch (NoSuchFileException e) {
-      throw new IOException("there is no file " + file, e);
-    }
-  }
-
-  public static GatewayConfig of(Map<String, Object> fields) throws IOException {
-    Map<String, Object> settings = JsonFields.child(fields, "settings");
-    PolicySettings parsed = SettingsParser.read(settings);
-    if (parsed.requestClasses().isEmpty() || parsed.plans().isEmpty()) {
-      throw new IOException("settings name no classes or no plans");
-    }
-    Map<String, Object> bounds = JsonFields.child(settings, "Bounds");
-    if (!(JsonFields.number(bounds, "MaxAttempts") >= 1)) {
-      throw new IOException("MaxAttempts is not a positive number");
-    }
-    Set<String> names = new HashSet<>();
-    for (Map<String, Object> c : JsonFields.children(settings, "Profiles")) {
-      String name = JsonFields.text(c, "Name");
-      double deadline = JsonFields.number(c, "DeadlineMs");
-      if (name.isEmpty() || !names.add(name)) {
-        throw new IOException("a class without a name of its own: '" + name + "'");
-      }
-      if (!(deadline > 0 && deadline < Double.POSITIVE_INFINITY)) {
-        throw new IOException("DeadlineMs of " + name + " is not a positive number");
-      }
-      if (!REPEATS.contains(JsonFields.text(c, "Repeat"))) {
-        throw new IOException("Repeat of " + name + " is unknown");
-      }
+  public GatewayConfig withAdminAddress(String address) throws InvalidConfigurationException {
+    if (address == null) {
+      return this;
     }
-    Map<String, Object> limits = JsonFields.child(fields, "limits");
-    ResourceLimits held =
-        ResourceLimits.of(
-            JsonFields.number(limits, "sockets", ResourceLimits.USUAL_SOCKETS),
-            JsonFields.number(limits, "memory_mb", ResourceLimits.USUAL_MEMORY_MB),
-            JsonFields.number(limits, "cores", ResourceLimits.USUAL_CORES));
-    InetSocketAddress counter =
-        fields.get("counter") == null && !parsed.capabilities().sharedCounter()
-            ? null
-            : address(fields, "counter");
-    InetSocketAddress listen = address(fields, "listen");
-    InetSocketAddress mgmt = fields.get("mgmt") == null ? null : address(fields, "mgmt");
     return new GatewayConfig(
-        listen,
-        mgmt,
-        address(fields, "discovery"),
-        counter,
-        seed(fields),
-        parsed,
-        held,
-        JsonFields.number(bounds, "DialTimeoutMs", 250),
-        JsonFields.number(bounds, "ConnIdleMs", 15_000),
-        EndpointUpdate.of(JsonFields.child(fields, "known")),
+        listenAddress,
+        address(Map.of(ADMIN, address), ADMIN),
+        discoveryAddress,
+        counterAddress,
+        seed,
+        settings,
+        limits,
+        connectTimeoutMs,
+        idleTimeoutMs,
+        knownEndpoints,
         fields);
   }
 
-  private static long seed(Map<String, Object> fields) throws IOException {
-    String seed = JsonFields.text(fields, "seed");
+  private static ResourceLimits limits(Map<String, Object> fields) {
+    return ResourceLimits.of(
+        JsonFields.number(fields, "sockets", ResourceLimits.DEFAULT_DESCRIPTORS),
+        JsonFields.number(fields, "memory_mb", ResourceLimits.DEFAULT_MEMORY_MB),
+        JsonFields.number(fields, "cores", ResourceLimits.DEFAULT_CORES));
+  }
+
+  private static long seed(Map<String, Object> fields) throws InvalidConfigurationException {
+    String seed = JsonFields.text(fields, SEED);
     try {
       return new BigInteger(seed, 16).longValue();
     } catch (NumberFormatException e) {
-      throw new IOException("seed is not a hexadecimal number: '" + seed + "'", e);
+      throw new InvalidConfigurationException(
+          SEED, "is not a hexadecimal number: '" + seed + "'", e);
     }
   }
 
-  private static InetSocketAddress address(Map<String, Object> fields, String name)
-      throws IOException {
-    String text = JsonFields.text(fields, name);
-    InetSocketAddress address = EndpointUpdate.address(text);
+  private static InetSocketAddress address(Map<String, Object> fields, String key)
+      throws InvalidConfigurationException {
+    String text = JsonFields.text(fields, key);
+    InetSocketAddress address = NumericAddress.parse(text);
     if (address == null) {
-      throw new IOException(name + " is not an address and port: '" + text + "'");
+      throw new InvalidConfigurationException(key, "is not an address and port: '" + text + "'");
     }
     return address;
   }
--- a/src/main/java/quotagateway/config/SettingsParser.java
+++ b/src/main/java/quotagateway/config/SettingsParser.java
@@ -7,8 +7,10 @@
 import static quotagateway.config.JsonFields.text;
 
 import java.util.ArrayList;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import quotagateway.policy.settings.Capabilities;
 import quotagateway.policy.settings.DeduplicationScope;
 import quotagateway.policy.settings.Idempotency;
@@ -18,78 +20,175 @@
 import quotagateway.policy.settings.ServiceRules;
 
 /**
- * The settings object as the wire names it; the adapter and the real front door read the same one.
+ * The settings object, in the configuration file and in the simulator's first message: the one
+ * place that knows its keys.
  */
 public final class SettingsParser {
 
+  /** Keys that a file may lack though the file before had them. */
+  static final Set<String> OPTIONAL_KEYS = Set.of("AimStretch", "Fleet");
+
+  private static final String CLASSES = "Profiles";
+  private static final String PLANS = "Tariffs";
+  private static final String BOUNDS = "Bounds";
+  private static final String MAX_ATTEMPTS = "MaxAttempts";
+  private static final String NAME = "Name";
+  private static final String DEADLINE_MS = "DeadlineMs";
+  private static final String IDEMPOTENCY = "Repeat";
+
+  private static final String IDEMPOTENT = "pure";
+  private static final String IDEMPOTENT_WITH_KEY = "token";
+  private static final String NOT_IDEMPOTENT = "side_effect";
+
+  /** Holds where the settings state none. */
+  private static final double DEFAULT_CONNECT_TIMEOUT_MS = 250;
+
+  /** Holds where the settings state none. */
+  private static final double DEFAULT_IDLE_TIMEOUT_MS = 15_000;
+
   private SettingsParser() {}
 
-  public static PolicySettings read(Map<String, Object> s) {
-    Map<String, Object> bounds = child(s, "Bounds");
-    Map<String, Object> extra = child(s, "Extra");
-    Map<String, Object> rules = child(s, "Rules");
+  /** Reads the settings; what is missing or of another kind is read as a default. */
+  public static PolicySettings parse(Map<String, Object> settings) {
+    Map<String, Object> extra = child(settings, "Extra");
+    String weights = text(settings, "WeightKind");
+    return new PolicySettings(
+        (int) number(settings, "Balancers", 1),
+        (int) number(settings, "SelfIndex"),
+        text(settings, "MyZone"),
+        number(extra, "MaxUnits", 1),
+        number(child(settings, "Prices"), "CrossZone"),
+        weights.equals("nominal") || weights.equals("rough"),
+        requestClasses(settings),
+        plans(settings),
+        capabilities(settings),
+        serviceRules(child(settings, "Rules")));
+  }
+
+  private static List<RequestClass> requestClasses(Map<String, Object> settings) {
     List<RequestClass> classes = new ArrayList<>();
-    for (Map<String, Object> c : children(s, "Profiles")) {
+    for (Map<String, Object> fields : children(settings, CLASSES)) {
       classes.add(
           new RequestClass(
-              text(c, "Name"),
-              number(c, "Value", 1),
-              number(c, "LateValue"),
-              number(c, "AimMs"),
-              number(c, "DeadlineMs"),
-              switch (text(c, "Repeat")) {
-                case "pure" -> Idempotency.IDEMPOTENT;
-                case "token" -> Idempotency.IDEMPOTENT_WITH_KEY;
-                default -> Idempotency.NOT_IDEMPOTENT;
-              },
-              switch (text(c, "Group")) {
-                case "all" -> DeduplicationScope.ALL;
-                case "zone" -> DeduplicationScope.ZONE;
-                default -> DeduplicationScope.CELL;
-              },
-              number(c, "RepeatWindowMs"),
-              flag(c, "Stream")));
+              text(fields, NAME),
+              number(fields, "Value", 1),
+              number(fields, "LateValue"),
+              number(fields, "AimMs"),
+              number(fields, DEADLINE_MS),
+              idempotency(text(fields, IDEMPOTENCY)),
+              deduplicationScope(text(fields, "Group")),
+              number(fields, "RepeatWindowMs"),
+              flag(fields, "Stream")));
     }
+    return classes;
+  }
+
+  private static Idempotency idempotency(String value) {
+    return switch (value) {
+      case IDEMPOTENT -> Idempotency.IDEMPOTENT;
+      case IDEMPOTENT_WITH_KEY -> Idempotency.IDEMPOTENT_WITH_KEY;
+      default -> Idempotency.NOT_IDEMPOTENT;
+    };
+  }
+
+  private static DeduplicationScope deduplicationScope(String value) {
+    return switch (value) {
+      case "all" -> DeduplicationScope.ALL;
+      case "zone" -> DeduplicationScope.ZONE;
+      default -> DeduplicationScope.CELL;
+    };
+  }
+
+  private static List<Plan> plans(Map<String, Object> settings) {
     List<Plan> plans = new ArrayList<>();
-    for (Map<String, Object> p : children(s, "Tariffs")) {
+    for (Map<String, Object> fields : children(settings, PLANS)) {
       plans.add(
           new Plan(
-              text(p, "Name"),
-              number(p, "Refill"),
-              number(p, "PeakUnits"),
-              (int) number(p, "Open"),
-              number(p, "WorthFactor", 1),
-              number(p, "BeyondEarns"),
-              number(p, "OverrunCost"),
-              number(p, "CeilingRate"),
-              number(p, "CeilingBurst"),
-              number(p, "HardSlack")));
+              text(fields, NAME),
+              number(fields, "Refill"),
+              number(fields, "PeakUnits"),
+              (int) number(fields, "Open"),
+              number(fields, "WorthFactor", 1),
+              number(fields, "BeyondEarns"),
+              number(fields, "OverrunCost"),
+              number(fields, "CeilingRate"),
+              number(fields, "CeilingBurst"),
+              number(fields, "HardSlack")));
+    }
+    return plans;
+  }
+
+  private static Capabilities capabilities(Map<String, Object> settings) {
+    Map<String, Object> bounds = child(settings, BOUNDS);
+    Map<String, Object> extra = child(settings, "Extra");
+    return new Capabilities(
+        flag(extra, "Counter"),
+        number(extra, "CountLimitMs"),
+        flag(bounds, "Cancel"),
+        flag(bounds, "MayDuplicate"),
+        (int) number(bounds, MAX_ATTEMPTS, 1),
+        (int) number(bounds, "MaxOpen", Integer.MAX_VALUE),
+        flag(bounds, "RetryAfter"),
+        number(bounds, "MaxRetryAfterMs"),
+        text(settings, "Discovery").equals("ask"));
+  }
+
+  private static ServiceRules serviceRules(Map<String, Object> rules) {
+    return new ServiceRules(
+        number(rules, "AnswerSlackMs"),
+        number(rules, "ColdFrom", 1),
+        number(rules, "ColdMs"),
+        number(rules, "TipMultiple", 1),
+        number(rules, "TipAfterMs", 1));
+  }
+
+  /** After which a connection to a backend that has not come up has failed. */
+  static double connectTimeoutMs(Map<String, Object> settings) {
+    return number(child(settings, BOUNDS), "DialTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS);
+  }
+
+  /** After which an idle connection to a backend is closed. */
+  static double idleTimeoutMs(Map<String, Object> settings) {
+    return number(child(settings, BOUNDS), "ConnIdleMs", DEFAULT_IDLE_TIMEOUT_MS);
+  }
+
+  /**
+   * Checks what must not be read as a default, as requests would be rejected, or repeated, by it.
+   *
+   * @throws InvalidConfigurationException where the settings cannot be served by
+   */
+  static void validate(Map<String, Object> settings) throws InvalidConfigurationException {
+    if (children(settings, CLASSES).isEmpty()) {
+      throw new InvalidConfigurationException("settings." + CLASSES, "names no classes");
+    }
+    if (children(settings, PLANS).isEmpty()) {
+      throw new InvalidConfigurationException("settings." + PLANS, "names no plans");
+    }
+    // A negated comparison, so that a number that is none fails it too.
+    if (!(number(child(settings, BOUNDS), MAX_ATTEMPTS) >= 1)) {
+      throw new InvalidConfigurationException(
+          "settings." + BOUNDS + "." + MAX_ATTEMPTS, "is not a positive number");
+    }
+    Set<String> names = new HashSet<>();
+    for (Map<String, Object> fields : children(settings, CLASSES)) {
+      validateClass(fields, names);
+    }
+  }
+
+  private static void validateClass(Map<String, Object> fields, Set<String> namesBefore)
+      throws InvalidConfigurationException {
+    String name = text(fields, NAME);
+    String prefix = "settings." + CLASSES + "." + name + ".";
+    if (name.isEmpty() || !namesBefore.add(name)) {
+      throw new InvalidConfigurationException(prefix + NAME, "is empty or not unique");
+    }
+    double deadlineMs = number(fields, DEADLINE_MS);
+    if (!(deadlineMs > 0 && deadlineMs < Double.POSITIVE_INFINITY)) {
+      throw new InvalidConfigurationException(prefix + DEADLINE_MS, "is not a positive number");
+    }
+    switch (text(fields, IDEMPOTENCY)) {
+      case IDEMPOTENT, IDEMPOTENT_WITH_KEY, NOT_IDEMPOTENT -> {}
+      default -> throw new InvalidConfigurationException(prefix + IDEMPOTENCY, "is unknown");
     }
-    String weights = text(s, "WeightKind");
-    return new PolicySettings(
-        (int) number(s, "Balancers", 1),
-        (int) number(s, "SelfIndex"),
-        text(s, "MyZone"),
-        number(extra, "MaxUnits", 1),
-        number(child(s, "Prices"), "CrossZone"),
-        weights.equals("nominal") || weights.equals("rough"),
-        classes,
-        plans,
-        new Capabilities(
-            flag(extra, "Counter"),
-            number(extra, "CountLimitMs"),
-            flag(bounds, "Cancel"),
-            flag(bounds, "MayDuplicate"),
-            (int) number(bounds, "MaxAttempts", 1),
-            (int) number(bounds, "MaxOpen", Integer.MAX_VALUE),
-            flag(bounds, "RetryAfter"),
-            number(bounds, "MaxRetryAfterMs"),
-            text(s, "Discovery").equals("ask")),
-        new ServiceRules(
-            number(rules, "AnswerSlackMs"),
-            number(rules, "ColdFrom", 1),
-            number(rules, "ColdMs"),
-            number(rules, "TipMultiple", 1),
-            number(rules, "TipAfterMs", 1)));
   }
 }
--- a/src/main/java/quotagateway/counter/CounterClient.java
+++ b/src/main/java/quotagateway/counter/CounterClient.java
@@ -21,6 +21,7 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import quotagateway.config.ResourceLimits;
 import quotagateway.policy.event.CounterReplied;
 import quotagateway.policy.event.Status;
 import quotagateway.transport.Dialer;
@@ -34,7 +35,7 @@
  */
 public final class CounterClient {
 
-  public static final int CONNECTIONS = 12;
+  public static final int CONNECTIONS = ResourceLimits.COUNTER_CONNECTIONS;
   public static final double CONNECT_LIMIT_MS = 250;
 
   /** Answers that one connection may owe; beyond that a call is turned away here. */
--- a/src/main/java/quotagateway/discovery/EndpointFields.java
+++ b/src/main/java/quotagateway/discovery/EndpointFields.java
@@ -7,6 +7,7 @@
 import quotagateway.endpoint.Endpoint;
 import quotagateway.endpoint.EndpointState;
 import quotagateway.transport.BackendAddress;
+import quotagateway.transport.NumericAddress;
 
 /**
  * The fields of one entry of a list as they are read; what is missing or of another kind is as
@@ -58,7 +59,7 @@
           case "left" -> EndpointState.REMOVED;
           default -> EndpointState.DRAINING;
         };
-    long place = BackendAddress.of(EndpointUpdate.address(address));
+    long place = BackendAddress.of(NumericAddress.parse(address));
     if (id.isEmpty() || place == Endpoint.NO_ADDRESS && phase == EndpointState.SERVING) {
       return null;
     }
--- a/src/main/java/quotagateway/discovery/EndpointUpdate.java
+++ b/src/main/java/quotagateway/discovery/EndpointUpdate.java
@@ -1,9 +1,5 @@
 package quotagateway.discovery;
 
-import io.netty.util.NetUtil;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.UnknownHostException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -46,19 +42,4 @@
         Boolean.TRUE.equals(message.get("full")),
         entries);
   }
-
-  /** A numeric address and port, or null; names are not looked up, as there is no DNS. */
-  public static InetSocketAddress address(String text) {
-    int colon = text.lastIndexOf(':');
-    byte[] ip =
-        colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
-    try {
-      int port = ip == null ? -1 : Integer.parseInt(text.substring(colon + 1));
-      return port < 0 || port > 65_535
-          ? null
-          : new InetSocketAddress(InetAddress.getByAddress(ip), port);
-    } catch (NumberFormatException | UnknownHostException e) {
-      return null;
-    }
-  }
 }
--- a/src/main/java/quotagateway/server/GatewayServer.java
+++ b/src/main/java/quotagateway/server/GatewayServer.java
@@ -14,9 +14,12 @@
 import quotagateway.backend.BackendConnectionPool;
 import quotagateway.client.ClientServer;
 import quotagateway.client.RequestReader;
+import quotagateway.config.ConfigurationFile;
 import quotagateway.config.GatewayConfig;
+import quotagateway.config.InvalidConfigurationException;
 import quotagateway.counter.CounterClient;
 import quotagateway.discovery.DiscoveryClient;
+import quotagateway.discovery.EndpointUpdate;
 import quotagateway.driver.PolicyDriver;
 import quotagateway.lifecycle.Lifecycle;
 import quotagateway.policy.GatewayPolicy;
@@ -83,13 +86,14 @@
    * Reads the configuration that the environment names, and serves until the process is told to
    * end.
    */
-  public static void serve() throws IOException, InterruptedException {
+  public static void serve()
+      throws IOException, InterruptedException, InvalidConfigurationException {
     String file = System.getenv("GW_CONFIG");
     if (file == null) {
-      throw new IOException("GW_CONFIG is not set");
+      throw new InvalidConfigurationException("GW_CONFIG", "is not set");
     }
     Path path = Path.of(file);
-    GatewayConfig config = GatewayConfig.read(path).withAdminAddress(System.getenv("GW_MGMT"));
+    GatewayConfig config = ConfigurationFile.read(path).withAdminAddress(System.getenv("GW_MGMT"));
     start(
         config,
         Path.of(System.getProperty("java.io.tmpdir")),
@@ -209,14 +213,15 @@
             config.settings().capabilities().counterTimeoutMs(),
             driver::onCounterReplied);
     counter.start();
-    driver.start(counter, config.known());
+    EndpointUpdate known = EndpointUpdate.of(config.knownEndpoints());
+    driver.start(counter, known);
     discovery =
         new DiscoveryClient(
             loop,
             clock,
             DiscoveryClient.sockets(loop),
             config.discoveryAddress(),
-            config.known().version(),
+            known.version(),
             config.limits().endpoints(),
             driver::onEndpointUpdate);
     discovery.start();
@@ -229,7 +234,7 @@
    */
   synchronized void reload(Path file) {
     try {
-      GatewayConfig read = GatewayConfig.reread(file, config);
+      GatewayConfig read = ConfigurationFile.reread(file, config);
       config = read;
       loop.execute(
           () -> {
@@ -239,7 +244,7 @@
             clients.read(new RequestReader(read.settings()));
           });
       LOG.info("the new configuration is taken");
-    } catch (IOException | RuntimeException e) {
+    } catch (InvalidConfigurationException | RuntimeException e) {
       LOG.warning("the new configuration is not taken: " + e.getMessage());
     }
   }
--- a/src/main/java/quotagateway/simulator/SimulatorAdapter.java
+++ b/src/main/java/quotagateway/simulator/SimulatorAdapter.java
@@ -105,7 +105,7 @@
     long number = 0;
     boolean faulty = false;
     while (in.nextToken() != null) {
-      Map<String, Object> message = JsonFields.object(in);
+      Map<String, Object> message = JsonFields.readObject(in);
       String name = text(message, "m");
       switch (name) {
         case "Mark" -> {
@@ -144,7 +144,7 @@
   private List<Action> actions(int door, String name, Map<String, Object> message, double now) {
     if (name.equals("Attach")) {
       long seed = (long) number(message, "RandomSeed");
-      PolicySettings settings = SettingsParser.read(child(message, "Setup"));
+      PolicySettings settings = SettingsParser.parse(child(message, "Setup"));
       GatewayPolicy policy = new GatewayPolicy(settings, seed);
       doors.put(door, new Door(policy, settings));
       return policy.start(now);
--- a/src/test/java/quotagateway/discovery/EndpointListTiming.java
+++ b/src/test/java/quotagateway/discovery/EndpointListTiming.java
@@ -54,7 +54,7 @@
   }
 
   public static void main(String[] arguments) throws IOException {
-    PolicySettings settings = SettingsParser.read(Map.of("Balancers", 2_000));
+    PolicySettings settings = SettingsParser.parse(Map.of("Balancers", 2_000));
     for (int round = 0; round < 2; round++) {
       EndpointListTiming timing = new EndpointListTiming(settings);
       timing.tell("first list", true, "active", i -> true);
--- a/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
+++ b/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
@@ -31,6 +31,7 @@
 import quotagateway.backend.Attempt;
 import quotagateway.backend.BackendConnectionPool;
 import quotagateway.backend.RequestBody;
+import quotagateway.config.InvalidConfigurationException;
 import quotagateway.discovery.EndpointUpdate;
 import quotagateway.endpoint.Endpoint;
 import quotagateway.endpoint.EndpointState;
@@ -106,7 +107,7 @@
   /**
    * A driver whose module asks no counter and knows the first backend; to be called on the loop.
    */
-  private void start() throws IOException {
+  private void start() throws IOException, InvalidConfigurationException {
     settings =
         Peers.parse(
                 peers
--- a/src/test/java/quotagateway/server/DiscoveryTest.java
+++ b/src/test/java/quotagateway/server/DiscoveryTest.java
@@ -1,7 +1,6 @@
 package quotagateway.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
@@ -289,21 +288,4 @@
     askUntil("2");
     assertTrue(peers.watches.isEmpty(), "none of it was junk");
   }
-
-  @Test
-  void saysWhatIsWrongWithAConfiguration() throws IOException {
-    String good = peers.config();
-    assertEquals(50, Peers.parse(good).settings().capabilities().counterTimeoutMs());
-    for (String[] bad :
-        new String[][] {
-          {"127.0.0.1:0", "somewhere:80", "listen"},
-          {"8c1f30d27a5be964", "seed", "seed"},
-          {"\"Profiles\"", "\"Other\"", "classes"}
-        }) {
-      String message =
-          assertThrows(IOException.class, () -> Peers.parse(good.replace(bad[0], bad[1])))
-              .getMessage();
-      assertTrue(message.contains(bad[2]), message);
-    }
-  }
 }
--- a/src/test/java/quotagateway/testing/Peers.java
+++ b/src/test/java/quotagateway/testing/Peers.java
@@ -28,6 +28,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 import quotagateway.config.GatewayConfig;
+import quotagateway.config.InvalidConfigurationException;
 import quotagateway.config.JsonFields;
 import quotagateway.server.GatewayServer;
 
@@ -299,10 +300,10 @@
     return client;
   }
 
-  public static GatewayConfig parse(String json) throws IOException {
+  public static GatewayConfig parse(String json) throws IOException, InvalidConfigurationException {
     try (JsonParser in = new JsonFactory().createParser(json)) {
       in.nextToken();
-      return GatewayConfig.of(JsonFields.object(in));
+      return GatewayConfig.of(JsonFields.readObject(in));
     }
   }
 
