--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -33,7 +33,7 @@
 import java.util.logging.Logger;
 import quotagateway.backend.Attempt;
 import quotagateway.backend.RequestBody;
-import quotagateway.driver.PolicyDriver;
+import quotagateway.driver.ResponseListener;
 import quotagateway.policy.event.RequestReceived;
 import quotagateway.transport.ProtocolHeaders;
 import quotagateway.transport.SocketTransport;
@@ -469,7 +469,7 @@
             in.body.whole() ? request : request.withoutDeadline(),
             onward(in),
             in.body,
-            new PolicyDriver.Client() {
+            new ResponseListener() {
               @Override
               public boolean isDisconnected() {
                 boolean left = ClientConnection.this.left();
--- a/src/main/java/quotagateway/policy/action/FailRequest.java
+++ b/src/main/java/quotagateway/policy/action/FailRequest.java
@@ -5,4 +5,10 @@
  *
  * @param requestId the request
  */
-public record FailRequest(String requestId) implements Action {}
+public record FailRequest(String requestId) implements Action {
+
+  @Override
+  public <E extends Exception> void handle(Handler<E> handler) throws E {
+    handler.onFailRequest(this);
+  }
+}
--- a/src/main/java/quotagateway/policy/action/IncrementCounter.java
+++ b/src/main/java/quotagateway/policy/action/IncrementCounter.java
@@ -7,4 +7,10 @@
  * @param amount to add; 0 reads it
  * @param ttlMs after which the name is forgotten
  */
-public record IncrementCounter(String counterName, double amount, double ttlMs) implements Action {}
+public record IncrementCounter(String counterName, double amount, double ttlMs) implements Action {
+
+  @Override
+  public <E extends Exception> void handle(Handler<E> handler) throws E {
+    handler.onIncrementCounter(this);
+  }
+}
--- a/src/main/java/quotagateway/policy/action/RejectRequest.java
+++ b/src/main/java/quotagateway/policy/action/RejectRequest.java
@@ -6,4 +6,10 @@
  * @param requestId the request
  * @param retryAfterMs after which to come back; 0 gives no advice
  */
-public record RejectRequest(String requestId, double retryAfterMs) implements Action {}
+public record RejectRequest(String requestId, double retryAfterMs) implements Action {
+
+  @Override
+  public <E extends Exception> void handle(Handler<E> handler) throws E {
+    handler.onRejectRequest(this);
+  }
+}
--- a/src/main/java/quotagateway/policy/action/ScheduleTimer.java
+++ b/src/main/java/quotagateway/policy/action/ScheduleTimer.java
@@ -6,4 +6,10 @@
  * @param atMs the time, in Unix milliseconds
  * @param timer which timer that is
  */
-public record ScheduleTimer(double atMs, Timer timer) implements Action {}
+public record ScheduleTimer(double atMs, Timer timer) implements Action {
+
+  @Override
+  public <E extends Exception> void handle(Handler<E> handler) throws E {
+    handler.onScheduleTimer(this);
+  }
+}
--- a/src/main/java/quotagateway/policy/action/StartAttempt.java
+++ b/src/main/java/quotagateway/policy/action/StartAttempt.java
@@ -10,5 +10,10 @@
  *     infinite where any time will do
  */
 public record StartAttempt(
-    String requestId, long endpointId, double timeoutMs, double maxStartDelayMs)
-    implements Action {}
+    String requestId, long endpointId, double timeoutMs, double maxStartDelayMs) implements Action {
+
+  @Override
+  public <E extends Exception> void handle(Handler<E> handler) throws E {
+    handler.onStartAttempt(this);
+  }
+}
--- a/src/main/java/quotagateway/policy/action/WatchEndpoints.java
+++ b/src/main/java/quotagateway/policy/action/WatchEndpoints.java
@@ -1,4 +1,10 @@
 package quotagateway.policy.action;
 
 /** Ask for changes of the endpoint list from now on. */
-public record WatchEndpoints() implements Action {}
+public record WatchEndpoints() implements Action {
+
+  @Override
+  public <E extends Exception> void handle(Handler<E> handler) throws E {
+    handler.onWatchEndpoints(this);
+  }
+}
--- a/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
+++ b/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
@@ -141,7 +141,7 @@
             id, settings.requestClasses().get(type), "basic", 1, 1, 1, clock.now() + 4_000),
         head,
         RequestBody.of(Unpooled.EMPTY_BUFFER),
-        new PolicyDriver.Client() {
+        new ResponseListener() {
           @Override
           public boolean isDisconnected() {
             return left;
