--- a/src/main/java/quotagateway/config/GatewayConfig.java
+++ b/src/main/java/quotagateway/config/GatewayConfig.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.util.Map;
 import quotagateway.policy.settings.PolicySettings;
-import quotagateway.transport.NumericAddress;
+import quotagateway.transport.SocketAddresses;
 
 /**
  * The configuration of one gateway process; immutable, and replaced whole on a reload.
@@ -111,7 +111,7 @@
   private static InetSocketAddress address(Map<String, Object> fields, String key)
       throws InvalidConfigurationException {
     String text = JsonFields.text(fields, key);
-    InetSocketAddress address = NumericAddress.parse(text);
+    InetSocketAddress address = SocketAddresses.parse(text);
     if (address == null) {
       throw new InvalidConfigurationException(key, "is not an address and port: '" + text + "'");
     }
--- a/src/main/java/quotagateway/discovery/EndpointUpdate.java
+++ b/src/main/java/quotagateway/discovery/EndpointUpdate.java
@@ -8,14 +8,14 @@
 import quotagateway.endpoint.EndpointListForm;
 
 /** One message of discovery, or a piece of one; the version is 0 where it is not told. */
-public record EndpointUpdate(long version, EndpointListForm form, List<Endpoint> entries) {
+public record EndpointUpdate(long version, EndpointListForm form, List<Endpoint> endpoints) {
 
-  public EndpointUpdate(long version, boolean full, List<Endpoint> entries) {
-    this(version, full ? EndpointListForm.SNAPSHOT : EndpointListForm.DELTA, entries);
+  public EndpointUpdate(long version, boolean isSnapshot, List<Endpoint> endpoints) {
+    this(version, isSnapshot ? EndpointListForm.SNAPSHOT : EndpointListForm.DELTA, endpoints);
   }
 
   /** Whether it is the whole list, or the end of one. */
-  public boolean full() {
+  public boolean isSnapshot() {
     return form == EndpointListForm.SNAPSHOT;
   }
 
--- a/src/main/java/quotagateway/driver/PolicyDriver.java
+++ b/src/main/java/quotagateway/driver/PolicyDriver.java
@@ -79,7 +79,7 @@
     for (Action action : policy.start(decidedAtMs)) {
       execute(action, decidedAtMs);
     }
-    deliver(new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, known.entries()));
+    deliver(new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, known.endpoints()));
     backends.onRoster(known);
   }
 
@@ -168,13 +168,13 @@
    * backends for attempts that the pool gives up because of them.
    */
   public void onEndpointUpdate(EndpointUpdate update) {
-    deliver(new EndpointsUpdated(update.form(), update.entries()));
+    deliver(new EndpointsUpdated(update.form(), update.endpoints()));
     backends.onRoster(update);
   }
 
   /** Fails all requests without a final response: the process is about to end. */
   public void failAll() {
-    PeriodicTask.each(requests.all(), this::fail);
+    PeriodicTask.forEachIsolated(requests.all(), this::fail);
   }
 
   private void fail(ActiveRequest request) {
@@ -295,7 +295,7 @@
 
     @Override
     public void onIncrementCounter(IncrementCounter action) {
-      counter.add(action.counterName(), action.amount(), action.ttlMs());
+      counter.increment(action.counterName(), action.amount(), action.ttlMs());
     }
 
     /** Never early: the policy ignores a timer before its time, and none would follow. */
--- a/src/main/java/quotagateway/transport/NumericAddress.java
+++ b/src/main/java/quotagateway/transport/SocketAddresses.java
@@ -5,14 +5,19 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses in numeric form; names are not looked up, as there is no DNS. */
-public final class NumericAddress {
+/** Reads socket addresses from the text form that the configuration and discovery use. */
+public final class SocketAddresses {
 
   private static final int MAX_PORT = 65_535;
 
-  private NumericAddress() {}
+  private SocketAddresses() {}
 
-  /** The address of a text like {@code 10.0.0.4:7070}, or null where it is not one. */
+  /**
+   * Parses a numeric address and a port, such as {@code 10.1.0.18:7070}. Host names are not
+   * resolved: the platform has no DNS.
+   *
+   * @return the address, or null where the text is not of this form
+   */
   public static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
     if (colon < 0) {
