--- a/src/main/java/quotagateway/config/ResourceLimits.java
+++ b/src/main/java/quotagateway/config/ResourceLimits.java
@@ -23,7 +23,10 @@
     int endpoints,
     double cores) {
 
-  /** A late reply of the counter holds up only the calls behind it on one of these. */
+  /**
+   * Connections to the counter, which holds 32 for a gateway; that has to do for a second process
+   * beside this one too.
+   */
   public static final int COUNTER_CONNECTIONS = 12;
 
   /** Callers that the admin server serves at a time. */
