--- a/src/main/java/quotagateway/client/Exchange.java
+++ b/src/main/java/quotagateway/client/Exchange.java
@@ -15,7 +15,7 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import quotagateway.backend.Attempt;
-import quotagateway.driver.PolicyDriver;
+import quotagateway.driver.ResponseListener;
 import quotagateway.policy.event.RequestReceived;
 import quotagateway.transport.ProtocolHeaders;
 
@@ -27,7 +27,7 @@
  * one to {@code STREAMING} where the response comes in pieces; and either to {@code ENDED}, by
  * {@link #end} alone. A request that is answered here stays {@code LOCAL}.
  */
-final class Exchange implements PolicyDriver.Client {
+final class Exchange implements ResponseListener {
 
   private static final Logger LOG = Logger.getLogger(Exchange.class.getName());
 
--- a/src/main/java/quotagateway/counter/CounterClient.java
+++ b/src/main/java/quotagateway/counter/CounterClient.java
@@ -8,6 +8,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import quotagateway.config.ResourceLimits;
 import quotagateway.policy.event.CounterReplied;
 import quotagateway.policy.event.Status;
 import quotagateway.transport.Dialer;
@@ -22,11 +23,8 @@
  */
 public final class CounterClient {
 
-  /**
-   * Connections to one address. The counter holds 32 for a gateway, which has to do for a second
-   * process beside this one too.
-   */
-  public static final int CONNECTIONS = 12;
+  /** Connections to one address. */
+  public static final int CONNECTIONS = ResourceLimits.COUNTER_CONNECTIONS;
 
   /** For the dialer of the connections: one that takes longer to come up is dialed again. */
   public static final double CONNECT_TIMEOUT_MS = 250;
