--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -35,8 +35,8 @@
 import quotagateway.backend.RequestBody;
 import quotagateway.driver.PolicyDriver;
 import quotagateway.policy.event.RequestReceived;
+import quotagateway.transport.KernelSockets;
 import quotagateway.transport.ProtocolHeaders;
-import quotagateway.transport.SocketTransport;
 
 /** One client's connection: a request at a time, each with the one final answer. */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
@@ -358,7 +358,7 @@
     if (content instanceof LastHttpContent) {
       coming = null;
       receivingSince = Double.NaN;
-      in.arrivedAt = server.now() - SocketTransport.msSinceLastReceive(channel);
+      in.arrivedAt = server.now() - KernelSockets.msSinceLastReceive(channel);
       in.body.end();
       if (in.taken && handled == in && current != null) {
         server.driver().completeBody(current, in.arrivedAt + in.timeoutMs);
@@ -520,7 +520,7 @@
    * yet.
    */
   private boolean left() {
-    if (channel.isActive() && SocketTransport.isClosedByPeer(channel)) {
+    if (channel.isActive() && KernelSockets.isClosedByPeer(channel)) {
       channel.close();
     }
     return !channel.isActive();
@@ -622,7 +622,7 @@
     if (!whole) {
       ending = true;
       dropWaiting();
-      SocketTransport.reset(channel);
+      KernelSockets.reset(channel);
     } else if (keepAlive) {
       proceed();
     } else {
--- a/src/main/java/quotagateway/client/ClientServer.java
+++ b/src/main/java/quotagateway/client/ClientServer.java
@@ -22,6 +22,7 @@
 import quotagateway.lifecycle.Lifecycle;
 import quotagateway.policy.event.RequestReceived;
 import quotagateway.transport.ConnectionBudget;
+import quotagateway.transport.KernelSockets;
 import quotagateway.transport.MonotonicClock;
 import quotagateway.transport.PeriodicTask;
 import quotagateway.transport.SocketTransport;
@@ -256,7 +257,7 @@
   /** Takes what waits to be taken, and no more connections. */
   public void stopAccepting() {
     if (listening != null) {
-      SocketTransport.acceptPending(listening);
+      KernelSockets.acceptPending(listening);
       listening.close();
     }
   }
--- /dev/null
+++ b/src/main/java/quotagateway/discovery/package-info.java
@@ -0,0 +1,2 @@
+/** The client of discovery, which watches the list of endpoints. */
+package quotagateway.discovery;
--- a/src/main/java/quotagateway/transport/BackendAddress.java
+++ b/src/main/java/quotagateway/transport/BackendAddress.java
@@ -7,7 +7,8 @@
 import quotagateway.endpoint.Endpoint;
 
 /**
- * A backend's address and port as one number, of which many can be kept: IPv4, as the sockets here.
+ * The address and port of a backend as one number, of which many can be kept in little memory: the
+ * four bytes of an IPv4 address, then the 16 bits of the port.
  */
 public final class BackendAddress {
 
@@ -16,7 +17,11 @@
 
   private BackendAddress() {}
 
-  /** The number of an address and port; {@link Endpoint#NOWHERE} for any other, and for none. */
+  /**
+   * Encodes an address.
+   *
+   * @return the number; {@link Endpoint#NO_ADDRESS} for null and for an address that is not IPv4
+   */
   public static long encode(InetSocketAddress address) {
     if (address == null || !(address.getAddress() instanceof Inet4Address ip)) {
       return Endpoint.NO_ADDRESS;
@@ -28,15 +33,16 @@
     return number << PORT_BITS | address.getPort();
   }
 
-  public static InetSocketAddress decode(long place) {
-    long number = place >>> PORT_BITS;
+  /** Decodes what {@link #encode} gave for an address. */
+  public static InetSocketAddress decode(long encoded) {
+    long number = encoded >>> PORT_BITS;
     byte[] ip = {
       (byte) (number >>> 24), (byte) (number >>> 16), (byte) (number >>> 8), (byte) number
     };
     try {
-      return new InetSocketAddress(InetAddress.getByAddress(ip), (int) place & PORT_MASK);
+      return new InetSocketAddress(InetAddress.getByAddress(ip), (int) encoded & PORT_MASK);
     } catch (UnknownHostException e) {
-      throw new IllegalArgumentException("no place: " + place, e);
+      throw new AssertionError("four bytes are always an address", e);
     }
   }
 }
--- a/src/main/java/quotagateway/transport/Dialer.java
+++ b/src/main/java/quotagateway/transport/Dialer.java
@@ -8,19 +8,39 @@
 import io.netty.channel.RecvByteBufAllocator;
 import java.net.InetSocketAddress;
 
-/** Opens connections to backends, to the counter and to discovery. */
+/**
+ * Opens connections to backends, to the counter and to discovery. An interface, so that tests and
+ * the warm-up can do without sockets.
+ */
 public interface Dialer {
 
-  /** Connects; the handler sets the new channel up. */
+  /**
+   * Begins to connect.
+   *
+   * @param address the peer
+   * @param handler the first handler of the new channel, which sets up its pipeline
+   * @return completes on the event loop once the connection is up, or cannot be had
+   */
   ChannelFuture dial(InetSocketAddress address, ChannelHandler handler);
 
-  /** Real ones, driven by the loop, that come up within the limit or not at all. */
-  static Dialer sockets(EventLoop loop, double limitMs) {
-    return sockets(loop, limitMs, SocketTransport.boundedReads());
+  /**
+   * A dialer of sockets that share the sizes of {@link SocketTransport}.
+   *
+   * @param loop drives the sockets
+   * @param connectTimeoutMs bounds the time in which a connection comes up, in milliseconds
+   */
+  static Dialer sockets(EventLoop loop, double connectTimeoutMs) {
+    return sockets(loop, connectTimeoutMs, SocketTransport.boundedReads());
   }
 
-  /** The same, which read as the allocator says. */
-  static Dialer sockets(EventLoop loop, double limitMs, RecvByteBufAllocator reads) {
+  /**
+   * A dialer of sockets whose reads another allocator sizes.
+   *
+   * @param loop drives the sockets
+   * @param connectTimeoutMs bounds the time in which a connection comes up, in milliseconds
+   * @param reads sizes the reads
+   */
+  static Dialer sockets(EventLoop loop, double connectTimeoutMs, RecvByteBufAllocator reads) {
     Bootstrap bootstrap =
         new Bootstrap()
             .group(loop)
@@ -29,7 +49,7 @@
             .option(ChannelOption.WRITE_BUFFER_WATER_MARK, SocketTransport.WRITE_BUFFER_WATER_MARK)
             .option(ChannelOption.SO_SNDBUF, SocketTransport.SEND_BUFFER_BYTES)
             .option(ChannelOption.RECVBUF_ALLOCATOR, reads)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(limitMs));
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(connectTimeoutMs));
     return (address, handler) -> bootstrap.clone().handler(handler).connect(address);
   }
 }
--- a/src/main/java/quotagateway/transport/PeriodicTask.java
+++ b/src/main/java/quotagateway/transport/PeriodicTask.java
@@ -9,9 +9,10 @@
 import java.util.logging.Logger;
 
 /**
- * Work on many connections or requests, one by one. What one of them throws ends neither the work
- * on the others nor the rounds to come; a task that throws is never run again by its loop, and
- * nothing tells so.
+ * Work on many connections or requests, one after another, once or again and again. Prevents an
+ * exception in the work on one of them from ending the work on the others and all rounds to come: a
+ * scheduled task that throws is not run again, and nothing reports it. Cost: what threw may stay
+ * half done; it is logged.
  */
 public final class PeriodicTask {
 
@@ -19,21 +20,30 @@
 
   private PeriodicTask() {}
 
-  /** Has the loop run a round again and again, so long after the one before. */
-  public static void schedule(EventLoop loop, long pauseMs, Runnable round) {
-    loop.scheduleWithFixedDelay(() -> guarded(round), pauseMs, pauseMs, TimeUnit.MILLISECONDS);
+  /**
+   * Runs a task on the event loop until the loop ends, also after a run that threw.
+   *
+   * @param delayMs from the end of a run to the next, and before the first, in milliseconds
+   */
+  public static void schedule(EventLoop loop, long delayMs, Runnable task) {
+    loop.scheduleWithFixedDelay(() -> runIsolated(task), delayMs, delayMs, TimeUnit.MILLISECONDS);
   }
 
-  /** Works on all that are there by now; the collection may change meanwhile. */
-  public static <T> void forEachIsolated(Collection<T> all, Consumer<? super T> work) {
-    List.copyOf(all).forEach(one -> guarded(() -> work.accept(one)));
+  /**
+   * Works on each element that is there by now, also after one whose work threw. The collection may
+   * change meanwhile.
+   */
+  public static <T> void forEachIsolated(Collection<T> elements, Consumer<? super T> work) {
+    List.copyOf(elements).forEach(element -> runIsolated(() -> work.accept(element)));
   }
 
-  private static void guarded(Runnable work) {
+  private static void runIsolated(Runnable work) {
     try {
       work.run();
     } catch (RuntimeException e) {
-      LOG.log(Level.SEVERE, "a sweep goes on without one", e);
+      // Any fault of the program may come here. The state of other elements is their own, and the
+      // next run looks at everything afresh.
+      LOG.log(Level.SEVERE, "periodic work failed", e);
     }
   }
 }
--- a/src/main/java/quotagateway/transport/StaleEventFilter.java
+++ b/src/main/java/quotagateway/transport/StaleEventFilter.java
@@ -11,20 +11,24 @@
 import io.netty.channel.unix.FileDescriptor;
 
 /**
- * Netty's epoll, without events of sockets that are closed already. Guards against those being told
- * to another socket: the kernel gives a batch of events by descriptor number, and where one event
- * of the batch has a socket closed and the next one has another opened, the new socket gets the old
- * number and the old socket's events. A hang-up among them ends a connection that is being opened,
- * and of an open one it takes the watch for hang-ups; such a one then leaves epoll when its reading
- * pauses, and fails when that goes on. Harm: none, as a new socket's own events come with the next
- * batch at the earliest.
+ * Netty's epoll, without the events of sockets that are closed already. To be used on one event
+ * loop.
+ *
+ * <p>Prevents an event of a closed socket from being delivered to another one. The kernel returns a
+ * batch of events by descriptor number; where the handling of one event closes a socket and that of
+ * the next opens another, the new socket gets the old number, and the old socket's events that are
+ * still in the batch. It shows as an attempt that ends as if its backend were gone: a hang-up among
+ * those events ends a connection that is being opened. An open connection loses its own notice of
+ * hang-ups by it, leaves epoll when its reading pauses, and fails when that resumes. The guard
+ * holds as a new socket's own events come with the next batch at the earliest. Cost: a comparison
+ * for each event.
  */
 final class StaleEventFilter implements IoHandler {
 
   private final IoHandler epoll;
 
-  /** Counts the batches. */
-  private long batch;
+  /** Batches of events so far. */
+  private long batchNumber;
 
   private StaleEventFilter(IoHandler epoll) {
     this.epoll = epoll;
@@ -40,16 +44,16 @@
     epoll.initialize();
   }
 
-  /** Waits for one batch of events and has it handled. */
+  /** Waits for one batch of events and has each of them handled. */
   @Override
   public int run(IoHandlerContext context) {
-    batch++;
+    batchNumber++;
     return epoll.run(context);
   }
 
   @Override
   public IoRegistration register(IoHandle handle) throws Exception {
-    return epoll.register(new Handle((EpollIoHandle) handle));
+    return epoll.register(new FilteredHandle((EpollIoHandle) handle));
   }
 
   @Override
@@ -72,15 +76,12 @@
     return epoll.isCompatible(type);
   }
 
-  /**
-   * One socket: what the batch in which it was registered tells under its number is not meant for
-   * it.
-   */
-  private final class Handle implements EpollIoHandle {
+  /** One socket: events of the batch in which it was registered are not meant for it. */
+  private final class FilteredHandle implements EpollIoHandle {
     private final EpollIoHandle socket;
-    private final long registeredIn = batch;
+    private final long registeredInBatch = batchNumber;
 
-    Handle(EpollIoHandle socket) {
+    FilteredHandle(EpollIoHandle socket) {
       this.socket = socket;
     }
 
@@ -91,7 +92,7 @@
 
     @Override
     public void handle(IoRegistration registration, IoEvent event) {
-      if (batch != registeredIn) {
+      if (batchNumber != registeredInBatch) {
         socket.handle(registration, event);
       }
     }
--- /dev/null
+++ b/src/main/java/quotagateway/transport/package-info.java
@@ -0,0 +1,2 @@
+/** Sockets, timers, connection limits and the clock, for every peer alike. */
+package quotagateway.transport;
--- a/src/test/java/quotagateway/transport/PeriodicTaskTest.java
+++ b/src/test/java/quotagateway/transport/PeriodicTaskTest.java
@@ -8,6 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
+/** Work that goes on after an exception. */
 class PeriodicTaskTest {
 
   private static void fail() {
@@ -15,7 +16,7 @@
   }
 
   @Test
-  void whatOneThrowsEndsNoOthersTurn() {
+  void anExceptionForOneElementDoesNotKeepTheOthersFromTheirWork() {
     List<Integer> done = new ArrayList<>();
     PeriodicTask.forEachIsolated(
         List.of(1, 2, 3),
@@ -30,14 +31,14 @@
 
   /** As when a connection is closed by it. */
   @Test
-  void theCollectionMayChangeMeanwhile() {
+  void theCollectionMayChangeDuringTheWork() {
     List<Integer> all = new ArrayList<>(List.of(1, 2, 3));
     PeriodicTask.forEachIsolated(all, all::remove);
     assertEquals(List.of(), all);
   }
 
   @Test
-  void aRoundThatThrowsIsNotTheLast() {
+  void aScheduledTaskRunsAgainAfterItThrew() {
     EmbeddedChannel channel = new EmbeddedChannel();
     int[] rounds = new int[1];
     PeriodicTask.schedule(
