--- a/src/main/java/quotagateway/client/ClientServer.java
+++ b/src/main/java/quotagateway/client/ClientServer.java
@@ -18,6 +18,7 @@
 import quotagateway.driver.PolicyDriver;
 import quotagateway.lifecycle.Lifecycle;
 import quotagateway.transport.ConnectionBudget;
+import quotagateway.transport.KernelSockets;
 import quotagateway.transport.MonotonicClock;
 import quotagateway.transport.SocketTransport;
 
@@ -140,7 +141,7 @@
   /** Accepts the connections that wait to be accepted, and no more. */
   public void stopAccepting() {
     if (listening != null) {
-      SocketTransport.acceptPending(listening);
+      KernelSockets.acceptPending(listening);
       listening.close();
     }
   }
--- a/src/main/java/quotagateway/client/ConnectionCloser.java
+++ b/src/main/java/quotagateway/client/ConnectionCloser.java
@@ -6,7 +6,7 @@
 import io.netty.channel.socket.SocketChannel;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.concurrent.TimeUnit;
-import quotagateway.transport.SocketTransport;
+import quotagateway.transport.KernelSockets;
 
 /**
  * Closes one connection, at once, behind its last response, or with a reset, so that its client can
@@ -127,7 +127,7 @@
   void reset() {
     closing = true;
     requests.discardRequests();
-    SocketTransport.reset(channel);
+    KernelSockets.reset(channel);
   }
 
   /**
