--- a/src/main/java/quotagateway/client/ClientServer.java
+++ b/src/main/java/quotagateway/client/ClientServer.java
@@ -23,7 +23,7 @@
 
 /**
  * Accepts the connections of clients, and ends them at the shutdown. On the event loop's thread,
- * but for {@link #listen} and {@link #ready}.
+ * but for {@link #listen} and {@link #isReady}.
  */
 public final class ClientServer {
 
@@ -128,12 +128,12 @@
   }
 
   /** New settings hold for the requests that are read from now on. */
-  public void read(RequestReader newReader) {
+  public void replaceRequestReader(RequestReader newReader) {
     context.replaceReader(newReader);
   }
 
   /** Whether it takes clients' requests; asked by the admin server too, from its own thread. */
-  public boolean ready() {
+  public boolean isReady() {
     return context.ready();
   }
 
@@ -149,14 +149,14 @@
    * The final timeout of the shutdown: what is unanswered fails, and each connection ends, with an
    * error to a request that has come in part.
    */
-  public void end() {
+  public void shutDown() {
     context.shutDown();
     context.driver().failAll();
     connections.closeAllForShutdown();
   }
 
   /** Whether no client is connected. */
-  public boolean idle() {
+  public boolean hasNoConnections() {
     return connections.isEmpty();
   }
 }
--- a/src/main/java/quotagateway/server/GatewayServer.java
+++ b/src/main/java/quotagateway/server/GatewayServer.java
@@ -154,7 +154,7 @@
 
   private boolean ready() {
     ClientServer wired = clients;
-    return wired != null && wired.ready();
+    return wired != null && wired.isReady();
   }
 
   public SocketAddress address() {
@@ -238,7 +238,7 @@
             counter.changeAddress(read.counterAddress());
             discovery.changeAddress(read.discoveryAddress());
             driver.onSettingsChanged(read.settings());
-            clients.read(new RequestReader(read.settings()));
+            clients.replaceRequestReader(new RequestReader(read.settings()));
           });
       LOG.info("the new configuration is taken");
     } catch (IOException | RuntimeException e) {
@@ -266,7 +266,7 @@
     loop.schedule(clients::stopAccepting, acceptMs, TimeUnit.MILLISECONDS);
     loop.scheduleWithFixedDelay(
         () -> {
-          if (clients.idle()) {
+          if (clients.hasNoConnections()) {
             drained.countDown();
           }
         },
@@ -275,7 +275,7 @@
         TimeUnit.MILLISECONDS);
     try {
       if (!drained.await(answerMs, TimeUnit.MILLISECONDS)) {
-        loop.submit(clients::end).sync();
+        loop.submit(clients::shutDown).sync();
         // What has begun is passed on for as long as the process is let be.
         do {
           drained.await(LAST_MS, TimeUnit.MILLISECONDS);
--- a/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
+++ b/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
@@ -398,7 +398,7 @@
         .submit(
             () -> {
               door.lifecycle().end();
-              door.clients().end();
+              door.clients().shutDown();
             })
         .sync();
     assertNotEquals(200, client.receive().status());
--- a/src/test/java/quotagateway/server/ClientDisconnectTest.java
+++ b/src/test/java/quotagateway/server/ClientDisconnectTest.java
@@ -126,7 +126,7 @@
 
   private void awaitClosed() throws Exception {
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
-    while (door.loop.submit(() -> !door.clients().idle()).get()) {
+    while (door.loop.submit(() -> !door.clients().hasNoConnections()).get()) {
       assertTrue(System.nanoTime() < until, "the connection of a client that has left is kept");
     }
   }
