--- a/src/main/java/quotagateway/endpoint/EndpointIndex.java
+++ b/src/main/java/quotagateway/endpoint/EndpointIndex.java
@@ -1,135 +1,67 @@
 package quotagateway.endpoint;
 
-import it.unimi.dsi.fastutil.doubles.DoubleArrayList;
-import it.unimi.dsi.fastutil.ints.Int2IntOpenHashMap;
-import it.unimi.dsi.fastutil.ints.IntArrayList;
 import it.unimi.dsi.fastutil.longs.Long2IntOpenHashMap;
-import it.unimi.dsi.fastutil.longs.LongArrayList;
-import java.math.BigDecimal;
-import java.util.ArrayList;
 import java.util.BitSet;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
 import java.util.function.IntConsumer;
 
 /**
- * What discovery tells of all backends, in columns of a few dozen bytes for each, and the orders
- * that choices are made in. A backend is known by its slot, a small number that is free for another
- * once it is removed. A change costs the logarithm of the list. Nothing is decided here.
+ * All endpoints that discovery tells of, and the orders that choices are made in. An endpoint is
+ * known by its slot, a small number that is free for another one once it is removed. A change costs
+ * the logarithm of the list. Nothing is decided here. Owned by the policy's thread.
  */
 public class EndpointIndex implements ServingEndpoints {
 
+  /** Stands for no slot. */
   public static final int NONE = OrderedSlots.NONE;
-  private static final OrderedSlots EMPTY = new OrderedSlots(slot -> 0);
 
-  /** Sizes beyond these are junk, which would pass for nearly all or none of the fleet. */
-  private static final double LEAST_SIZE = 1e-6;
+  /** Weights beyond these are junk, which would pass for nearly all or none of the fleet. */
+  private static final double MIN_WEIGHT = 1e-6;
 
-  private static final double MOST_SIZE = 1e9;
+  private static final double MAX_WEIGHT = 1e9;
 
-  /** The columns grow by this part of their length: little is left unused. */
-  private static final int GROWTH = 32;
+  private final EndpointColumns columns = new EndpointColumns();
+  private final EndpointGroups groups = new EndpointGroups(columns);
+  private final SnapshotRemoval removal = new SnapshotRemoval();
 
-  /** The low bits of an entry in the column of groups are its phase. */
-  private static final int PHASE_BITS = 2;
-
-  private static final int PHASE_MASK = (1 << PHASE_BITS) - 1;
-  private static final EndpointState[] PHASES = EndpointState.values();
-
-  private final LongArrayList ids = new LongArrayList();
-  private final LongArrayList places = new LongArrayList();
-  private final DoubleArrayList sizes = new DoubleArrayList();
-  private final DoubleArrayList starts = new DoubleArrayList();
-  private final IntArrayList groupsAndPhases = new IntArrayList();
-  private final IntArrayList free = new IntArrayList();
-
-  /**
-   * The slots of backends that drain or are gone, by identifier; the others are found in their
-   * order.
-   */
+  /** Slots of endpoints that drain or are removed, by identifier; others are found in an order. */
   private final Long2IntOpenHashMap notServing = new Long2IntOpenHashMap();
 
   private final OrderedSlots serving = new OrderedSlots(this::id);
 
-  /** By the time of their start, which is positive, so that its bits have the same order. */
-  private final OrderedSlots starting =
-      new OrderedSlots(slot -> Double.doubleToLongBits(startedMs(slot)));
-
+  private final WarmingUpEndpoints warmingUp = new WarmingUpEndpoints(columns);
+  private final MeanWeight meanWeight = new MeanWeight();
   private OrderedSlots ranked;
   private long gateway;
-  private final Map<String, Zone> zones = new HashMap<>();
-  private final List<Cell> cells = new ArrayList<>();
-
-  /** Exact, so that it does not drift however many changes there are. */
-  private BigDecimal total = BigDecimal.ZERO;
-
-  /**
-   * While some that have left remain: those that have not, and the first slot still to be looked
-   * at.
-   */
-  private BitSet kept;
 
-  private int swept;
-  private double meanSize = 1;
-  private boolean meanKnown = true;
-
-  /** The backends of one zone, and its cells. */
-  private final class Zone {
-    final String name;
-    final OrderedSlots serving = new OrderedSlots(EndpointIndex.this::id);
-
-    /** The numbers of its cells in the list of all, by the numbers that they have here. */
-    final Int2IntOpenHashMap groups = new Int2IntOpenHashMap();
-
-    Zone(String name) {
-      this.name = name;
-      groups.defaultReturnValue(NONE);
-    }
-  }
-
-  /** The backends of one cell of a zone, which has a number of its own there. */
-  private static final class Cell {
-    final Zone zone;
-    final int inZone;
-
-    /** Null until it is asked for: few cells are, and there may be tens of thousands. */
-    OrderedSlots serving;
-
-    Cell(Zone zone, int inZone) {
-      this.zone = zone;
-      this.inZone = inZone;
-    }
-  }
-
-  /** For one gateway, whose order of ranks differs from those of others. */
+  /** An empty index of one gateway, whose order of ranks differs from those of others. */
   public EndpointIndex(long gateway) {
     notServing.defaultReturnValue(NONE);
     rankFor(gateway);
   }
 
   /** Orders the ranks anew for a gateway. */
-  public void rankFor(long other) {
-    gateway = other;
-    ranked = new OrderedSlots(slot -> RendezvousHash.rank(id(slot), other));
+  public final void rankFor(long newGateway) {
+    gateway = newGateway;
+    ranked = new OrderedSlots(slot -> RendezvousHash.rank(id(slot), newGateway));
     for (int i = 0; i < serving.size(); i++) {
       ranked.add(serving.get(i));
     }
   }
 
+  /** The gateway that the ranks are for. */
   public long gateway() {
     return gateway;
   }
 
-  // ---- Finding ----
+  // ---- Orders ----
 
-  /** The slot of a backend, or {@link #NONE}. */
+  /** The slot of an endpoint, or {@link #NONE}. */
   public int find(long id) {
     int slot = serving.find(id);
     return slot == NONE ? notServing.get(id) : slot;
   }
 
-  /** All backends that serve, by identifier. */
+  /** All endpoints that serve, by identifier. */
   public OrderedSlots serving() {
     return serving;
   }
@@ -141,43 +73,35 @@
 
   /** Those of them in a zone, by identifier. */
   public OrderedSlots inZone(String zone) {
-    Zone found = zones.get(zone);
-    return found == null ? EMPTY : found.serving;
+    return groups.inZone(zone);
   }
 
   /** Those of them in a cell of a zone, by identifier. */
   public OrderedSlots inCell(String zone, int cell) {
-    Zone found = zones.get(zone);
-    int group = found == null ? NONE : found.groups.get(cell);
-    return group == NONE ? EMPTY : inCell(cells.get(group));
-  }
-
-  /** The first call for a cell looks through its zone. */
-  private OrderedSlots inCell(Cell cell) {
-    if (cell.serving == null) {
-      cell.serving = new OrderedSlots(this::id);
-      OrderedSlots inZone = cell.zone.serving;
-      for (int i = 0; i < inZone.size(); i++) {
-        int slot = inZone.get(i);
-        if (cells.get(group(slot)) == cell) {
-          cell.serving.add(slot);
-        }
-      }
-    }
-    return cell.serving;
+    return groups.inCell(zone, cell);
+  }
+
+  /** Whether an endpoint is among the first so many in the gateway's own order. */
+  public boolean isAmongFirst(int count, int slot) {
+    return count > 0
+        && state(slot) == EndpointState.SERVING
+        && RendezvousHash.rank(id(slot), gateway)
+            <= RendezvousHash.rank(id(ranked.get(count - 1)), gateway);
   }
 
+  // ---- One endpoint ----
+
   @Override
   public long address(long id) {
     int slot = find(id);
-    boolean serves = slot != NONE && phase(slot) == EndpointState.SERVING && !hasLeft(slot);
-    return serves ? places.getLong(slot) : Endpoint.NO_ADDRESS;
+    boolean serves = slot != NONE && state(slot) == EndpointState.SERVING && !hasLeft(slot);
+    return serves ? columns.address(slot) : Endpoint.NO_ADDRESS;
   }
 
   @Override
   public double startedMs(long id) {
     int slot = find(id);
-    return slot == NONE ? 0 : startedMs(slot);
+    return slot == NONE ? 0 : assumedStartMs(slot);
   }
 
   @Override
@@ -185,260 +109,192 @@
     return serving.size() > 0;
   }
 
+  /** The identifier of an endpoint. */
   public long id(int slot) {
-    return ids.getLong(slot);
+    return columns.id(slot);
   }
 
-  public double size(int slot) {
-    return sizes.getDouble(slot);
+  /** The capacity of an endpoint relative to others. */
+  public double weight(int slot) {
+    return columns.weight(slot);
   }
 
-  /** When it started, as it is taken for; 0 when that was long ago. */
-  public double startedMs(int slot) {
-    return starts.getDouble(slot);
+  /** When it is assumed to have started, in Unix milliseconds; 0 when that was long ago. */
+  public double assumedStartMs(int slot) {
+    return columns.startedMs(slot);
   }
 
-  public EndpointState phase(int slot) {
-    return PHASES[groupsAndPhases.getInt(slot) & PHASE_MASK];
+  /** The state of an endpoint. */
+  public EndpointState state(int slot) {
+    return columns.state(slot);
   }
 
-  /** The number of its zone and cell. */
+  /** The group number of its zone and cell. */
   public int group(int slot) {
-    return groupsAndPhases.getInt(slot) >>> PHASE_BITS;
+    return columns.group(slot);
   }
 
+  /** The zone of a group. */
   public String zone(int group) {
-    return cells.get(group).zone.name;
+    return groups.zone(group);
   }
 
+  /** The number that a group has as a cell of its zone. */
   public int cell(int group) {
-    return cells.get(group).inZone;
+    return groups.cell(group);
   }
 
-  /** Whether a backend is among the first so many in the gateway's own order. */
-  public boolean isAmong(int first, int slot) {
-    return first > 0
-        && phase(slot) == EndpointState.SERVING
-        && RendezvousHash.rank(id(slot), gateway)
-            <= RendezvousHash.rank(id(ranked.get(first - 1)), gateway);
+  /** Whether it started less than so long ago. */
+  public boolean isWarmingUp(int slot, double warmUpMs, double nowMs) {
+    return warmingUp.isWarmingUp(slot, warmUpMs, nowMs);
   }
 
-  /** The mean size of those that serve; 1 where none does. */
-  public double meanSize() {
-    if (!meanKnown) {
-      meanSize = serving.size() == 0 ? 1 : total.doubleValue() / serving.size();
-      meanKnown = true;
-    }
-    return meanSize;
+  /** Whether an endpoint has left, though its orders still have it. */
+  public boolean hasLeft(int slot) {
+    return removal.isPending(slot);
   }
 
-  /** How many of those that serve started no less than so long ago. */
-  public int warm(double coldMs, double now) {
-    while (starting.size() > 0 && !cold(starting.get(0), coldMs, now)) {
-      starting.remove(starting.get(0));
-    }
-    return serving.size() - starting.size();
+  /** How many slots there are, free ones included. */
+  public int capacity() {
+    return columns.capacity();
   }
 
-  public boolean cold(int slot, double coldMs, double now) {
-    double started = starts.getDouble(slot);
-    return started > 0 && now - started < coldMs;
+  /** Whether an endpoint has this slot. */
+  public boolean isUsed(int slot) {
+    return columns.isUsed(slot);
   }
 
-  public int capacity() {
-    return ids.size();
+  // ---- All endpoints that serve ----
+
+  /** The mean weight of those that serve; 1 where none does. */
+  public double meanWeight() {
+    return meanWeight.value();
   }
 
-  /** Whether a backend has this slot; a free one's group is negative. */
-  public boolean isUsed(int slot) {
-    return groupsAndPhases.getInt(slot) >= 0;
+  /** How many of those that serve started no less than so long ago. */
+  public int countWarm(double warmUpMs, double nowMs) {
+    return serving.size() - warmingUp.count(warmUpMs, nowMs);
   }
 
-  // ---- Changing ----
+  /** Looks anew at which endpoints are warming up, as another time holds for that. */
+  public void recountWarmingUp(double warmUpMs, double nowMs) {
+    for (int i = 0; i < serving.size(); i++) {
+      int slot = serving.get(i);
+      warmingUp.remove(slot);
+      warmingUp.addIfWarmingUp(slot, warmUpMs, nowMs);
+    }
+  }
 
-  /** The number of a zone and cell; a new one gets the next higher number, the first 0. */
+  // ---- Changes ----
+
+  /** The group number of a zone and cell; a new one gets the next higher number, the first 0. */
   public int group(String zone, int cell) {
-    Zone in = zones.get(zone);
-    if (in == null) {
-      in = new Zone(zone);
-      zones.put(zone, in);
-    }
-    int known = in.groups.get(cell);
-    if (known == NONE) {
-      known = cells.size();
-      in.groups.put(cell, known);
-      cells.add(new Cell(in, cell));
-    }
-    return known;
+    return groups.number(zone, cell);
   }
 
-  /**
-   * Makes room for a backend that is not known yet; it counts as removed until it is {@link #set}.
-   */
+  /** Gives a slot to an endpoint that is not known; it counts as removed until its update. */
   public int add(long id, int group) {
-    int slot = free.isEmpty() ? appendSlot() : free.popInt();
-    ids.set(slot, id);
-    groupsAndPhases.set(slot, group << PHASE_BITS | EndpointState.REMOVED.ordinal());
+    int slot = columns.allocate(id);
+    columns.setGroupAndState(slot, group, EndpointState.REMOVED);
     notServing.put(id, slot);
     return slot;
   }
 
-  private int appendSlot() {
-    int slot = ids.size();
-    int capacity = ids.elements().length;
-    if (slot == capacity) {
-      // In place of the collections' own growth by a half.
-      int more = slot + Math.max(16, slot / GROWTH);
-      ids.ensureCapacity(more);
-      places.ensureCapacity(more);
-      sizes.ensureCapacity(more);
-      starts.ensureCapacity(more);
-      groupsAndPhases.ensureCapacity(more);
-    }
-    ids.add(0);
-    places.add(Endpoint.NO_ADDRESS);
-    sizes.add(0);
-    starts.add(0);
-    groupsAndPhases.add(-1);
-    return slot;
+  /** Takes where an endpoint listens. */
+  public void setAddress(int slot, long address) {
+    columns.setAddress(slot, address);
   }
 
-  /** Takes where it listens. */
-  public void setPlace(int slot, long place) {
-    places.set(slot, place);
-  }
-
-  /** Takes what is told of a backend now; coldMs is for how long it then counts as starting. */
-  public void set(
+  /**
+   * Takes what is told of an endpoint now.
+   *
+   * @param startedMs when it is assumed to have started; 0 for long ago
+   * @param warmUpMs for how long it then warms up
+   */
+  public void update(
       int slot,
       int group,
-      EndpointState phase,
-      double size,
+      EndpointState state,
+      double weight,
       double startedMs,
-      double coldMs,
-      double now) {
-    if (kept != null) {
-      kept.set(slot);
-    }
-    boolean served = phase(slot) == EndpointState.SERVING;
-    boolean serves = phase == EndpointState.SERVING;
-    boolean moved = served != serves || group(slot) != group;
+      double warmUpMs,
+      double nowMs) {
+    removal.keep(slot);
+    boolean served = state(slot) == EndpointState.SERVING;
+    boolean serves = state == EndpointState.SERVING;
+    boolean ordersChange = served != serves || group(slot) != group;
     if (served) {
-      starting.remove(slot);
-      subtract(slot);
-      if (moved) {
+      warmingUp.remove(slot);
+      meanWeight.subtract(weight(slot));
+      if (ordersChange) {
         leaveOrders(slot);
       }
     }
-    groupsAndPhases.set(slot, group << PHASE_BITS | phase.ordinal());
-    sizes.set(slot, Math.min(Math.max(size, LEAST_SIZE), MOST_SIZE));
-    starts.set(slot, startedMs);
+    columns.setGroupAndState(slot, group, state);
+    columns.setWeight(slot, Math.min(Math.max(weight, MIN_WEIGHT), MAX_WEIGHT));
+    columns.setStartedMs(slot, startedMs);
     if (serves) {
-      if (moved) {
+      if (ordersChange) {
         joinOrders(slot);
       }
-      add(slot);
-      noteStart(slot, coldMs, now);
+      meanWeight.add(weight(slot));
+      warmingUp.addIfWarmingUp(slot, warmUpMs, nowMs);
     }
     if (!serves && served) {
       notServing.put(id(slot), slot);
     }
   }
 
+  /** Assumes that an endpoint started then, whatever was told. */
+  public void assumeStarted(int slot, double startedMs, double warmUpMs, double nowMs) {
+    warmingUp.remove(slot);
+    columns.setStartedMs(slot, startedMs);
+    if (state(slot) == EndpointState.SERVING) {
+      warmingUp.addIfWarmingUp(slot, warmUpMs, nowMs);
+    }
+  }
+
   /**
-   * All backends but those whose slots are named, and those that are told from now on, have left:
-   * they do not serve any more, and {@link #sweep} removes them.
+   * All endpoints but those whose slots are named, and those that are updated from now on, have
+   * left: {@link #hasLeft} says so at once, and {@link #sweep} removes them.
    */
-  public void keepOnly(BitSet named) {
-    kept = named;
-    swept = 0;
+  public void keepOnly(BitSet namedSlots) {
+    removal.begin(namedSlots);
   }
 
   /**
-   * Removes up to so many of those that have left, and hands over their slots; true if any remain.
+   * Has up to so many of those that have left count as removed, and hands over their slots; true if
+   * any remain.
    */
-  public boolean sweep(int most, IntConsumer removed) {
+  public boolean sweep(int maxRemovals, IntConsumer removed) {
     int count = 0;
-    while (kept != null && count < most) {
-      swept = kept.nextClearBit(swept);
-      if (swept >= ids.size()) {
-        kept = null;
-      } else if (isUsed(swept) && phase(swept) != EndpointState.REMOVED) {
-        set(swept, group(swept), EndpointState.REMOVED, size(swept), startedMs(swept), 0, 0);
-        removed.accept(swept);
+    while (removal.isUnderWay() && count < maxRemovals) {
+      int slot = removal.next(capacity());
+      if (slot != NONE && isUsed(slot) && state(slot) != EndpointState.REMOVED) {
+        update(slot, group(slot), EndpointState.REMOVED, weight(slot), assumedStartMs(slot), 0, 0);
+        removed.accept(slot);
         count++;
-        swept++;
-      } else {
-        swept++;
       }
     }
-    return kept != null;
-  }
-
-  /** Whether a backend has left, though its orders still have it. */
-  public boolean hasLeft(int slot) {
-    return kept != null && slot >= swept && !kept.get(slot);
-  }
-
-  /** Takes a backend for started then, whatever was told. */
-  public void start(int slot, double startedMs, double coldMs, double now) {
-    starting.remove(slot);
-    starts.set(slot, startedMs);
-    if (phase(slot) == EndpointState.SERVING) {
-      noteStart(slot, coldMs, now);
-    }
-  }
-
-  /** Looks anew at which backends are starting, as another time holds for that. */
-  public void recountStarting(double coldMs, double now) {
-    for (int i = 0; i < serving.size(); i++) {
-      int slot = serving.get(i);
-      starting.remove(slot);
-      noteStart(slot, coldMs, now);
-    }
+    return removal.isUnderWay();
   }
 
-  /** Forgets a backend that does not serve; its slot is free. */
+  /** Forgets an endpoint that does not serve; its slot is free. */
   public void remove(int slot) {
     notServing.remove(id(slot));
-    groupsAndPhases.set(slot, -1);
-    free.push(slot);
-  }
-
-  private void noteStart(int slot, double coldMs, double now) {
-    if (cold(slot, coldMs, now)) {
-      starting.add(slot);
-    }
+    columns.release(slot);
   }
 
   private void joinOrders(int slot) {
     notServing.remove(id(slot));
-    Cell cell = cells.get(group(slot));
     serving.add(slot);
     ranked.add(slot);
-    cell.zone.serving.add(slot);
-    if (cell.serving != null) {
-      cell.serving.add(slot);
-    }
+    groups.join(slot);
   }
 
   private void leaveOrders(int slot) {
-    Cell cell = cells.get(group(slot));
     serving.remove(slot);
     ranked.remove(slot);
-    cell.zone.serving.remove(slot);
-    if (cell.serving != null) {
-      cell.serving.remove(slot);
-    }
-  }
-
-  private void add(int slot) {
-    total = total.add(BigDecimal.valueOf(size(slot)));
-    meanKnown = false;
-  }
-
-  private void subtract(int slot) {
-    total = total.subtract(BigDecimal.valueOf(size(slot)));
-    meanKnown = false;
+    groups.leave(slot);
   }
 }
--- a/src/main/java/quotagateway/endpoint/OrderedSlots.java
+++ b/src/main/java/quotagateway/endpoint/OrderedSlots.java
@@ -1,185 +1,62 @@
 package quotagateway.endpoint;
 
-import java.util.Arrays;
-
 /**
- * Slot numbers in the order of their keys, and of the numbers themselves where those are equal;
- * each found, added, removed and reached by its place in the logarithm of their number. A B+ tree
- * whose nodes know how many slots they hold. A slot's key must not change while it is in the tree.
- * Some six bytes a slot, as the leaves hold no keys; the other nodes hold the first of each child,
- * so that a search looks up few.
+ * A set of slot numbers in the order of their keys, and of the numbers themselves where keys are
+ * equal. Finding, adding, removing and reaching a slot by its position take the logarithm of the
+ * size. A slot's key must not change while it is in the set. Owned by the policy's thread.
+ *
+ * <p>It is a B+ tree whose nodes know how many slots are below them. The leaves hold no keys, so
+ * that a slot takes some six bytes; the other nodes hold the first key of each child, so that a
+ * search looks up few.
  */
 public final class OrderedSlots {
 
+  /** Stands for no slot. */
   static final int NONE = -1;
 
-  /**
-   * Entries of a node: a small share of an entry's cost is the node's own, and moving them is
-   * cheap.
-   */
-  private static final int MOST = 128;
-
   /**
    * Neighbours that hold no more than this together become one, so that a shrunken tree is small.
    */
-  private static final int MERGED = MOST / 2;
-
-  private static final int FIRST_CAPACITY = 4;
-
-  /**
-   * A node grows by so many entries at most, and is cut to what it holds at a split: little is
-   * unused.
-   */
-  private static final int MOST_GROWTH = 16;
+  private static final int MAX_MERGED_ENTRIES = SlotNode.MAX_ENTRIES / 2;
 
   /** Gives the key of a slot. */
   interface Key {
     long of(int slot);
   }
 
-  /** A leaf has slots; any other node has children, and the first slot of each with its key. */
-  private static final class Node {
-    int[] slots;
-    long[] keys;
-    Node[] children;
-    int used;
-    int count;
-
-    static Node leaf() {
-      Node leaf = new Node();
-      leaf.slots = new int[FIRST_CAPACITY];
-      return leaf;
-    }
-
-    static Node parent(Node child, long key) {
-      Node parent = new Node();
-      parent.slots = new int[FIRST_CAPACITY];
-      parent.keys = new long[FIRST_CAPACITY];
-      parent.children = new Node[FIRST_CAPACITY];
-      parent.insert(0, child, key);
-      return parent;
-    }
-
-    boolean isLeaf() {
-      return children == null;
-    }
-
-    void insert(int at, int slot) {
-      if (used == slots.length) {
-        slots = Arrays.copyOf(slots, grown());
-      }
-      System.arraycopy(slots, at, slots, at + 1, used - at);
-      slots[at] = slot;
-      used++;
-      count++;
-    }
-
-    void insert(int at, Node child, long key) {
-      if (used == children.length) {
-        int capacity = grown();
-        slots = Arrays.copyOf(slots, capacity);
-        keys = Arrays.copyOf(keys, capacity);
-        children = Arrays.copyOf(children, capacity);
-      }
-      System.arraycopy(slots, at, slots, at + 1, used - at);
-      System.arraycopy(keys, at, keys, at + 1, used - at);
-      System.arraycopy(children, at, children, at + 1, used - at);
-      slots[at] = child.slots[0];
-      keys[at] = key;
-      children[at] = child;
-      used++;
-      count += child.count;
-    }
-
-    void removeChild(int at) {
-      count -= children[at].count;
-      used--;
-      System.arraycopy(slots, at + 1, slots, at, used - at);
-      System.arraycopy(keys, at + 1, keys, at, used - at);
-      System.arraycopy(children, at + 1, children, at, used - at);
-      children[used] = null;
-    }
-
-    private int grown() {
-      return Math.min(Math.min(2 * used, used + MOST_GROWTH), MOST + 1);
-    }
-
-    /** Keeps so many entries and gives a node with the others. */
-    Node split(int keep) {
-      Node right = new Node();
-      int end = Math.max(used, keep + FIRST_CAPACITY);
-      right.slots = Arrays.copyOfRange(slots, keep, end);
-      slots = Arrays.copyOf(slots, keep);
-      right.used = used - keep;
-      right.count = right.used;
-      if (!isLeaf()) {
-        right.keys = Arrays.copyOfRange(keys, keep, end);
-        keys = Arrays.copyOf(keys, keep);
-        right.children = Arrays.copyOfRange(children, keep, end);
-        children = Arrays.copyOf(children, keep);
-        right.count = right.sum();
-      }
-      used = keep;
-      count -= right.count;
-      return right;
-    }
-
-    private int sum() {
-      int sum = 0;
-      for (int i = 0; i < used; i++) {
-        sum += children[i].count;
-      }
-      return sum;
-    }
-
-    /** Takes all entries of its right neighbour. */
-    void append(Node right) {
-      int capacity = Math.max(slots.length, used + right.used);
-      slots = Arrays.copyOf(slots, capacity);
-      System.arraycopy(right.slots, 0, slots, used, right.used);
-      if (!isLeaf()) {
-        keys = Arrays.copyOf(keys, capacity);
-        System.arraycopy(right.keys, 0, keys, used, right.used);
-        children = Arrays.copyOf(children, capacity);
-        System.arraycopy(right.children, 0, children, used, right.used);
-      }
-      used += right.used;
-      count += right.count;
-    }
-  }
-
   private final Key key;
-  private Node root = Node.leaf();
+  private SlotNode root = SlotNode.leaf();
 
   OrderedSlots(Key key) {
     this.key = key;
   }
 
+  /** How many slots it holds. */
   public int size() {
     return root.count;
   }
 
-  /** The slot at that place in the order. */
-  public int get(int place) {
-    if (place < 0 || place >= root.count) {
-      throw new IndexOutOfBoundsException("place " + place + " of " + root.count);
+  /** The slot at that position in the order, from 0. */
+  public int get(int position) {
+    if (position < 0 || position >= root.count) {
+      throw new IndexOutOfBoundsException("position " + position + " of " + root.count);
     }
-    Node node = root;
-    int left = place;
+    SlotNode node = root;
+    int remaining = position;
     while (!node.isLeaf()) {
       int child = 0;
-      while (left >= node.children[child].count) {
-        left -= node.children[child].count;
+      while (remaining >= node.children[child].count) {
+        remaining -= node.children[child].count;
         child++;
       }
       node = node.children[child];
     }
-    return node.slots[left];
+    return node.slots[remaining];
   }
 
   /** The first slot with that key, or {@link #NONE}. */
   int find(long sought) {
-    Node node = root;
+    SlotNode node = root;
     int follower = NONE;
     while (!node.isLeaf()) {
       // No slot number is negative, so this is the child that begins ahead of all slots of that
@@ -190,7 +67,7 @@
       }
       node = node.children[child];
     }
-    int at = placeIn(node, sought, NONE);
+    int at = positionInLeaf(node, sought, NONE);
     if (at == node.used) {
       return follower;
     }
@@ -199,35 +76,35 @@
 
   /** Adds a slot that is not in the tree. */
   void add(int slot) {
-    Node left = root;
-    Node right = add(root, slot, key.of(slot));
+    SlotNode left = root;
+    SlotNode right = add(root, slot, key.of(slot));
     if (right != null) {
-      root = Node.parent(left, firstKey(left));
+      root = SlotNode.parent(left, firstKey(left));
       root.insert(1, right, firstKey(right));
     }
   }
 
-  private Node add(Node node, int slot, long slotKey) {
+  private SlotNode add(SlotNode node, int slot, long slotKey) {
     int at;
     if (node.isLeaf()) {
-      at = placeIn(node, slotKey, slot);
+      at = positionInLeaf(node, slotKey, slot);
       node.insert(at, slot);
     } else {
       at = childFor(node, slotKey, slot);
-      Node right = add(node.children[at], slot, slotKey);
+      SlotNode right = add(node.children[at], slot, slotKey);
       node.count++;
-      noteFirst(node, at);
+      updateFirst(node, at);
       if (right != null) {
         node.count -= right.count;
         at++;
         node.insert(at, right, firstKey(right));
       }
     }
-    if (node.used <= MOST) {
+    if (node.used <= SlotNode.MAX_ENTRIES) {
       return null;
     }
     // What is added in order leaves full nodes behind.
-    return node.split(at == node.used - 1 ? MOST : MOST / 2);
+    return node.split(at == node.used - 1 ? SlotNode.MAX_ENTRIES : SlotNode.MAX_ENTRIES / 2);
   }
 
   /** Removes a slot; false where it is not in the tree. */
@@ -239,15 +116,13 @@
     return removed;
   }
 
-  private boolean remove(Node node, int slot, long slotKey) {
+  private boolean remove(SlotNode node, int slot, long slotKey) {
     if (node.isLeaf()) {
-      int at = placeIn(node, slotKey, slot);
+      int at = positionInLeaf(node, slotKey, slot);
       if (at == node.used || node.slots[at] != slot) {
         return false;
       }
-      node.used--;
-      node.count--;
-      System.arraycopy(node.slots, at + 1, node.slots, at, node.used - at);
+      node.removeSlot(at);
       return true;
     }
     int at = childFor(node, slotKey, slot);
@@ -258,7 +133,7 @@
     if (node.children[at].used == 0) {
       node.removeChild(at);
     } else {
-      noteFirst(node, at);
+      updateFirst(node, at);
       if (at > 0) {
         merge(node, at - 1);
       } else if (node.used > 1) {
@@ -268,22 +143,23 @@
     return true;
   }
 
-  private static void merge(Node node, int left) {
-    Node right = node.children[left + 1];
-    if (node.children[left].used + right.used <= MERGED) {
+  /** Merges a child with its right neighbour, if they are small enough. */
+  private static void merge(SlotNode node, int left) {
+    SlotNode right = node.children[left + 1];
+    if (node.children[left].used + right.used <= MAX_MERGED_ENTRIES) {
       node.removeChild(left + 1);
       node.children[left].append(right);
       node.count += right.count;
     }
   }
 
-  private long firstKey(Node node) {
+  private long firstKey(SlotNode node) {
     return node.isLeaf() ? key.of(node.slots[0]) : node.keys[0];
   }
 
-  /** Takes over the first slot of a child, as it may have changed. */
-  private void noteFirst(Node node, int at) {
-    Node child = node.children[at];
+  /** Takes over the first slot and key of a child, which may have changed. */
+  private void updateFirst(SlotNode node, int at) {
+    SlotNode child = node.children[at];
     if (node.slots[at] != child.slots[0]) {
       node.slots[at] = child.slots[0];
       node.keys[at] = firstKey(child);
@@ -291,7 +167,7 @@
   }
 
   /** Where in a leaf the slot is or would be. */
-  private int placeIn(Node leaf, long slotKey, int slot) {
+  private int positionInLeaf(SlotNode leaf, long slotKey, int slot) {
     int low = 0;
     int high = leaf.used;
     while (low < high) {
@@ -306,7 +182,7 @@
   }
 
   /** The last child that begins no later than the slot, or the first. */
-  private static int childFor(Node node, long slotKey, int slot) {
+  private static int childFor(SlotNode node, long slotKey, int slot) {
     int low = 0;
     int high = node.used - 1;
     while (low < high) {
--- a/src/main/java/quotagateway/policy/routing/BackendRouter.java
+++ b/src/main/java/quotagateway/policy/routing/BackendRouter.java
@@ -62,7 +62,7 @@
     }
     double warmUpMs = changed.rules().warmUpMs();
     if (warmUpMs != context.settings().rules().warmUpMs()) {
-      index.recountStarting(warmUpMs, context.nowMs());
+      index.recountWarmingUp(warmUpMs, context.nowMs());
     }
   }
 
--- a/src/main/java/quotagateway/policy/routing/EndpointTracker.java
+++ b/src/main/java/quotagateway/policy/routing/EndpointTracker.java
@@ -118,12 +118,12 @@
     int knownSlot = index.find(endpoint.id());
     int slot = knownSlot == EndpointIndex.NONE ? index.add(endpoint.id(), group) : knownSlot;
     BackendStatus status = statuses.get(slot);
-    double listedStartMs = status == null ? index.startedMs(slot) : status.listedStartMs;
+    double listedStartMs = status == null ? index.assumedStartMs(slot) : status.listedStartMs;
     boolean sameProcess = knownSlot != EndpointIndex.NONE && listedStartMs == endpoint.startedMs();
-    double startedMs = sameProcess ? index.startedMs(slot) : endpoint.startedMs();
+    double startedMs = sameProcess ? index.assumedStartMs(slot) : endpoint.startedMs();
     double size = context.settings().endpointWeightsTold() ? endpoint.weight() : 1;
-    index.setPlace(slot, endpoint.address());
-    index.set(slot, group, endpoint.state(), size, startedMs, warmUpMs(), context.nowMs());
+    index.setAddress(slot, endpoint.address());
+    index.update(slot, group, endpoint.state(), size, startedMs, warmUpMs(), context.nowMs());
     if (!sameProcess) {
       replaceStatus(slot);
     } else if (status != null) {
@@ -171,7 +171,7 @@
    * not be looked at again.
    */
   private boolean removeIfIdle(int slot) {
-    if (!index.isUsed(slot) || index.phase(slot) != EndpointState.REMOVED) {
+    if (!index.isUsed(slot) || index.state(slot) != EndpointState.REMOVED) {
       return true;
     }
     BackendStatus status = statuses.get(slot);
@@ -196,7 +196,7 @@
       cleanedUpAtMs = nowMs;
       statuses.values().removeIf(this::isDispensable);
     }
-    BackendStatus created = newStatus(slot, index.cold(slot, warmUpMs(), nowMs) ? 0 : 1);
+    BackendStatus created = newStatus(slot, index.isWarmingUp(slot, warmUpMs(), nowMs) ? 0 : 1);
     // In the list since the start and good ever since: a process that came later warms up first,
     // and got its status then.
     created.lastResponseAtMs = context.startedAtMs();
@@ -211,7 +211,7 @@
   private void replaceStatus(int slot) {
     double slowStartTokens = context.nextRandom();
     statuses.remove(slot);
-    if (index.cold(slot, warmUpMs(), context.nowMs()) && !isFull()) {
+    if (index.isWarmingUp(slot, warmUpMs(), context.nowMs()) && !isFull()) {
       statuses.put(slot, newStatus(slot, slowStartTokens));
     }
   }
@@ -219,7 +219,7 @@
   private BackendStatus newStatus(int slot, double slowStartTokens) {
     BackendStatus created =
         new BackendStatus(
-            slot, index.id(slot), index.startedMs(slot), slowStartTokens, context.nowMs());
+            slot, index.id(slot), index.assumedStartMs(slot), slowStartTokens, context.nowMs());
     joinGroup(created);
     return created;
   }
@@ -238,7 +238,7 @@
     backend.assumedStartMs = startedMs;
     // An attempt may still be outstanding at a process that was replaced: the index has the newer.
     if (statuses.get(backend.slot) == backend) {
-      index.start(backend.slot, startedMs, warmUpMs(), context.nowMs());
+      index.assumeStarted(backend.slot, startedMs, warmUpMs(), context.nowMs());
     }
   }
 
@@ -251,10 +251,10 @@
     double nowMs = context.nowMs();
     return backend.outstanding.isEmpty()
         && backend.assumedStartMs == backend.listedStartMs
-        && !index.cold(backend.slot, warmUpMs(), nowMs)
+        && !index.isWarmingUp(backend.slot, warmUpMs(), nowMs)
         && outliers.isForgotten(backend)
         && backend.learnedWeight(nowMs) < NEGLIGIBLE_WEIGHT
-        && !index.isAmong(subsetSize, backend.slot);
+        && !index.isAmongFirst(subsetSize, backend.slot);
   }
 
   private double warmUpMs() {
--- a/src/main/java/quotagateway/policy/routing/LoadEstimator.java
+++ b/src/main/java/quotagateway/policy/routing/LoadEstimator.java
@@ -119,7 +119,7 @@
    */
   double costMs(BackendStatus backend, double latencyObjectiveMs) {
     double nowMs = context.nowMs();
-    double relativeSize = index.size(backend.slot) / index.meanSize();
+    double relativeSize = index.weight(backend.slot) / index.meanWeight();
     double costMs = serviceMs(backend) * (1 + requestsInFlight(backend) / relativeSize);
     if (!backend.outstanding.isEmpty()) {
       double oldestAgeMs = nowMs - backend.outstanding.iterator().next().sentAtMs();
--- a/src/main/java/quotagateway/policy/routing/SlowStartLimiter.java
+++ b/src/main/java/quotagateway/policy/routing/SlowStartLimiter.java
@@ -60,7 +60,7 @@
   private double attemptsPerWarmBackend() {
     double nowMs = context.nowMs();
     if (nowMs - warmCountedAtMs > WARM_COUNT_MAX_AGE_MS) {
-      warmBackends = index.warm(context.settings().rules().warmUpMs(), nowMs);
+      warmBackends = index.countWarm(context.settings().rules().warmUpMs(), nowMs);
       warmCountedAtMs = nowMs;
     }
     if (warmBackends == 0) {
--- a/src/test/java/quotagateway/endpoint/EndpointIndexTest.java
+++ b/src/test/java/quotagateway/endpoint/EndpointIndexTest.java
@@ -58,17 +58,17 @@
     }
 
     @Override
-    public double meanSize() {
+    public double meanWeight() {
       OrderedSlots serving = serving();
       return IntStream.range(0, serving.size())
-          .mapToDouble(i -> size(serving.get(i)))
+          .mapToDouble(i -> weight(serving.get(i)))
           .average()
           .orElse(1);
     }
 
     @Override
-    public int warm(double coldMs, double now) {
-      return (int) serve().filter(slot -> !cold(slot, coldMs, now)).count();
+    public int countWarm(double coldMs, double now) {
+      return (int) serve().filter(slot -> !isWarmingUp(slot, coldMs, now)).count();
     }
 
     @Override
@@ -87,7 +87,7 @@
     }
 
     private IntStream serve() {
-      return slots(slot -> phase(slot) == EndpointState.SERVING);
+      return slots(slot -> state(slot) == EndpointState.SERVING);
     }
 
     private OrderedSlots sorted(IntPredicate among, OrderedSlots.Key order) {
@@ -130,7 +130,7 @@
   }
 
   private static void serve(EndpointIndex index, long id) {
-    index.set(
+    index.update(
         index.add(id, index.group("a", 0)),
         index.group("a", 0),
         EndpointState.SERVING,
@@ -151,7 +151,7 @@
     for (int round = 0; round < 500; round++) {
       Set<Long> before = members(index, 100);
       int slot = index.serving().get(random.nextInt(index.serving().size()));
-      index.set(slot, index.group(slot), EndpointState.REMOVED, 1, 0, COLD_MS, 0);
+      index.update(slot, index.group(slot), EndpointState.REMOVED, 1, 0, COLD_MS, 0);
       index.remove(slot);
       serve(index, 1_000 + round);
       before.removeAll(members(index, 100));
@@ -304,9 +304,9 @@
     int slot = index.find(2);
     for (int i = 0; i < 100_000; i++) {
       double size = Math.pow(10, random.nextInt(-6, 9)) * random.nextDouble();
-      index.set(slot, index.group(slot), EndpointState.SERVING, size, 0, COLD_MS, 0);
+      index.update(slot, index.group(slot), EndpointState.SERVING, size, 0, COLD_MS, 0);
     }
-    index.set(slot, index.group(slot), EndpointState.SERVING, 0.2, 0, COLD_MS, 0);
-    assertEquals(0.6, index.meanSize());
+    index.update(slot, index.group(slot), EndpointState.SERVING, 0.2, 0, COLD_MS, 0);
+    assertEquals(0.6, index.meanWeight());
   }
 }
