--- a/src/main/java/quotagateway/server/GatewayServer.java
+++ b/src/main/java/quotagateway/server/GatewayServer.java
@@ -54,7 +54,7 @@
   private static final long BESIDE_MS = 500;
 
   private final EventLoopGroup group =
-      new MultiThreadIoEventLoopGroup(1, SocketTransport.BEST.ioHandler());
+      new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
   public final EventLoop loop = group.next();
   private final MonotonicClock clock = new MonotonicClock();
   private final CountDownLatch drained = new CountDownLatch(1);
@@ -176,7 +176,9 @@
   private void wire(GatewayConfig config) {
     ConnectionBudget places = new ConnectionBudget(config.limits().connections());
     loop.scheduleWithFixedDelay(
-        () -> places.beside(started.another() ? config.limits().connectionsDuringUpgrade() : 0),
+        () ->
+            places.shareWithOtherProcess(
+                started.another() ? config.limits().connectionsDuringUpgrade() : 0),
         0,
         BESIDE_MS,
         TimeUnit.MILLISECONDS);
@@ -204,7 +206,7 @@
         new CounterClient(
             loop,
             clock,
-            Dialer.sockets(loop, CounterClient.CONNECT_LIMIT_MS),
+            Dialer.sockets(loop, CounterClient.CONNECT_TIMEOUT_MS),
             config.counterAddress(),
             config.settings().capabilities().counterTimeoutMs(),
             driver::onCounterReplied);
@@ -214,7 +216,7 @@
         new DiscoveryClient(
             loop,
             clock,
-            DiscoveryClient.sockets(loop),
+            DiscoveryClient.dialer(loop),
             config.discoveryAddress(),
             config.known().version(),
             config.limits().endpoints(),
@@ -233,8 +235,8 @@
       config = read;
       loop.execute(
           () -> {
-            counter.moveTo(read.counterAddress());
-            discovery.moveTo(read.discoveryAddress());
+            counter.changeAddress(read.counterAddress());
+            discovery.changeAddress(read.discoveryAddress());
             driver.onSettingsChanged(read.settings());
             clients.read(new RequestReader(read.settings()));
           });
