--- /dev/null
+++ b/src/test/java/quotagateway/policy/context/ExponentialMeanTest.java
@@ -0,0 +1,38 @@
+package quotagateway.policy.context;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+class ExponentialMeanTest {
+
+  private static final double NOW_MS = 1_000_000;
+
+  private final ExponentialMean mean = new ExponentialMean(0.2, 1_000, NOW_MS);
+
+  @Test
+  void givesTheNewestOfFrequentSamplesItsFixedWeight() {
+    mean.add(10, NOW_MS);
+    mean.add(10, NOW_MS);
+    assertEquals(3.6, mean.value(), 1e-12);
+  }
+
+  @Test
+  void givesTheNewestOfRareSamplesMoreWeight() {
+    mean.add(10, NOW_MS + 1_000);
+    assertEquals(10 * (1 - Math.exp(-1)), mean.value(), 1e-12);
+  }
+
+  @Test
+  void takesAnotherWeightForOneSample() {
+    mean.add(10, 0.5, NOW_MS);
+    assertEquals(5, mean.value());
+  }
+
+  @Test
+  void fadesFromItsLatestSample() {
+    mean.add(10, NOW_MS);
+    assertEquals(2 * Math.exp(-0.5), mean.fadedValue(NOW_MS + 500), 1e-12);
+    assertEquals(2, mean.value());
+  }
+}
--- /dev/null
+++ b/src/test/java/quotagateway/policy/retry/AttemptTimeoutTest.java
@@ -0,0 +1,81 @@
+package quotagateway.policy.retry;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import quotagateway.policy.PolicyFixture;
+import quotagateway.policy.settings.Capabilities;
+import quotagateway.policy.settings.DeduplicationScope;
+import quotagateway.policy.settings.Idempotency;
+import quotagateway.policy.settings.RequestClass;
+
+class AttemptTimeoutTest {
+
+  private static final Capabilities ALLOWED = PolicyFixture.settings(true, 1, false).capabilities();
+  private static final Capabilities WITHOUT_CANCELLATION =
+      new Capabilities(
+          ALLOWED.sharedCounter(),
+          ALLOWED.counterTimeoutMs(),
+          false,
+          ALLOWED.hedging(),
+          ALLOWED.maxAttempts(),
+          ALLOWED.maxOpenRequests(),
+          ALLOWED.retryAfter(),
+          ALLOWED.maxRetryAfterMs(),
+          ALLOWED.pollsDiscovery());
+
+  private final RetryBudget budget = new RetryBudget(1);
+  private final AttemptTimeout timeout = new AttemptTimeout(budget);
+
+  private static RequestAttempts attempts(
+      Idempotency idempotency, Capabilities capabilities, boolean forwardsBody) {
+    RequestClass requestClass =
+        new RequestClass(
+            "any", 1, 0, 1_000, 4_000, idempotency, DeduplicationScope.ALL, 3_000, false);
+    return new RequestAttempts(requestClass, capabilities, forwardsBody);
+  }
+
+  @Test
+  void leavesAThirdOfTheObjectiveToASecondAttempt() {
+    assertEquals(650, timeout.patienceMs(1_000));
+  }
+
+  // One slow request looks like a lost one; cancelled again and again it would never be served.
+  @Test
+  void cancelsOncePerRequest() {
+    RequestAttempts attempts = attempts(Idempotency.IDEMPOTENT, ALLOWED, false);
+    assertTrue(timeout.mayCancel(attempts));
+    attempts.recordCancellation();
+    assertFalse(timeout.mayCancel(attempts));
+  }
+
+  @Test
+  void leavesAResponseAloneThatHasStarted() {
+    RequestAttempts attempts = attempts(Idempotency.IDEMPOTENT, ALLOWED, false);
+    attempts.recordResponseStart();
+    assertFalse(timeout.mayCancel(attempts));
+  }
+
+  @Test
+  void cancelsOnlyWhatMayBeSentAgain() {
+    assertTrue(timeout.mayCancel(attempts(Idempotency.IDEMPOTENT_WITH_KEY, ALLOWED, false)));
+    assertFalse(timeout.mayCancel(attempts(Idempotency.NOT_IDEMPOTENT, ALLOWED, false)));
+    assertFalse(timeout.mayCancel(attempts(Idempotency.IDEMPOTENT, ALLOWED, true)));
+  }
+
+  @Test
+  void cancelsOnlyWhereTheSettingsAllowIt() {
+    assertFalse(timeout.mayCancel(attempts(Idempotency.IDEMPOTENT, WITHOUT_CANCELLATION, false)));
+  }
+
+  // Under overload every attempt is slow: cancelling them all would only add load.
+  @Test
+  void cancelsOnlyWithinTheRetryBudget() {
+    while (budget.hasToken()) {
+      budget.spend();
+    }
+    assertFalse(timeout.mayCancel(attempts(Idempotency.IDEMPOTENT, ALLOWED, false)));
+  }
+}
--- /dev/null
+++ b/src/test/java/quotagateway/policy/routing/RoutingFixture.java
@@ -0,0 +1,96 @@
+package quotagateway.policy.routing;
+
+import java.util.List;
+import java.util.stream.IntStream;
+import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointIndex;
+import quotagateway.endpoint.EndpointListForm;
+import quotagateway.endpoint.EndpointState;
+import quotagateway.policy.PolicyFixture;
+import quotagateway.policy.context.DecisionContext;
+import quotagateway.policy.context.ExponentialMean;
+import quotagateway.policy.event.EndpointsUpdated;
+import quotagateway.policy.settings.DeduplicationScope;
+import quotagateway.policy.settings.Idempotency;
+import quotagateway.policy.settings.PolicySettings;
+import quotagateway.policy.settings.RequestClass;
+
+/** The classes of routing, wired as in a gateway but without the rest of its policy. */
+final class RoutingFixture {
+
+  static final double START_MS = 1_000_000;
+  static final double OBJECTIVE_MS = 1_000;
+
+  final DecisionContext context;
+  final EndpointIndex index;
+
+  /** Moves at once to what is added. */
+  final ExponentialMean attemptsInFlight = new ExponentialMean(1, 1, START_MS);
+
+  final LoadEstimator load;
+  final OutlierDetector outliers;
+  final SlowStartLimiter slowStart;
+  final EndpointTracker tracker;
+  final RestartDetector restarts;
+  final EndpointSelector selector;
+
+  RoutingFixture(PolicySettings settings) {
+    context = new DecisionContext(settings, 7);
+    context.start(START_MS);
+    index = new EndpointIndex(settings.gatewayIndex());
+    load = new LoadEstimator(context, index, attemptsInFlight);
+    outliers = new OutlierDetector(context);
+    slowStart = new SlowStartLimiter(context, index, load);
+    tracker =
+        new EndpointTracker(context, index, new GroupReachabilities(context), slowStart, outliers);
+    restarts = new RestartDetector(context, tracker, slowStart);
+    selector = new EndpointSelector(context, index, tracker, load, outliers, slowStart);
+  }
+
+  /** One of so many gateways, with so many warm backends: even ones in zone a, odd ones in b. */
+  static RoutingFixture of(int gatewayCount, int backendCount) {
+    RoutingFixture fixture = new RoutingFixture(PolicyFixture.settings(true, gatewayCount, false));
+    List<Endpoint> endpoints =
+        IntStream.range(0, backendCount).mapToObj(id -> endpoint(id, 0)).toList();
+    fixture.tracker.update(new EndpointsUpdated(EndpointListForm.SNAPSHOT, endpoints));
+    return fixture;
+  }
+
+  /** A serving endpoint; each has a cell of its own. */
+  static Endpoint endpoint(int id, double startedMs) {
+    return new Endpoint(id, id % 2 == 0 ? "a" : "b", id, EndpointState.SERVING, 1, startedMs);
+  }
+
+  static RequestRouting request(Idempotency idempotency, DeduplicationScope scope) {
+    return new RequestRouting(
+        new RequestClass("any", 1, 0, OBJECTIVE_MS, 4_000, idempotency, scope, 3_000, false));
+  }
+
+  static RequestRouting idempotentRequest() {
+    return request(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
+  }
+
+  void pass(double ms) {
+    context.begin(context.nowMs() + ms);
+  }
+
+  BackendStatus backend(long id) {
+    return tracker.status(index.find(id));
+  }
+
+  /** An attempt sent now that its backend has in whole. */
+  Attempt attemptAt(BackendStatus backend) {
+    Attempt attempt = new Attempt(0, backend, context.nowMs());
+    attempt.markReachedBackend();
+    backend.outstanding.add(attempt);
+    return attempt;
+  }
+
+  /** So many samples in a row, after each of which the backend may be ejected. */
+  void fail(BackendStatus backend, int times) {
+    for (int i = 0; i < times; i++) {
+      outliers.recordSample(backend, true, 1);
+      outliers.ejectIfFailing(backend);
+    }
+  }
+}
