--- a/src/main/java/quotagateway/server/GatewayServer.java
+++ b/src/main/java/quotagateway/server/GatewayServer.java
@@ -14,9 +14,12 @@
 import quotagateway.backend.BackendConnectionPool;
 import quotagateway.client.ClientServer;
 import quotagateway.client.RequestReader;
+import quotagateway.config.ConfigurationFile;
 import quotagateway.config.GatewayConfig;
+import quotagateway.config.InvalidConfigurationException;
 import quotagateway.counter.CounterClient;
 import quotagateway.discovery.DiscoveryClient;
+import quotagateway.discovery.EndpointUpdate;
 import quotagateway.driver.PolicyDriver;
 import quotagateway.lifecycle.Lifecycle;
 import quotagateway.policy.GatewayPolicy;
@@ -32,7 +35,7 @@
   private static final Logger LOG = Logger.getLogger(GatewayServer.class.getName());
 
   /** After SIGTERM new connections go on coming for up to 0.4 s. */
-  private static final long ACCEPT_MS = (long) ClientServer.NOTICED_MS;
+  private static final long ACCEPT_MS = (long) ClientServer.DRAIN_NOTICE_MS;
 
   /**
    * SIGKILL comes no sooner than the longest deadline and 0.7 s after SIGTERM: all is answered by
@@ -83,13 +86,14 @@
    * Reads the configuration that the environment names, and serves until the process is told to
    * end.
    */
-  public static void serve() throws IOException, InterruptedException {
+  public static void serve()
+      throws IOException, InterruptedException, InvalidConfigurationException {
     String file = System.getenv("GW_CONFIG");
     if (file == null) {
-      throw new IOException("GW_CONFIG is not set");
+      throw new InvalidConfigurationException("GW_CONFIG", "is not set");
     }
     Path path = Path.of(file);
-    GatewayConfig config = GatewayConfig.read(path).withAdminAddress(System.getenv("GW_MGMT"));
+    GatewayConfig config = ConfigurationFile.read(path).withAdminAddress(System.getenv("GW_MGMT"));
     start(
         config,
         Path.of(System.getProperty("java.io.tmpdir")),
@@ -154,7 +158,7 @@
 
   private boolean ready() {
     ClientServer wired = clients;
-    return wired != null && wired.ready();
+    return wired != null && wired.isReady();
   }
 
   public SocketAddress address() {
@@ -211,14 +215,15 @@
             config.settings().capabilities().counterTimeoutMs(),
             driver::onCounterReplied);
     counter.start();
-    driver.start(counter, config.known());
+    EndpointUpdate known = EndpointUpdate.fromConfiguration(config.knownEndpoints());
+    driver.start(counter, known);
     discovery =
         new DiscoveryClient(
             loop,
             clock,
             DiscoveryClient.dialer(loop),
             config.discoveryAddress(),
-            config.known().version(),
+            known.version(),
             config.limits().endpoints(),
             driver::onEndpointUpdate);
     discovery.start();
@@ -231,17 +236,17 @@
    */
   synchronized void reload(Path file) {
     try {
-      GatewayConfig read = GatewayConfig.reread(file, config);
+      GatewayConfig read = ConfigurationFile.reread(file, config);
       config = read;
       loop.execute(
           () -> {
             counter.changeAddress(read.counterAddress());
             discovery.changeAddress(read.discoveryAddress());
             driver.onSettingsChanged(read.settings());
-            clients.read(new RequestReader(read.settings()));
+            clients.replaceRequestReader(new RequestReader(read.settings()));
           });
       LOG.info("the new configuration is taken");
-    } catch (IOException | RuntimeException e) {
+    } catch (InvalidConfigurationException | RuntimeException e) {
       LOG.warning("the new configuration is not taken: " + e.getMessage());
     }
   }
@@ -266,7 +271,7 @@
     loop.schedule(clients::stopAccepting, acceptMs, TimeUnit.MILLISECONDS);
     loop.scheduleWithFixedDelay(
         () -> {
-          if (clients.idle()) {
+          if (clients.hasNoConnections()) {
             drained.countDown();
           }
         },
@@ -275,7 +280,7 @@
         TimeUnit.MILLISECONDS);
     try {
       if (!drained.await(answerMs, TimeUnit.MILLISECONDS)) {
-        loop.submit(clients::end).sync();
+        loop.submit(clients::shutDown).sync();
         // What has begun is passed on for as long as the process is let be.
         do {
           drained.await(LAST_MS, TimeUnit.MILLISECONDS);
