--- a/src/main/java/quotagateway/Main.java
+++ b/src/main/java/quotagateway/Main.java
@@ -2,30 +2,52 @@
 
 import java.io.IOException;
 import quotagateway.config.InvalidConfigurationException;
-import quotagateway.server.GatewayServer;
+import quotagateway.server.ServeCommand;
 import quotagateway.simulator.SimulatorAdapter;
 
-/** Runs the module as a real front door, or on the bench's wire over standard input and output. */
+/**
+ * The program's commands: {@code serve} is the gateway, {@code simulator-adapter} its policy alone,
+ * which the simulator plays over standard input and output.
+ */
 public final class Main {
 
+  private static final int EXIT_FAILURE = 1;
+  private static final int EXIT_USAGE = 2;
+
   private Main() {}
 
   public static void main(String[] args) throws InterruptedException {
-    String mode = args.length == 1 ? args[0] : "";
-    try {
-      switch (mode) {
-        case "serve" -> GatewayServer.serve();
-        case "simulator-adapter" -> new SimulatorAdapter(System.in, System.out).run();
-        default -> {
-          System.err.println("usage: java -jar quota-gateway.jar serve|simulator-adapter");
-          System.exit(2);
-        }
+    String command = args.length == 1 ? args[0] : "";
+    switch (command) {
+      case "serve" -> serve();
+      case "simulator-adapter" -> adaptSimulator();
+      default -> {
+        System.err.println("usage: java -jar quota-gateway.jar serve|simulator-adapter");
+        System.exit(EXIT_USAGE);
       }
+    }
+  }
+
+  private static void serve() throws InterruptedException {
+    try {
+      ServeCommand.run();
     } catch (IOException | InvalidConfigurationException | RuntimeException e) {
-      String reason = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-      System.err.println(
-          "quota-gateway: " + (mode.equals("serve") ? "cannot serve: " : "bad input: ") + reason);
-      System.exit(1);
+      fail("cannot serve", e);
     }
   }
+
+  private static void adaptSimulator() {
+    try {
+      new SimulatorAdapter(System.in, System.out).run();
+    } catch (IOException | RuntimeException e) {
+      fail("bad input", e);
+    }
+  }
+
+  /** Ends the process with one line: whoever starts it sees no stack trace, but the reason. */
+  private static void fail(String event, Exception cause) {
+    String reason = String.valueOf(cause.getMessage()).lines().findFirst().orElse("");
+    System.err.println("quota-gateway: " + event + ": " + reason);
+    System.exit(EXIT_FAILURE);
+  }
 }
--- a/src/main/java/quotagateway/admin/AdminServer.java
+++ b/src/main/java/quotagateway/admin/AdminServer.java
@@ -21,6 +21,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import java.io.IOException;
+import java.net.BindException;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -35,33 +36,41 @@
 import quotagateway.transport.SocketTransport;
 
 /**
- * The operators' calls: whether this process can serve, to drain it, and to take it back. On an
- * address and an event loop of its own, so that no load of clients' makes an operator wait; it only
- * reads and moves the {@link Lifecycle}.
+ * The operators' calls: whether this process can serve ({@code GET /ready}), to drain it ({@code
+ * POST /drain}), and to take it back ({@code POST /undrain}). It only reads and changes the {@link
+ * Lifecycle}.
+ *
+ * <p>On an address and an event loop of its own. Prevents operators from waiting, or from being
+ * kept out, when clients' requests fill the other loop or the descriptors. Cost: a thread and a few
+ * descriptors.
  */
 public final class AdminServer {
 
   private static final Logger LOG = Logger.getLogger(AdminServer.class.getName());
 
-  /** Callers at a time; the oldest makes room for the next, as some connect and never call. */
-  private static final int CALLERS = ResourceLimits.MAX_ADMIN_CONNECTIONS;
-
   /** A call is a few bytes from close by: one that is not whole by then will not be. */
-  private static final long CALL_MS = 1_000;
+  private static final long CALL_TIMEOUT_MS = 1_000;
 
-  private static final int MOST_BODY = 4_096;
+  /** No call has a body; a caller may send a small one all the same. */
+  private static final int MAX_BODY_BYTES = 4_096;
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
   private final Lifecycle lifecycle;
   private final BooleanSupplier ready;
 
-  /** In the order of their coming. */
-  private final ArrayDeque<Channel> callers = new ArrayDeque<>(CALLERS);
+  /** Connections of callers, the oldest first. */
+  private final ArrayDeque<Channel> callers =
+      new ArrayDeque<>(ResourceLimits.MAX_ADMIN_CONNECTIONS);
 
-  private final Channel listening;
+  private final Channel listener;
 
-  /** Opens it; whether the front door can serve is asked on this server's thread. */
+  /**
+   * Listens on the address.
+   *
+   * @param ready whether the gateway can serve; asked on this server's thread
+   * @throws IOException where the address cannot be listened on
+   */
   public AdminServer(InetSocketAddress address, Lifecycle lifecycle, BooleanSupplier ready)
       throws IOException {
     this.lifecycle = lifecycle;
@@ -75,88 +84,101 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    admit(channel);
+                    accept(channel);
                   }
                 })
             .bind(address)
             .awaitUninterruptibly();
-    listening = bound.channel();
+    listener = bound.channel();
     if (!bound.isSuccess()) {
       close();
-      throw new IOException("no admin server on " + address + ": " + bound.cause().getMessage());
+      Throwable cause = bound.cause();
+      BindException failure =
+          new BindException("cannot listen on " + address + ": " + cause.getMessage());
+      failure.initCause(cause);
+      throw failure;
     }
   }
 
-  private void admit(Channel channel) {
-    while (callers.size() >= CALLERS) {
+  /**
+   * Prevents callers that connect and never call from keeping others out: the oldest makes room for
+   * the next, and each is closed after a second. Cost: of more callers at a time than there are
+   * connections, the first get no response.
+   */
+  private void accept(Channel channel) {
+    while (callers.size() >= ResourceLimits.MAX_ADMIN_CONNECTIONS) {
       callers.poll().close();
     }
     callers.add(channel);
-    channel.closeFuture().addListener(f -> callers.remove(channel));
-    channel.eventLoop().schedule(() -> channel.close(), CALL_MS, TimeUnit.MILLISECONDS);
+    channel.closeFuture().addListener(closed -> callers.remove(channel));
+    channel.eventLoop().schedule(() -> channel.close(), CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     channel
         .pipeline()
         .addLast(
             new RequestDecoder(),
             new HttpResponseEncoder(),
-            new HttpObjectAggregator(MOST_BODY),
-            new Call());
+            new HttpObjectAggregator(MAX_BODY_BYTES),
+            new CallHandler());
   }
 
+  /** Where operators connect. */
   public SocketAddress address() {
-    return listening.localAddress();
+    return listener.localAddress();
   }
 
+  /** Closes all connections at once. */
   public void close() {
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
   }
 
-  /** One call, which ends its connection. */
-  private final class Call extends SimpleChannelInboundHandler<FullHttpRequest> {
+  /** Responds to one call, and closes its connection. */
+  private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest call) {
+    protected void channelRead0(ChannelHandlerContext context, FullHttpRequest call) {
       HttpResponseStatus status =
           call.decoderResult().isFailure()
               ? HttpResponseStatus.BAD_REQUEST
-              : outcome(call.method(), RequestReader.path(call.uri()));
-      DefaultFullHttpResponse answer =
+              : execute(call.method(), RequestReader.path(call.uri()));
+      DefaultFullHttpResponse response =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1,
               status,
               Unpooled.copiedBuffer(lifecycle.state() + "\n", StandardCharsets.US_ASCII));
-      answer
+      response
           .headers()
-          .set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes())
+          .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes())
           .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-      ctx.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
+      context.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      ctx.close();
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+      context.close();
     }
   }
 
-  private HttpResponseStatus outcome(HttpMethod method, String path) {
+  private HttpResponseStatus execute(HttpMethod method, String path) {
     return switch (path) {
-      case "/ready" ->
-          !method.equals(HttpMethod.GET)
-              ? HttpResponseStatus.METHOD_NOT_ALLOWED
-              : ready.getAsBoolean()
-                  ? HttpResponseStatus.OK
-                  : HttpResponseStatus.SERVICE_UNAVAILABLE;
-      case "/drain" -> moved(method, path, lifecycle::drain);
-      case "/undrain" -> moved(method, path, lifecycle::undrain);
+      case "/ready" -> readiness(method);
+      case "/drain" -> changeState(method, path, lifecycle::drain);
+      case "/undrain" -> changeState(method, path, lifecycle::undrain);
       default -> HttpResponseStatus.NOT_FOUND;
     };
   }
 
-  private HttpResponseStatus moved(HttpMethod method, String path, BooleanSupplier move) {
+  private HttpResponseStatus readiness(HttpMethod method) {
+    if (!method.equals(HttpMethod.GET)) {
+      return HttpResponseStatus.METHOD_NOT_ALLOWED;
+    }
+    return ready.getAsBoolean() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
+  }
+
+  private HttpResponseStatus changeState(HttpMethod method, String path, BooleanSupplier change) {
     if (!method.equals(HttpMethod.POST)) {
       return HttpResponseStatus.METHOD_NOT_ALLOWED;
     }
-    boolean done = move.getAsBoolean();
-    LOG.info(path + ": " + lifecycle.state());
+    boolean done = change.getAsBoolean();
+    LOG.info("operator call path=" + path + " state=" + lifecycle.state());
     return done ? HttpResponseStatus.OK : HttpResponseStatus.CONFLICT;
   }
 }
--- a/src/main/java/quotagateway/lifecycle/Lifecycle.java
+++ b/src/main/java/quotagateway/lifecycle/Lifecycle.java
@@ -4,55 +4,66 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * Where a front door is between its start and its end. The admin server and the end of the process
- * move it from threads of their own; all that depends on it reads it here.
+ * Where a gateway process is between its start and its end. The main thread, the admin server and
+ * the shutdown change it from threads of their own; all that depends on it reads it here, from any
+ * thread.
  */
 public final class Lifecycle {
 
-  enum State {
+  /** The states, by the names that operators read. */
+  public enum State {
+    /** It does not accept clients yet. */
     STARTING,
+    /** It accepts clients and keeps their connections. */
     SERVING,
+    /** An operator has the clients leave; it may serve again. */
     DRAINING,
+    /** The process is shutting down; nothing leads back. */
     ENDING
   }
 
-  /** A state and when it was entered. */
+  /** A state and when it was entered, on the gateway's clock. */
   private record Phase(State state, double sinceMs) {}
 
   private final MonotonicClock clock;
   private final AtomicReference<Phase> phase;
 
+  /** A process that is starting. */
   public Lifecycle(MonotonicClock clock) {
     this.clock = clock;
     phase = new AtomicReference<>(new Phase(State.STARTING, clock.now()));
   }
 
+  /** The state now. */
   public State state() {
     return phase.get().state;
   }
 
+  /** Whether it serves and is not draining. */
   public boolean serving() {
     return state() == State.SERVING;
   }
 
-  /** For how long it has been draining or ending, or 0. */
+  /** For how long it has been draining or ending, in milliseconds; 0 in the other states. */
   public double drainingMs() {
-    Phase p = phase.get();
-    return p.state == State.DRAINING || p.state == State.ENDING ? clock.now() - p.sinceMs : 0;
+    Phase now = phase.get();
+    boolean leaving = now.state == State.DRAINING || now.state == State.ENDING;
+    return leaving ? clock.now() - now.sinceMs : 0;
   }
 
+  /** Its start is over, unless it ends already. */
   public void started() {
-    move(State.STARTING, State.SERVING);
+    transition(State.STARTING, State.SERVING);
   }
 
   /** True when it is draining now, whether by this call or by an earlier one. */
   public boolean drain() {
-    return move(State.SERVING, State.DRAINING) || state() == State.DRAINING;
+    return transition(State.SERVING, State.DRAINING) || state() == State.DRAINING;
   }
 
   /** True when it is serving now. */
   public boolean undrain() {
-    return move(State.DRAINING, State.SERVING) || serving();
+    return transition(State.DRAINING, State.SERVING) || serving();
   }
 
   /** The process is about to end: nothing leads back. */
@@ -60,7 +71,8 @@
     phase.set(new Phase(State.ENDING, clock.now()));
   }
 
-  private boolean move(State from, State to) {
+  /** False where it is not in the first state, or another thread was faster. */
+  private boolean transition(State from, State to) {
     Phase now = phase.get();
     return now.state == from && phase.compareAndSet(now, new Phase(to, clock.now()));
   }
--- a/src/main/java/quotagateway/server/UpgradeCoordinator.java
+++ b/src/main/java/quotagateway/server/UpgradeCoordinator.java
@@ -8,67 +8,88 @@
 import java.util.logging.Logger;
 
 /**
- * Whether another process of this front door has come as far as this one, as while one is upgraded.
- * Each holds a lock in the folder that both share: a lock ends with its holder, while what a file
- * says may be stale.
+ * Whether another process of this gateway has come as far as this one, as during an upgrade. Each
+ * holds a lock on a file in the folder that both share.
+ *
+ * <p>Prevents a process that was killed from being taken for one that runs, by which a shutdown
+ * would refuse connections that nobody else accepts: a lock ends with its holder, while the content
+ * of a file may be stale. Cost: a file is opened for each look.
  */
 final class UpgradeCoordinator {
 
   private static final Logger LOG = Logger.getLogger(UpgradeCoordinator.class.getName());
-  private static final int PROCESSES = 2;
+
+  /** The lock says that a process has started. */
+  static final String STARTED = "started";
+
+  /** The lock says that a process serves clients. */
+  static final String SERVING = "serving";
+
+  /** An old process and the new one beside it. */
+  private static final int MAX_PROCESSES = 2;
+
+  private static final int NO_SLOT = -1;
 
   private final Path folder;
   private final String state;
-  private int own = -1;
+  private int ownSlot = NO_SLOT;
 
   /** Never closed: the lock lives as long as the process. */
-  private FileChannel held;
+  private FileChannel ownLock;
 
-  /** The state is what the lock stands for: that a process has started, say, or that it serves. */
+  /**
+   * @param folder that the processes share
+   * @param state what the lock says of its holder
+   */
   UpgradeCoordinator(Path folder, String state) {
     this.folder = folder;
     this.state = state;
   }
 
-  /** Tells other processes from now on that this one is in the state. */
-  void enter() {
-    for (int place = 0; place < PROCESSES && own < 0; place++) {
+  /** Lets other processes know from now on that this one is in the state. */
+  void announce() {
+    for (int slot = 0; slot < MAX_PROCESSES && ownSlot == NO_SLOT; slot++) {
       try {
-        held = take(place);
-        own = held == null ? -1 : place;
+        ownLock = tryLock(slot);
+        if (ownLock != null) {
+          ownSlot = slot;
+        }
       } catch (IOException e) {
-        LOG.warning("cannot lock in " + folder + ": " + e.getMessage());
+        LOG.warning("process lock failed folder=" + folder + " reason=" + e.getMessage());
       }
     }
   }
 
-  /** Whether another process is in the state; only a process that is in it itself can tell. */
-  boolean another() {
-    boolean other = false;
-    for (int place = 0; place < PROCESSES && own >= 0; place++) {
-      if (place != own) {
-        other |= taken(place);
+  /** Whether another process is in the state; false where this one is not in it itself. */
+  boolean isOtherProcessPresent() {
+    if (ownSlot == NO_SLOT) {
+      return false;
+    }
+    boolean present = false;
+    for (int slot = 0; slot < MAX_PROCESSES; slot++) {
+      if (slot != ownSlot) {
+        present |= isLocked(slot);
       }
     }
-    return other;
+    return present;
   }
 
-  /** What cannot be locked for another cause than a lock is nobody's. */
-  private boolean taken(int place) {
+  /** What cannot be locked for another cause than a lock has no holder. */
+  private boolean isLocked(int slot) {
     try {
-      FileChannel free = take(place);
-      release(free);
-      return free == null;
+      FileChannel lock = tryLock(slot);
+      close(lock);
+      return lock == null;
     } catch (IOException e) {
       return false;
     }
   }
 
-  /** The locked file, or null where another holds it. */
-  private FileChannel take(int place) throws IOException {
+  /** The locked file, or null where it is locked already. */
+  private FileChannel tryLock(int slot) throws IOException {
     FileChannel file =
         FileChannel.open(
-            folder.resolve(state + "-" + place),
+            folder.resolve(state + "-" + slot),
             StandardOpenOption.CREATE,
             StandardOpenOption.WRITE);
     try {
@@ -76,22 +97,23 @@
         return file;
       }
     } catch (OverlappingFileLockException e) {
-      // Held, by this process.
+      // Locked, by this process.
     } catch (IOException e) {
-      release(file);
+      close(file);
       throw e;
     }
-    release(file);
+    close(file);
     return null;
   }
 
-  private static void release(FileChannel file) {
+  private static void close(FileChannel file) {
+    if (file == null) {
+      return;
+    }
     try {
-      if (file != null) {
-        file.close();
-      }
+      file.close();
     } catch (IOException e) {
-      LOG.warning("cannot close a lock: " + e.getMessage());
+      LOG.warning("process lock not closed reason=" + e.getMessage());
     }
   }
 }
--- a/src/main/java/quotagateway/server/WarmUp.java
+++ b/src/main/java/quotagateway/server/WarmUp.java
@@ -13,17 +13,13 @@
 import java.util.List;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import quotagateway.backend.BackendConnectionPool;
 import quotagateway.client.ClientServer;
-import quotagateway.client.RequestReader;
 import quotagateway.config.GatewayConfig;
 import quotagateway.counter.CounterClient;
 import quotagateway.discovery.EndpointUpdate;
-import quotagateway.driver.PolicyDriver;
 import quotagateway.endpoint.Endpoint;
 import quotagateway.endpoint.EndpointState;
 import quotagateway.lifecycle.Lifecycle;
-import quotagateway.policy.GatewayPolicy;
 import quotagateway.policy.settings.Idempotency;
 import quotagateway.policy.settings.Plan;
 import quotagateway.policy.settings.RequestClass;
@@ -31,10 +27,12 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * Takes made-up requests through a front door of its own, without sockets, so that the code is
- * loaded and compiled before the first client comes. Guards against a start that lasts into service
- * where CPU is short: cold code needs some ten times the CPU for a request. Harm: the start takes
- * longer, by the limit at most, and a restarted door is missed for so long.
+ * Serves made-up requests by a gateway of its own, without sockets, so that the code is loaded and
+ * compiled before the first client comes.
+ *
+ * <p>Prevents a start that lasts into service where CPU is short: cold code needs some ten times
+ * the CPU for a request, so the first ones would be served late. Cost: the start takes longer, by
+ * the time limit at most, and for so long a restarted gateway is missed.
  */
 final class WarmUp {
 
@@ -44,17 +42,22 @@
   static final int REQUESTS = 200;
 
   /**
-   * A start is worth so much more CPU at most: a restarted door is missed for as long as it takes.
-   * The requests need some 500 ms of it.
+   * The most CPU that a start may spend on it, as a restarted gateway is missed meanwhile; the
+   * requests need some 500 ms of it.
    */
-  private static final double LIMIT_CPU_MS = 1_200;
+  private static final double MAX_CPU_MS = 1_200;
+
+  /** A smaller part of a core counts as this, which bounds the time limit. */
+  private static final double MIN_CORES = 0.1;
 
-  private static final double LEAST_CORES = 0.1;
   private static final int BACKENDS = 8;
   private static final int CUSTOMERS = 50;
+  private static final int REQUESTS_PER_CONNECTION = 10;
 
-  /** Requests on one connection. */
-  private static final int KEPT_FOR = 10;
+  private static final String COUNTER_REPLY = "ok 1\r\n";
+  private static final String BACKEND_RESPONSE =
+      "HTTP/1.1 200 OK\r\nX-Units-Charged: 1\r\nContent-Length: 4\r\n\r\nfine";
+  private static final String SUCCESS = "HTTP/1.1 200";
 
   private final GatewayConfig config;
   private final MonotonicClock clock = new MonotonicClock();
@@ -62,7 +65,9 @@
   /** Its timers never run, and nothing keeps it alive afterwards. */
   private final EventLoop loop = new EmbeddedChannel().eventLoop();
 
+  /** The ends of the gateway's connections to its peers. */
   private final List<EmbeddedChannel> backends = new ArrayList<>();
+
   private final List<EmbeddedChannel> counters = new ArrayList<>();
   private int served;
 
@@ -71,136 +76,142 @@
   }
 
   /**
-   * The time in which the limit's CPU is to be had from the part of a core that this front door
-   * gets.
+   * The time in which the most CPU is to be had from the part of a core that this gateway gets, in
+   * milliseconds.
    */
-  double limitMs() {
-    return LIMIT_CPU_MS / Math.min(1, Math.max(LEAST_CORES, config.limits().cores()));
+  double timeLimitMs() {
+    double cores = Math.min(1, Math.max(MIN_CORES, config.limits().cores()));
+    return MAX_CPU_MS / cores;
   }
 
-  /** Stops after the limit in any case; gives how many requests were served. */
-  int run(double limitMs) {
+  /** Stops after the time limit in any case; gives how many requests were served. */
+  int run(double timeLimitMs) {
     try {
-      exchange(clock.now() + limitMs);
+      serveRequests(clock.now() + timeLimitMs);
     } catch (RuntimeException e) {
-      LOG.log(Level.WARNING, "not warmed up", e);
+      // A fault of the program, or settings that make no request that it serves. The gateway that
+      // clients use is another one, so it starts all the same, only colder.
+      LOG.log(Level.WARNING, "warm-up failed served=" + served, e);
     }
     return served;
   }
 
-  private void exchange(double until) {
-    ConnectionBudget places = new ConnectionBudget(Integer.MAX_VALUE / 2);
-    GatewayPolicy policy = new GatewayPolicy(config.settings(), 1);
-    BackendConnectionPool pool =
-        new BackendConnectionPool(
-            loop,
-            clock,
-            (address, handler) -> open(backends, handler),
-            config.idleTimeoutMs(),
-            places,
-            policy.listing());
-    PolicyDriver driver = new PolicyDriver(loop, clock, policy, pool);
-    ClientServer clients =
-        new ClientServer(
+  private void serveRequests(double endAtMs) {
+    ClientServer clients = createGateway();
+    for (int i = 0; i < REQUESTS && clock.now() < endAtMs; i += REQUESTS_PER_CONNECTION) {
+      serveConnection(clients, i);
+    }
+    backends.forEach(Channel::close);
+    counters.forEach(Channel::close);
+  }
+
+  private ClientServer createGateway() {
+    ConnectionBudget unlimited = new ConnectionBudget(Integer.MAX_VALUE / 2);
+    RequestPath path =
+        RequestPath.create(
+            config,
+            1,
             loop,
             clock,
-            driver,
-            pool,
-            new RequestReader(config.settings()),
-            config.limits(),
-            places,
+            (address, handler) -> connect(backends, handler),
+            unlimited,
             new Lifecycle(clock));
     CounterClient counter =
         new CounterClient(
             loop,
             clock,
-            (address, handler) -> open(counters, handler),
+            (address, handler) -> connect(counters, handler),
             config.discoveryAddress(),
             config.settings().capabilities().counterTimeoutMs(),
-            driver::onCounterReplied);
+            path.driver()::onCounterReplied);
     counter.start();
-    driver.start(counter, roster());
-    for (int i = 0; i < REQUESTS && clock.now() < until; i += KEPT_FOR) {
-      EmbeddedChannel client =
-          new EmbeddedChannel(
-              new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                  clients.adopt(channel);
-                }
-              });
-      for (int k = 0; k < KEPT_FOR; k++) {
-        client.writeInbound(text(request(i + k)));
-        answer(counters, "ok 1\r\n");
-        answer(backends, "HTTP/1.1 200 OK\r\nX-Units-Charged: 1\r\nContent-Length: 4\r\n\r\nfine");
-        ByteBuf answered = client.readOutbound();
-        served +=
-            answered != null
-                    && answered.toString(StandardCharsets.US_ASCII).startsWith("HTTP/1.1 200")
-                ? 1
-                : 0;
-        client.releaseOutbound();
-        if (answered != null) {
-          answered.release();
-        }
+    path.driver().start(counter, endpoints());
+    return path.clients();
+  }
+
+  private void serveConnection(ClientServer clients, int firstRequest) {
+    EmbeddedChannel client =
+        new EmbeddedChannel(
+            new ChannelInitializer<Channel>() {
+              @Override
+              protected void initChannel(Channel channel) {
+                clients.adopt(channel);
+              }
+            });
+    for (int i = 0; i < REQUESTS_PER_CONNECTION; i++) {
+      client.writeInbound(text(request(firstRequest + i)));
+      respond(counters, COUNTER_REPLY);
+      respond(backends, BACKEND_RESPONSE);
+      if (readsSuccess(client)) {
+        served++;
       }
-      client.close();
     }
-    backends.forEach(Channel::close);
-    counters.forEach(Channel::close);
+    client.close();
+  }
+
+  private static boolean readsSuccess(EmbeddedChannel client) {
+    ByteBuf response = client.readOutbound();
+    boolean success =
+        response != null && response.toString(StandardCharsets.US_ASCII).startsWith(SUCCESS);
+    client.releaseOutbound();
+    if (response != null) {
+      response.release();
+    }
+    return success;
   }
 
-  private static ChannelFuture open(List<EmbeddedChannel> among, ChannelHandler handler) {
+  private static ChannelFuture connect(List<EmbeddedChannel> peers, ChannelHandler handler) {
     EmbeddedChannel channel = new EmbeddedChannel(handler);
-    among.add(channel);
+    peers.add(channel);
     return channel.newSucceededFuture();
   }
 
-  /** Answers on each connection on which something was asked. */
-  private static void answer(List<EmbeddedChannel> among, String with) {
-    for (EmbeddedChannel channel : List.copyOf(among)) {
+  /** Responds on each connection on which something was asked. */
+  private static void respond(List<EmbeddedChannel> peers, String response) {
+    for (EmbeddedChannel channel : List.copyOf(peers)) {
       if (channel.releaseOutbound()) {
-        channel.writeInbound(text(with));
+        channel.writeInbound(text(response));
       }
     }
-    among.removeIf(channel -> !channel.isActive());
+    peers.removeIf(channel -> !channel.isActive());
   }
 
   private static ByteBuf text(String text) {
     return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
   }
 
-  private static EndpointUpdate roster() {
-    List<Endpoint> entries = new ArrayList<>();
+  private static EndpointUpdate endpoints() {
+    List<Endpoint> endpoints = new ArrayList<>();
     for (long id = 1; id <= BACKENDS; id++) {
-      entries.add(new Endpoint(id, id % 2 == 0 ? "a" : "b", 0, EndpointState.SERVING, 1, 0, id));
+      String zone = id % 2 == 0 ? "a" : "b";
+      endpoints.add(new Endpoint(id, zone, 0, EndpointState.SERVING, 1, 0, id));
     }
-    return new EndpointUpdate(1, true, entries);
+    return new EndpointUpdate(1, true, endpoints);
   }
 
   private String request(int number) {
     List<RequestClass> classes = config.settings().requestClasses();
     List<Plan> plans = config.settings().plans();
-    RequestClass type = classes.get(number % classes.size());
+    RequestClass requestClass = classes.get(number % classes.size());
     Plan plan = plans.get(number / classes.size() % plans.size());
-    boolean safe = type.idempotency() == Idempotency.IDEMPOTENT;
-    return (safe ? "GET /" : "POST /")
-        + type.name()
+    boolean idempotent = requestClass.idempotency() == Idempotency.IDEMPOTENT;
+    return (idempotent ? "GET /" : "POST /")
+        + requestClass.name()
         + "/1 HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: w"
         + number
         + "\r\nRequest-Class: "
-        + type.name()
+        + requestClass.name()
         + "\r\nX-Plan: "
         + plan.name()
         + "\r\nX-Customer: "
         + String.format("%016x", number % CUSTOMERS)
         + "\r\nRequest-Timeout-Ms: "
-        + (long) Math.max(1, type.deadlineMs())
+        + (long) Math.max(1, requestClass.deadlineMs())
         + "\r\nIdempotency-Key: w"
         + number
         + "\r\nX-Quota: units=1,spread=1,first=0"
-        + (safe ? "" : "\r\nContent-Length: 4")
+        + (idempotent ? "" : "\r\nContent-Length: 4")
         + "\r\n\r\n"
-        + (safe ? "" : "body");
+        + (idempotent ? "" : "body");
   }
 }
--- a/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
+++ b/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
@@ -78,15 +78,16 @@
     Files.writeString(folder.resolve("serving-0"), "junk of one that was kil");
     Files.createDirectory(folder.resolve("started-0"));
     UpgradeCoordinator barred = new UpgradeCoordinator(folder, "started");
-    barred.enter();
-    assertFalse(barred.another(), "what is in the way of a lock is no process either");
+    barred.announce();
+    assertFalse(
+        barred.isOtherProcessPresent(), "what is in the way of a lock is no process either");
     UpgradeCoordinator first = new UpgradeCoordinator(folder, "serving");
-    first.enter();
-    assertFalse(first.another());
+    first.announce();
+    assertFalse(first.isOtherProcessPresent());
     UpgradeCoordinator second = new UpgradeCoordinator(folder, "serving");
-    second.enter();
-    assertTrue(first.another());
-    assertTrue(second.another());
+    second.announce();
+    assertTrue(first.isOtherProcessPresent());
+    assertTrue(second.isOtherProcessPresent());
   }
 
   /**
--- a/src/test/java/quotagateway/server/WarmUpTest.java
+++ b/src/test/java/quotagateway/server/WarmUpTest.java
@@ -28,8 +28,8 @@
     String whole = peers.smallConfig();
     String part = whole.replace("\"cores\":1", "\"cores\":0.25");
     assertEquals(
-        4 * new WarmUp(Peers.parse(whole)).limitMs(),
-        new WarmUp(Peers.parse(part)).limitMs(),
+        4 * new WarmUp(Peers.parse(whole)).timeLimitMs(),
+        new WarmUp(Peers.parse(part)).timeLimitMs(),
         1e-6);
   }
 
