--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -15,7 +15,7 @@
 import java.util.ArrayDeque;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import quotagateway.transport.SocketTransport;
+import quotagateway.transport.KernelSockets;
 
 /**
  * One client's connection: requests one at a time in the order of their coming, each with its one
@@ -284,7 +284,7 @@
    */
   @Override
   public boolean clientLeft() {
-    if (channel.isActive() && SocketTransport.isClosedByPeer(channel)) {
+    if (channel.isActive() && KernelSockets.isClosedByPeer(channel)) {
       channel.close();
     }
     return !channel.isActive();
--- a/src/main/java/quotagateway/client/ClientServer.java
+++ b/src/main/java/quotagateway/client/ClientServer.java
@@ -18,12 +18,13 @@
 import quotagateway.driver.PolicyDriver;
 import quotagateway.lifecycle.Lifecycle;
 import quotagateway.transport.ConnectionBudget;
+import quotagateway.transport.KernelSockets;
 import quotagateway.transport.MonotonicClock;
 import quotagateway.transport.SocketTransport;
 
 /**
  * Accepts the connections of clients, and ends them at the shutdown. On the event loop's thread,
- * but for {@link #listen} and {@link #ready}.
+ * but for {@link #listen} and {@link #isReady}.
  */
 public final class ClientServer {
 
@@ -128,19 +129,19 @@
   }
 
   /** New settings hold for the requests that are read from now on. */
-  public void read(RequestReader newReader) {
+  public void replaceRequestReader(RequestReader newReader) {
     context.replaceReader(newReader);
   }
 
   /** Whether it takes clients' requests; asked by the admin server too, from its own thread. */
-  public boolean ready() {
+  public boolean isReady() {
     return context.ready();
   }
 
   /** Accepts the connections that wait to be accepted, and no more. */
   public void stopAccepting() {
     if (listening != null) {
-      SocketTransport.acceptPending(listening);
+      KernelSockets.acceptPending(listening);
       listening.close();
     }
   }
@@ -149,14 +150,14 @@
    * The final timeout of the shutdown: what is unanswered fails, and each connection ends, with an
    * error to a request that has come in part.
    */
-  public void end() {
+  public void shutDown() {
     context.shutDown();
     context.driver().failAll();
     connections.closeAllForShutdown();
   }
 
   /** Whether no client is connected. */
-  public boolean idle() {
+  public boolean hasNoConnections() {
     return connections.isEmpty();
   }
 }
--- a/src/main/java/quotagateway/client/RequestAssembler.java
+++ b/src/main/java/quotagateway/client/RequestAssembler.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.LastHttpContent;
 import quotagateway.backend.RequestBody;
-import quotagateway.transport.SocketTransport;
+import quotagateway.transport.KernelSockets;
 
 /**
  * Assembles the requests of one connection from decoded parts, within the limits on time and size,
@@ -229,7 +229,7 @@
   private void complete(InboundRequest request) {
     receiving = null;
     receivingSinceMs = Double.NaN;
-    request.setLastByteAtMs(context.now() - SocketTransport.msSinceLastReceive(channel));
+    request.setLastByteAtMs(context.now() - KernelSockets.msSinceLastReceive(channel));
     request.body().end();
     listener.requestComplete(request);
     ready(request);
--- a/src/main/java/quotagateway/server/ConfigReload.java
+++ b/src/main/java/quotagateway/server/ConfigReload.java
@@ -58,6 +58,6 @@
     gateway.counter().changeAddress(config.counterAddress());
     gateway.discovery().changeAddress(config.discoveryAddress());
     gateway.driver().onSettingsChanged(config.settings());
-    gateway.clients().read(new RequestReader(config.settings()));
+    gateway.clients().replaceRequestReader(new RequestReader(config.settings()));
   }
 }
--- a/src/main/java/quotagateway/server/GatewayServer.java
+++ b/src/main/java/quotagateway/server/GatewayServer.java
@@ -122,7 +122,7 @@
 
   private boolean isReady() {
     GatewayComponents running = components;
-    return running != null && running.clients().ready();
+    return running != null && running.clients().isReady();
   }
 
   /** Where clients connect. */
--- a/src/main/java/quotagateway/server/GracefulShutdown.java
+++ b/src/main/java/quotagateway/server/GracefulShutdown.java
@@ -86,7 +86,7 @@
   private void watchForIdle() {
     loop.scheduleWithFixedDelay(
         () -> {
-          if (gateway.clients().idle()) {
+          if (gateway.clients().hasNoConnections()) {
             idle.countDown();
           }
         },
@@ -103,7 +103,7 @@
 
   /** Fails open requests; a response that is being streamed goes on for as long as it takes. */
   private void closeRemaining() throws InterruptedException {
-    loop.submit(gateway.clients()::end).sync();
+    loop.submit(gateway.clients()::shutDown).sync();
     do {
       idle.await(LAST_RESPONSES_MS, TimeUnit.MILLISECONDS);
     } while (loop.submit(gateway.driver()::streamingResponseCount).sync().getNow() > 0);
