--- a/src/main/java/quotagateway/backend/BackendConnection.java
+++ b/src/main/java/quotagateway/backend/BackendConnection.java
@@ -7,7 +7,6 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
 import io.netty.handler.codec.http.DefaultHttpContent;
 import io.netty.handler.codec.http.DefaultHttpRequest;
 import io.netty.handler.codec.http.EmptyHttpHeaders;
@@ -16,152 +15,165 @@
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
-import java.util.concurrent.TimeUnit;
 import quotagateway.policy.event.Status;
+import quotagateway.transport.MonotonicClock;
 import quotagateway.transport.ProtocolHeaders;
 
-/** One connection to a backend: at most one attempt at a time, and what its answer means. */
+/**
+ * One connection to a backend, with at most one attempt at a time: writes its request, receives its
+ * response, and ends it with a status. On the event loop's thread; times are in milliseconds on the
+ * gateway's clock.
+ */
 final class BackendConnection extends SimpleChannelInboundHandler<HttpObject>
     implements RequestBody.Sink {
 
-  /**
-   * An answer within this is held whole, so that another can take its place; a larger one is passed
-   * on.
-   */
-  private static final int MOST_HELD = 64 * 1024;
-
-  /** Answers reach 32 MB; a length far beyond that is none. */
-  private static final long MOST_PASSED = 64 << 20;
+  /** Who has the connection while no attempt is on it. */
+  interface Owner {
 
-  /** Answers 1xx that may come ahead of the real one. */
-  private static final int MOST_AHEAD = 16;
+    /** Its attempt has ended, and another one may follow on it. */
+    void connectionReusable(BackendConnection connection);
 
-  /**
-   * An answer that has begun and of which nothing came for so long is given up while it can be
-   * replaced.
-   */
-  private static final long STOPPED_MS = 250;
-
-  /**
-   * One that the client has a part of cannot be: it is waited for as long as anything may still
-   * come.
-   */
-  private static final double PASSED_STOPPED_MS = 10_000;
+    /** It has been closed, by whichever side. */
+    void connectionClosed(BackendConnection connection);
+  }
 
-  private final BackendConnectionPool pool;
+  private final Owner owner;
+  private final InetSocketAddress address;
   private final ResponseDecoder decoder;
-  final BackendConnectionPool.Backend backend;
-
-  /** Where it leads; its backend may move. */
-  final InetSocketAddress place;
-
+  private final MonotonicClock clock;
+  private final IdleConnectionReuse reuse;
   private Channel channel;
-  private Attempt current;
-  double idleSince;
-
-  /** For how long it had been idle before it was used again. */
-  double idleMs;
-
-  /** It has carried an answer before. */
-  private boolean kept;
+  private ReceivedResponse response;
+  private StalledResponseTimer stallTimer;
 
-  /** The answer being read, its body so far, and whether its end has come. */
-  private HttpResponse head;
+  /** The attempt that it carries, or null. */
+  private Attempt current;
 
-  private ByteBuf body;
-  private boolean whole;
-  private int ahead;
+  private double idleSinceMs;
 
-  /** The connection broke: its end is no answer's end. */
-  private boolean reset;
+  /** For how long it had been idle before it was used again. */
+  private double idleBeforeUseMs;
 
-  /** More has come than the one answer. */
-  private boolean overfull;
+  /** Whether it has carried a response before, and is in use again. */
+  private boolean reused;
 
-  /** Ends an answer that stops half way; and when the last of it came. */
-  private Future<?> stop;
+  /** Whether the connection broke: its end is then no response's end. */
+  private boolean broken;
 
-  private double progressAt;
+  /** Whether more has come than the one response. */
+  private boolean excessReceived;
 
-  /** The client takes no more for now. */
+  /** Whether reading is paused, as the client takes no more of the response for now. */
   private boolean paused;
 
+  /**
+   * @param address where it leads, for good, though its backend may move
+   * @param decoder of the same channel
+   * @param reuse learns how idle connections fared
+   */
   BackendConnection(
-      BackendConnectionPool pool, BackendConnectionPool.Backend backend, ResponseDecoder decoder) {
-    this.pool = pool;
-    this.backend = backend;
-    this.place = backend.place;
+      Owner owner,
+      InetSocketAddress address,
+      ResponseDecoder decoder,
+      MonotonicClock clock,
+      IdleConnectionReuse reuse) {
+    this.owner = owner;
+    this.address = address;
     this.decoder = decoder;
+    this.clock = clock;
+    this.reuse = reuse;
   }
 
   @Override
   public void handlerAdded(ChannelHandlerContext ctx) {
     channel = ctx.channel();
+    response = new ReceivedResponse(channel.alloc());
+    stallTimer = new StalledResponseTimer(channel.eventLoop(), clock, this::checkProgress);
+  }
+
+  // ---- Between attempts ----
+
+  InetSocketAddress address() {
+    return address;
   }
 
-  boolean usable() {
+  boolean isActive() {
     return channel.isActive();
   }
 
+  double idleSinceMs() {
+    return idleSinceMs;
+  }
+
+  /** No attempt is on it from now on. */
+  void markIdle() {
+    idleSinceMs = clock.now();
+  }
+
+  /** It is to carry an attempt again. */
+  void markUsed(double nowMs) {
+    idleBeforeUseMs = nowMs - idleSinceMs;
+  }
+
+  /** Closes it while no attempt is on it; its end then tells nothing about idle connections. */
   void close() {
-    kept = false;
+    reused = false;
     channel.close();
   }
 
   /**
-   * Closes the connection under its attempt, which its caller ends: nothing that still comes is for
-   * it.
+   * Closes it under its attempt, which its caller ends: nothing that still comes is for that one.
    */
-  void closeUnder() {
+  void closeUnderAttempt() {
     current = null;
-    forget();
+    clearResponse();
     close();
   }
 
+  // ---- The request ----
+
   /**
-   * Writes the attempt's request; nothing below the module ever writes it again. It tells the time
+   * Writes an attempt's request; nothing below the policy ever writes it again. It states the time
    * that is left by now, as the connection may have been long in coming up.
    */
   void carry(Attempt attempt) {
     current = attempt;
-    attempt.connection = this;
-    HttpRequest head = attempt.head;
-    if (attempt.dueAt < Double.POSITIVE_INFINITY) {
-      double left = Math.max(1, attempt.dueAt - pool.now());
-      head.headers().set(ProtocolHeaders.TIMEOUT_MS, Long.toString((long) Math.ceil(left)));
+    attempt.attachTo(this);
+    HttpRequest head = attempt.head();
+    if (attempt.dueAtMs() < Double.POSITIVE_INFINITY) {
+      double leftMs = Math.max(1, attempt.dueAtMs() - clock.now());
+      head.headers().set(ProtocolHeaders.TIMEOUT_MS, Long.toString((long) Math.ceil(leftMs)));
     }
-    if (attempt.body.whole()) {
-      lastWrite(
+    if (attempt.body().isComplete()) {
+      writeLast(
           new DefaultFullHttpRequest(
               HttpVersion.HTTP_1_1,
               head.method(),
               head.uri(),
-              attempt.body.buffered().retainedDuplicate(),
+              attempt.body().buffered().retainedDuplicate(),
               head.headers(),
               EmptyHttpHeaders.INSTANCE));
     } else {
       channel.write(
           new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), head.headers()));
-      attempt.body.passTo(this);
+      attempt.body().streamTo(this);
       channel.flush();
     }
   }
 
-  private void lastWrite(HttpObject last) {
+  private void writeLast(HttpObject last) {
     Attempt attempt = current;
     channel
         .writeAndFlush(last)
         .addListener(
-            (ChannelFuture f) -> {
-              attempt.written = f.isSuccess();
-              if (!f.isSuccess()) {
+            (ChannelFuture written) -> {
+              if (written.isSuccess()) {
+                attempt.markWritten();
+              } else {
                 attempt.end(Status.WRITE_INCOMPLETE, null);
                 channel.close();
               }
@@ -178,258 +190,237 @@
 
   @Override
   public void end() {
-    lastWrite(LastHttpContent.EMPTY_LAST_CONTENT);
+    writeLast(LastHttpContent.EMPTY_LAST_CONTENT);
   }
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
     if (current != null && channel.isWritable()) {
-      current.body.wanted();
+      current.body().sinkWritable();
     }
   }
 
-  /** The client can take more of the answer. */
-  void resume() {
-    if (paused) {
-      paused = false;
-      progressAt = pool.now();
-      channel.config().setAutoRead(true);
-    }
-  }
+  // ---- The response ----
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
     if (current == null) {
-      // An answer that nobody asked for.
+      // A response that no request asked for.
       ctx.close();
-    } else if (whole) {
-      overfull = true;
-    } else if (part.decoderResult().isFailure() || part instanceof HttpResponse && head != null) {
-      spoilt();
-    } else {
-      if (part instanceof HttpResponse r) {
-        begin(r);
-      }
-      if (current != null && part instanceof HttpContent content) {
-        add(content);
-      }
+      return;
+    }
+    if (response.complete()) {
+      excessReceived = true;
+      return;
+    }
+    boolean secondHead = part instanceof HttpResponse && response.hasHead();
+    if (part.decoderResult().isFailure() || secondHead) {
+      failMalformed();
+      return;
+    }
+    if (part instanceof HttpResponse head) {
+      onHead(head);
+    }
+    if (current != null && part instanceof HttpContent content) {
+      onContent(content);
     }
   }
 
-  private void begin(HttpResponse answer) {
-    boolean informational = answer.status().codeClass() == HttpStatusClass.INFORMATIONAL;
-    long length = HttpUtil.getContentLength(answer, 0L);
-    // Where no length is told the end of the connection is the end of the body, if that is
-    // announced.
-    boolean ends = framed(answer) || !HttpUtil.isKeepAlive(answer);
-    if (informational ? ++ahead > MOST_AHEAD : !ends || length > MOST_PASSED) {
-      spoilt();
+  private void onHead(HttpResponse head) {
+    if (!response.begin(head)) {
+      failMalformed();
+    } else if (response.announcedTooLarge()) {
+      startStreaming();
     } else {
-      head = answer;
-      if (length > MOST_HELD) {
-        passOn();
-      } else {
-        body = channel.alloc().buffer((int) length);
-      }
+      response.allocateBody();
     }
   }
 
-  private static boolean framed(HttpResponse answer) {
-    return HttpUtil.isContentLengthSet(answer) || HttpUtil.isTransferEncodingChunked(answer);
-  }
-
-  private void add(HttpContent content) {
-    if (reset && content instanceof LastHttpContent && !framed(head)) {
-      // The decoder takes any end of the connection for the answer's.
+  private void onContent(HttpContent content) {
+    boolean last = content instanceof LastHttpContent;
+    if (broken && last && !ResponseClassifier.isFramed(response.head())) {
+      // The decoder takes any end of the connection for the response's.
       return;
     }
-    if (!current.begun() && body.readableBytes() + content.content().readableBytes() > MOST_HELD) {
-      passOn();
+    if (!current.hasResponseStarted() && !response.fits(content)) {
+      startStreaming();
     }
-    if (current != null && current.begun()) {
-      pass(content);
+    if (current != null && current.hasResponseStarted()) {
+      stream(content);
     } else if (current != null) {
-      body.writeBytes(content.content());
+      response.append(content);
     }
-    if (current != null && content instanceof LastHttpContent) {
-      if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-        forget();
+    if (current != null && last) {
+      if (ResponseClassifier.isInformational(response.head())) {
+        clearResponse();
       } else {
-        whole = true;
+        response.markComplete();
       }
     }
   }
 
   /**
-   * Begins to pass the answer on: it is too large to be held, or so slow that its client may wait
-   * for it.
+   * Begins to stream the response to its client: it is too large to be kept, or so slow that its
+   * client may wait for it. From then on no other attempt can replace it.
    */
-  private void passOn() {
-    if (!current.written || status(head) != Status.OK) {
-      spoilt();
+  private void startStreaming() {
+    if (!current.isWritten() || ResponseClassifier.classify(response.head()) != Status.OK) {
+      failMalformed();
       return;
     }
-    boolean wanted = current.begin(head);
+    boolean wanted = current.startResponse(response.head());
     if (current == null) {
       return;
     }
+    ByteBuf kept = response.body();
     if (!wanted) {
       current.abandon(Status.CANCELLED);
-    } else if (body != null && body.isReadable()) {
-      pass(new DefaultHttpContent(body));
+    } else if (kept != null && kept.isReadable()) {
+      stream(new DefaultHttpContent(kept));
     }
   }
 
-  private void pass(HttpContent content) {
-    if (!current.onPiece(content) && current != null && !(content instanceof LastHttpContent)) {
+  private void stream(HttpContent content) {
+    boolean moreWanted = current.onResponseContent(content);
+    if (!moreWanted && current != null && !(content instanceof LastHttpContent)) {
       paused = true;
       channel.config().setAutoRead(false);
     }
   }
 
+  /** The client can take more of the response. */
+  void resume() {
+    if (paused) {
+      paused = false;
+      stallTimer.recordProgress();
+      channel.config().setAutoRead(true);
+    }
+  }
+
   /**
-   * Hands the answer on once the read is finished: only then it shows whether more than the answer
-   * has come. Guards against a second copy, or noise, that would be taken for the next attempt's
-   * answer.
+   * Hands the response on once the read is finished: only then it shows whether more than the
+   * response has come. Prevents a second copy of a response, or noise, from being taken for the
+   * next attempt's response.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    if (current != null && whole) {
-      answered();
-    } else if (current != null && (head != null || decoder.holdsMore())) {
-      progressAt = pool.now();
-      if (stop == null) {
-        stop = ctx.executor().schedule(this::check, STOPPED_MS, TimeUnit.MILLISECONDS);
+    if (current == null) {
+      if (decoder.hasMoreBytes()) {
+        ctx.close();
       }
-    } else if (current == null && decoder.holdsMore()) {
-      ctx.close();
+    } else if (response.complete()) {
+      finish();
+    } else if (response.hasHead() || decoder.hasMoreBytes()) {
+      stallTimer.recordProgress();
+      stallTimer.ensureScheduled();
     }
   }
 
-  private void check() {
-    stop = null;
-    double quiet = paused ? 0 : pool.now() - progressAt;
-    if (quiet >= (current.begun() ? PASSED_STOPPED_MS : STOPPED_MS)) {
-      spoilt();
+  private void checkProgress() {
+    if (!paused && stallTimer.isStalled(current.hasResponseStarted())) {
+      failMalformed();
       return;
     }
-    // Where no length is told the answer may be one of those whose first bytes are waited for.
-    if (!current.begun()
-        && head != null
-        && body != null
-        && !HttpUtil.isContentLengthSet(head)
-        && current.written
-        && status(head) == Status.OK) {
-      passOn();
+    if (mayBeSlowByIntent()) {
+      startStreaming();
     }
     if (current != null) {
-      stop = channel.eventLoop().schedule(this::check, STOPPED_MS, TimeUnit.MILLISECONDS);
+      stallTimer.ensureScheduled();
     }
   }
 
-  private void answered() {
+  /** Where no length is announced the response may be one whose first bytes its client awaits. */
+  private boolean mayBeSlowByIntent() {
+    return !current.hasResponseStarted()
+        && response.hasHead()
+        && response.body() != null
+        && !HttpUtil.isContentLengthSet(response.head())
+        && current.isWritten()
+        && ResponseClassifier.classify(response.head()) == Status.OK;
+  }
+
+  /** The response is complete: the attempt ends, and the connection may be used again. */
+  private void finish() {
     Attempt attempt = current;
-    FullHttpResponse answer =
-        attempt.begun()
-            ? null
-            : new DefaultFullHttpResponse(
-                HttpVersion.HTTP_1_1,
-                head.status(),
-                body.retain(),
-                head.headers(),
-                EmptyHttpHeaders.INSTANCE);
-    boolean inStep = attempt.written;
-    boolean reusable =
-        inStep
-            && !attempt.ended()
-            && !overfull
-            && !decoder.holdsMore()
-            && HttpUtil.isKeepAlive(head)
-            && channel.isActive();
-    // An answer ahead of the request's end is none to this request.
-    Status status = inStep ? status(head) : Status.WRITE_INCOMPLETE;
+    FullHttpResponse kept = attempt.hasResponseStarted() ? null : response.toFullResponse();
+    // A response ahead of the request's end is none to this request.
+    boolean inOrder = attempt.isWritten();
+    boolean reusable = inOrder && isReusableAfter(attempt);
+    Status status =
+        inOrder ? ResponseClassifier.classify(response.head()) : Status.WRITE_INCOMPLETE;
     current = null;
-    forget();
+    clearResponse();
     if (reusable) {
-      pool.release(this);
+      owner.connectionReusable(this);
     } else {
       channel.close();
     }
-    if (kept) {
-      pool.trust.lived(idleMs);
+    if (reused) {
+      reuse.recordAlive(idleBeforeUseMs);
     }
-    kept = true;
-    attempt.end(status, status == Status.OK ? answer : null);
-    if (answer != null) {
-      answer.release();
+    reused = true;
+    attempt.end(status, status == Status.OK ? kept : null);
+    if (kept != null) {
+      kept.release();
     }
   }
 
   /**
-   * What came cannot be the answer: the request may have run, and the connection is of no more use.
+   * Whether another attempt may follow on it. Not where anything beyond the one response has come:
+   * it would be taken for the next one.
    */
-  private void spoilt() {
+  private boolean isReusableAfter(Attempt attempt) {
+    return !attempt.hasEnded()
+        && !excessReceived
+        && !decoder.hasMoreBytes()
+        && HttpUtil.isKeepAlive(response.head())
+        && channel.isActive();
+  }
+
+  /**
+   * What came cannot be the response, or it stopped half way: the request may have been executed,
+   * and the connection is of no more use.
+   */
+  private void failMalformed() {
     Attempt attempt = current;
     current = null;
-    forget();
+    clearResponse();
     channel.close();
     if (attempt != null) {
-      attempt.end(
-          !attempt.written
-              ? Status.WRITE_INCOMPLETE
-              : attempt.begun() ? Status.RESET : Status.MALFORMED_RESPONSE,
-          null);
+      attempt.end(attempt.statusIfMalformed(), null);
     }
   }
 
-  private void forget() {
-    head = null;
-    whole = false;
-    if (body != null) {
-      body.release();
-      body = null;
-    }
-    if (stop != null) {
-      stop.cancel(false);
-      stop = null;
-    }
+  private void clearResponse() {
+    response.clear();
+    stallTimer.cancel();
     if (current == null) {
-      ahead = 0;
+      response.clearInformational();
       resume();
     }
   }
 
-  private static Status status(HttpResponse answer) {
-    HttpResponseStatus code = answer.status();
-    if (code.equals(HttpResponseStatus.OK)) {
-      return Status.OK;
-    }
-    boolean turnedAway =
-        (code.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
-                || code.equals(HttpResponseStatus.GATEWAY_TIMEOUT))
-            && "1".equals(answer.headers().get(ProtocolHeaders.NOT_STARTED));
-    return turnedAway ? Status.REJECTED : Status.ERROR;
-  }
+  // ---- The end of the connection ----
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
     Attempt attempt = current;
-    boolean stale = kept && head == null && ahead == 0;
+    boolean deadWhenReused = reused && !response.hasBegun();
     current = null;
-    forget();
-    pool.closed(this);
+    clearResponse();
+    owner.connectionClosed(this);
     if (attempt != null) {
-      if (stale) {
-        pool.trust.died(idleMs);
+      if (deadWhenReused) {
+        reuse.recordDead(idleBeforeUseMs);
       }
-      attempt.end(attempt.broken(stale), null);
+      attempt.end(attempt.statusIfBroken(deadWhenReused), null);
     }
   }
 
-  /** A reset or a fault of ours: this connection is of no more use. */
+  /** A reset, or a fault of this program: the connection is of no more use. */
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    reset = true;
+    broken = true;
     ctx.close();
   }
 }
--- a/src/main/java/quotagateway/backend/IdleConnectionReuse.java
+++ b/src/main/java/quotagateway/backend/IdleConnectionReuse.java
@@ -1,38 +1,42 @@
 package quotagateway.backend;
 
 /**
- * For how long a kept connection may have been idle and still be trusted with a request that cannot
- * go out again. Something on the way may forget connections far sooner than the backends say that
- * they close them, and tells nobody until something is written.
+ * For how long a connection may have been idle and still be used for a request that cannot be sent
+ * again. Something on the way may forget connections far sooner than the backends say that they
+ * close them, and shows that only when something is written. Learned from all connections to
+ * backends; times are in milliseconds.
  */
 final class IdleConnectionReuse {
 
-  /**
-   * Weight of the newest death, and how much each survivor of more than the bound adds to it again.
-   */
-  private static final double NEWEST = 0.2;
+  /** Weight of the newest dead connection in their mean idle time. */
+  private static final double NEWEST_WEIGHT = 0.2;
 
-  private static final double REGAIN = 1.02;
+  /** By this the mean grows with each connection that survived a longer time than is allowed. */
+  private static final double SURVIVOR_GROWTH = 1.02;
 
-  /** The bound as a part of the mean time that those found dead had been idle. */
-  private static final double PART = 0.5;
+  /** The allowed idle time as a share of that mean: some died sooner. */
+  private static final double ALLOWED_SHARE = 0.5;
 
-  private double deadAfterMs = Double.POSITIVE_INFINITY;
+  /** Mean time that those found dead had been idle; infinite while none was. */
+  private double meanDeadIdleMs = Double.POSITIVE_INFINITY;
 
-  boolean trusts(double idleMs) {
-    return idleMs <= PART * deadAfterMs;
+  boolean allows(double idleMs) {
+    return idleMs <= ALLOWED_SHARE * meanDeadIdleMs;
   }
 
   /** A connection was dead when it was written to after so long. */
-  void died(double idleMs) {
-    deadAfterMs =
-        Double.isInfinite(deadAfterMs) ? idleMs : deadAfterMs + NEWEST * (idleMs - deadAfterMs);
+  void recordDead(double idleMs) {
+    if (Double.isInfinite(meanDeadIdleMs)) {
+      meanDeadIdleMs = idleMs;
+    } else {
+      meanDeadIdleMs += NEWEST_WEIGHT * (idleMs - meanDeadIdleMs);
+    }
   }
 
-  /** A connection carried an answer after it had been idle for so long. */
-  void lived(double idleMs) {
-    if (!trusts(idleMs)) {
-      deadAfterMs *= REGAIN;
+  /** A connection carried a response after it had been idle for so long. */
+  void recordAlive(double idleMs) {
+    if (!allows(idleMs)) {
+      meanDeadIdleMs *= SURVIVOR_GROWTH;
     }
   }
 }
--- a/src/main/java/quotagateway/backend/RequestBody.java
+++ b/src/main/java/quotagateway/backend/RequestBody.java
@@ -5,43 +5,63 @@
 import java.util.function.IntConsumer;
 
 /**
- * The body of a request on its way from its client to a backend. Within the bound it is held whole,
- * so that it can go out again. A larger one is handed through as it comes, as fast as both sides
- * go, and not kept.
+ * The body of a request on its way from its client to a backend. Within the bound it is kept whole,
+ * so that further attempts can send it again. A larger one is streamed as it comes, as fast as both
+ * sides go, and not kept. On the event loop's thread.
+ *
+ * <p>Who owns which buffer: this object owns the buffer in which it keeps bytes, from the first
+ * {@link #add} until {@link #streamTo} gives it to the sink or {@link #release} frees it. The bytes
+ * given to {@link #add} stay their caller's: they are copied, or retained for the sink. A sink owns
+ * every buffer that it is given, and releases it.
  */
 public final class RequestBody {
 
+  /** A body within this is kept whole: what the protocol allows for one. */
   public static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
-  /** Where it comes from. */
+  /** Where the body comes from. */
   public interface Source {
+
+    /** Reads on, or leaves what comes next where it is. */
     void wants(boolean more);
   }
 
-  /** Where it is handed on to. */
+  /** Where the body is streamed to. */
   interface Sink {
-    /** Takes the bytes; true while more are wanted now. */
+
+    /**
+     * Takes the bytes, and owns them from then on.
+     *
+     * @return whether more are wanted now
+     */
     boolean piece(ByteBuf bytes);
 
+    /** No more follows. */
     void end();
   }
 
   private final Source source;
-  private final IntConsumer account;
-  private ByteBuf held = Unpooled.EMPTY_BUFFER;
+  private final IntConsumer heldBytesChange;
+  private ByteBuf buffer = Unpooled.EMPTY_BUFFER;
+
+  /** Null until the body is streamed, and after its sink has ended. */
   private Sink sink;
-  private boolean whole;
 
-  /** Nobody wants any more of it. */
+  private boolean complete;
+
+  /** Whether nobody wants any more of it. */
   private boolean dropped;
 
-  /** What is held of it, and given back, is told to the account. */
-  public RequestBody(Source source, IntConsumer account) {
+  /**
+   * @param source asked for more, or to pause
+   * @param heldBytesChange told by how many bytes more, or less, are kept
+   */
+  public RequestBody(Source source, IntConsumer heldBytesChange) {
     this.source = source;
-    this.account = account;
+    this.heldBytesChange = heldBytesChange;
   }
 
-  /** A whole body of these bytes. */
+  /** A complete body of these bytes, which stay the caller's. */
   public static RequestBody of(ByteBuf bytes) {
     RequestBody body = new RequestBody(more -> {}, change -> {});
     body.add(bytes);
@@ -55,85 +75,85 @@
       return;
     }
     if (sink != null) {
-      source.wants(sink.piece(bytes.retain()));
+      boolean moreWanted = sink.piece(bytes.retain());
+      source.wants(moreWanted);
       return;
     }
-    int more = bytes.readableBytes();
-    if (held == Unpooled.EMPTY_BUFFER) {
-      held = Unpooled.buffer(more);
+    int added = bytes.readableBytes();
+    if (buffer == Unpooled.EMPTY_BUFFER) {
+      buffer = Unpooled.buffer(added);
     }
-    held.writeBytes(bytes);
-    account.accept(more);
+    buffer.writeBytes(bytes);
+    heldBytesChange.accept(added);
     if (exceedsBuffer()) {
       source.wants(false);
     }
   }
 
   /**
-   * Its last byte has come. Guards against a connection that is never read again: the last bytes
-   * may be those at which reading paused, and no room for more of this body will be told of any
-   * more. Harm: none.
+   * Its last byte has come. Prevents a connection that is never read again: the last bytes may be
+   * those at which reading paused, and nobody will ask for more of this body. Cost: none.
    */
   public void end() {
-    whole = true;
+    complete = true;
     source.wants(true);
     if (sink != null) {
       sink.end();
     }
   }
 
-  public boolean whole() {
-    return whole;
+  /** Whether its last byte has come. */
+  public boolean isComplete() {
+    return complete;
   }
 
-  /** More is held than is to be. */
+  /** Whether more is kept than is to be: it has to be streamed. */
   public boolean exceedsBuffer() {
-    return held.readableBytes() > MAX_BUFFERED_BYTES;
+    return buffer.readableBytes() > MAX_BUFFERED_BYTES;
   }
 
-  /** All of it where it is whole; only lent. */
+  /** What is kept, lent: all of the body where it is complete and was not streamed. */
   public ByteBuf buffered() {
-    return held;
+    return buffer;
   }
 
-  /** Hands on what is held, and from then on what comes. */
-  void passTo(Sink to) {
+  /** Streams what is kept, and from then on what comes. */
+  void streamTo(Sink to) {
     sink = to;
-    ByteBuf first = held;
-    give();
-    boolean more = !first.isReadable() || to.piece(first);
-    if (whole) {
+    ByteBuf first = takeBuffer();
+    boolean moreWanted = !first.isReadable() || to.piece(first);
+    if (complete) {
       to.end();
     } else {
-      source.wants(more);
+      source.wants(moreWanted);
     }
   }
 
-  /** The sink can be written again. */
-  void wanted() {
-    if (!whole && !dropped) {
+  /** The sink takes more again. */
+  void sinkWritable() {
+    if (!complete && !dropped) {
       source.wants(true);
     }
   }
 
-  /** The sink has ended: what is still to come goes nowhere. */
-  void leave(Sink from) {
+  /** A sink has ended: if the body was streamed to it, what is still to come goes nowhere. */
+  void detach(Sink from) {
     if (sink != null && sink == from) {
       sink = null;
       dropped = true;
     }
   }
 
-  /** Nothing of it is needed any more. */
+  /** Nothing of it is needed any more. May be called again. */
   public void release() {
     dropped = true;
-    ByteBuf last = held;
-    give();
-    last.release();
+    takeBuffer().release();
   }
 
-  private void give() {
-    account.accept(-held.readableBytes());
-    held = Unpooled.EMPTY_BUFFER;
+  private ByteBuf takeBuffer() {
+    ByteBuf taken = buffer;
+    heldBytesChange.accept(-taken.readableBytes());
+    buffer = Unpooled.EMPTY_BUFFER;
+    return taken;
   }
 }
--- a/src/main/java/quotagateway/backend/ResponseDecoder.java
+++ b/src/main/java/quotagateway/backend/ResponseDecoder.java
@@ -6,17 +6,21 @@
 import io.netty.handler.codec.http.HttpResponseDecoder;
 import io.netty.util.AsciiString;
 
-/** Decodes backends' answers, and tells whether more has come than belongs to them. */
+/**
+ * Decodes the responses on one connection to a backend, and knows whether more has come than
+ * belongs to them. Where Netty is lenient it is strict: a response that can be read in two ways is
+ * malformed.
+ */
 final class ResponseDecoder extends HttpResponseDecoder {
 
-  private static final int MOST_LINE = 1_024;
-  private static final int MOST_HEADERS = 8_192;
+  private static final int MAX_STATUS_LINE_BYTES = 1_024;
+  private static final int MAX_HEADER_BYTES = 8_192;
 
   ResponseDecoder() {
     super(
         new HttpDecoderConfig()
-            .setMaxInitialLineLength(MOST_LINE)
-            .setMaxHeaderSize(MOST_HEADERS)
+            .setMaxInitialLineLength(MAX_STATUS_LINE_BYTES)
+            .setMaxHeaderSize(MAX_HEADER_BYTES)
             .setUseRfc9112TransferEncoding(true));
   }
 
@@ -26,14 +30,14 @@
     throw new IllegalArgumentException("Content-Length with Transfer-Encoding");
   }
 
-  /** No switch was asked for: after a stray 101 the answer is still one of HTTP/1.1. */
+  /** No switch was asked for: after a stray 101 the response is still one of HTTP/1.1. */
   @Override
-  protected boolean isSwitchingToNonHttp1Protocol(HttpResponse answer) {
+  protected boolean isSwitchingToNonHttp1Protocol(HttpResponse response) {
     return false;
   }
 
   /**
-   * Netty ends an answer's header name at a blank too, and so takes a line with no colon for a
+   * Netty ends a response's header name at a blank too, and so takes a line with no colon for a
    * header.
    */
   @Override
@@ -44,7 +48,8 @@
     return super.splitHeaderName(line, start, length);
   }
 
-  boolean holdsMore() {
+  /** Whether bytes have come that are not decoded yet. */
+  boolean hasMoreBytes() {
     return actualReadableBytes() > 0;
   }
 }
--- a/src/main/java/quotagateway/client/Exchange.java
+++ b/src/main/java/quotagateway/client/Exchange.java
@@ -94,7 +94,7 @@
 
   /** Whether the client, and the request's framing, allow to keep the connection. */
   boolean allowsKeepAlive() {
-    return keepAlive && request.body().whole();
+    return keepAlive && request.body().isComplete();
   }
 
   /**
@@ -147,7 +147,7 @@
     request.accept(received.deadlineAtMs() - request.lastByteAtMs());
     requestId = received.requestId();
     state = State.FORWARDED;
-    boolean complete = request.body().whole();
+    boolean complete = request.body().isComplete();
     context
         .driver()
         .accept(
@@ -170,7 +170,7 @@
       }
     }
     long length =
-        request.body().whole()
+        request.body().isComplete()
             ? request.body().buffered().readableBytes()
             : HttpUtil.getContentLength(head, -1L);
     if (length < 0) {
--- a/src/main/java/quotagateway/client/RequestAssembler.java
+++ b/src/main/java/quotagateway/client/RequestAssembler.java
@@ -240,7 +240,7 @@
       return;
     }
     request.setQueued();
-    if (!request.body().whole()) {
+    if (!request.body().isComplete()) {
       request.setLastByteAtMs(context.now());
     }
     listener.requestReady(request);
--- a/src/main/java/quotagateway/driver/ActiveRequest.java
+++ b/src/main/java/quotagateway/driver/ActiveRequest.java
@@ -141,14 +141,14 @@
 
   /** Cancels the attempts that are not written yet, so that they never are. */
   void cancelUnwrittenAttempts() {
-    cancelAttempts(attempt -> !attempt.written);
+    cancelAttempts(attempt -> !attempt.isWritten());
   }
 
   private void cancelAttempts(Predicate<Attempt> which) {
     // A copy, as the end of one attempt may have the policy start another.
     for (Attempt attempt : List.copyOf(attempts)) {
       if (which.test(attempt)) {
-        attempt.abandon(attempt.cancelled());
+        attempt.abandon(attempt.statusIfCancelled());
       }
     }
   }
--- a/src/main/java/quotagateway/driver/AttemptStarter.java
+++ b/src/main/java/quotagateway/driver/AttemptStarter.java
@@ -100,15 +100,15 @@
     }
 
     @Override
-    public boolean wanted() {
-      if (!ended() && !request.isFinished() && request.listener.isDisconnected()) {
+    public boolean isWanted() {
+      if (!hasEnded() && !request.isFinished() && request.listener.isDisconnected()) {
         disconnectClient.accept(request.id());
       }
-      return super.wanted();
+      return super.isWanted();
     }
 
     @Override
-    public boolean onBegin(HttpResponse response) {
+    public boolean onResponseStart(HttpResponse response) {
       streamedChargedUnits = chargedUnits(response);
       if (!request.finish()) {
         return false;
@@ -121,7 +121,7 @@
     }
 
     @Override
-    public boolean onPiece(HttpContent content) {
+    public boolean onResponseContent(HttpContent content) {
       return request.listener.onResponseContent(content);
     }
 
@@ -151,7 +151,7 @@
 
     /** From the request's last byte, or the attempt's start if that is later, to the response. */
     private double latencyMs() {
-      boolean streamed = begun() && request.isStreaming();
+      boolean streamed = hasResponseStarted() && request.isStreaming();
       double responseAtMs = streamed ? request.streamingSinceMs() : clock.now();
       return Math.max(0, responseAtMs - Math.max(startedAtMs, request.bodyCompleteAtMs()));
     }
--- a/src/main/java/quotagateway/driver/PolicyDriver.java
+++ b/src/main/java/quotagateway/driver/PolicyDriver.java
@@ -80,7 +80,7 @@
       execute(action, decidedAtMs);
     }
     deliver(new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, known.endpoints()));
-    backends.onRoster(known);
+    backends.onEndpointsUpdated(known);
   }
 
   /** Requests that are not over: without a final response, or with an attempt in flight. */
@@ -109,7 +109,7 @@
       RequestReceived received, HttpRequest head, RequestBody body, ResponseListener listener) {
     ActiveRequest request = new ActiveRequest(received, head, body, listener);
     requests.add(request);
-    if (body.whole()) {
+    if (body.isComplete()) {
       startDeadlineTimer(request, received.deadlineAtMs());
     }
     deliver(received);
@@ -124,7 +124,7 @@
     startDeadlineTimer(request, deadlineAtMs);
     Attempt attempt = request.lastAttemptInFlight();
     if (attempt != null) {
-      backends.limit(attempt, deadlineAtMs - request.bodyCompleteAtMs());
+      backends.limitTime(attempt, deadlineAtMs - request.bodyCompleteAtMs());
     }
     deliver(new RequestBodyComplete(id, deadlineAtMs));
   }
@@ -140,7 +140,7 @@
       return;
     }
     boolean wasOpen = request.finish();
-    if (!request.body.whole() || request.isStreaming()) {
+    if (!request.body.isComplete() || request.isStreaming()) {
       // There is nobody to send the rest of the body, or to take the rest of the response.
       request.cancelAttempts();
     } else {
@@ -169,7 +169,7 @@
    */
   public void onEndpointUpdate(EndpointUpdate update) {
     deliver(new EndpointsUpdated(update.form(), update.endpoints()));
-    backends.onRoster(update);
+    backends.onEndpointsUpdated(update);
   }
 
   /** Fails all requests without a final response: the process is about to end. */
@@ -271,7 +271,7 @@
       ActiveRequest request = requests.get(action.requestId());
       Attempt attempt = request == null ? null : request.attempt(action.attempt());
       if (attempt != null) {
-        attempt.abandon(attempt.cancelled());
+        attempt.abandon(attempt.statusIfCancelled());
       }
     }
 
--- a/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
+++ b/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
@@ -74,7 +74,7 @@
             10_000,
             new ConnectionBudget(places),
             new SingleEndpoint(port));
-    pool.onRoster(news());
+    pool.onEndpointsUpdated(news());
     return pool;
   }
 
@@ -151,7 +151,7 @@
             10_000,
             new ConnectionBudget(100),
             new SingleEndpoint(1));
-    pool.onRoster(news());
+    pool.onEndpointsUpdated(news());
     return pool;
   }
 
@@ -201,7 +201,7 @@
                         10_000,
                         new ConnectionBudget(100),
                         new SingleEndpoint(server.getLocalPort()));
-                pool.onRoster(news());
+                pool.onEndpointsUpdated(news());
                 pool.start(1, attempt(60_000), 20_000);
                 nanos.addAndGet(TimeUnit.SECONDS.toNanos(21));
               })
@@ -238,7 +238,7 @@
                         10_000,
                         new ConnectionBudget(100),
                         new SingleEndpoint(server.getLocalPort()));
-                pool.onRoster(news());
+                pool.onEndpointsUpdated(news());
                 DefaultHttpRequest head =
                     new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/buy/1");
                 head.headers().set("Content-Length", size);
@@ -278,7 +278,7 @@
     slowPool().start(1, attempt, FOREVER);
     connectAfter(1_000);
     dialled.releaseOutbound();
-    attempt.abandon(attempt.cancelled());
+    attempt.abandon(attempt.statusIfCancelled());
     assertEquals(List.of(false), openAtEnd);
     assertEquals(List.of(Status.CANCELLED), List.copyOf(ends));
   }
@@ -307,7 +307,7 @@
     loop.submit(
             () -> {
               Attempt late = attempt(5_000);
-              late.abandon(late.overdue());
+              late.abandon(late.statusIfTimedOut());
             })
         .sync();
     assertEquals(Status.NOT_SENT, Peers.next(ends));
@@ -331,7 +331,7 @@
             10_000,
             new ConnectionBudget(1),
             new SingleEndpoint(1));
-    pool.onRoster(news());
+    pool.onEndpointsUpdated(news());
     pool.start(1, attempt(5_000), FOREVER);
     pool.start(1, attempt(5_000), FOREVER);
     assertEquals(List.of(Status.NOT_SENT, Status.NOT_SENT), List.copyOf(ends));
--- a/src/test/java/quotagateway/backend/IdleConnectionReuseTest.java
+++ b/src/test/java/quotagateway/backend/IdleConnectionReuseTest.java
@@ -8,26 +8,26 @@
 /** How long an idle connection is trusted. */
 class IdleConnectionReuseTest {
 
-  private final IdleConnectionReuse trust = new IdleConnectionReuse();
+  private final IdleConnectionReuse reuse = new IdleConnectionReuse();
 
   @Test
   void trustsAnyWhileNoneWasFoundDead() {
-    assertTrue(trust.trusts(9_000));
+    assertTrue(reuse.allows(9_000));
   }
 
   @Test
   void trustsHalfOfWhatWasFoundDead() {
-    trust.died(200);
-    assertTrue(trust.trusts(90));
-    assertFalse(trust.trusts(110));
+    reuse.recordDead(200);
+    assertTrue(reuse.allows(90));
+    assertFalse(reuse.allows(110));
   }
 
   @Test
   void regainsTrustWhenTheTroubleIsOver() {
-    trust.died(200);
+    reuse.recordDead(200);
     for (int i = 0; i < 200; i++) {
-      trust.lived(1_000);
+      reuse.recordAlive(1_000);
     }
-    assertTrue(trust.trusts(900));
+    assertTrue(reuse.allows(900));
   }
 }
