--- a/src/main/java/quotagateway/backend/Attempt.java
+++ b/src/main/java/quotagateway/backend/Attempt.java
@@ -35,7 +35,11 @@
   private State state = State.WAITING_FOR_CONNECTION;
   private double dueAtMs = Double.POSITIVE_INFINITY;
   private double writeByMs = Double.POSITIVE_INFINITY;
+
+  /** Both null until it has a connection. */
   private BackendConnection connection;
+
+  private RequestWriter writer;
   private Future<?> timer;
   private boolean responseStarted;
   private boolean ended;
@@ -84,9 +88,10 @@
     this.timer = timer;
   }
 
-  /** It is being written on a connection. */
-  final void attachTo(BackendConnection to) {
-    connection = to;
+  /** It is being written on a connection, by that writer. */
+  final void attachTo(BackendConnection carrier, RequestWriter requestWriter) {
+    connection = carrier;
+    writer = requestWriter;
     state = State.WRITING;
   }
 
@@ -182,7 +187,7 @@
     }
     ended = true;
     cancelTimer();
-    body.detach(connection);
+    body.detach(writer);
     onEnd(status, response);
   }
 
--- a/src/main/java/quotagateway/backend/BackendConnection.java
+++ b/src/main/java/quotagateway/backend/BackendConnection.java
@@ -2,34 +2,25 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.DefaultHttpContent;
-import io.netty.handler.codec.http.DefaultHttpRequest;
-import io.netty.handler.codec.http.EmptyHttpHeaders;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpObject;
-import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.net.InetSocketAddress;
 import quotagateway.policy.event.Status;
 import quotagateway.transport.MonotonicClock;
-import quotagateway.transport.ProtocolHeaders;
 
 /**
- * One connection to a backend, with at most one attempt at a time: writes its request, receives its
- * response, and ends it with a status. On the event loop's thread; times are in milliseconds on the
- * gateway's clock.
+ * One connection to a backend, with at most one attempt at a time: has its request written,
+ * receives its response, and ends it with a status. On the event loop's thread; times are in
+ * milliseconds on the gateway's clock.
  */
-final class BackendConnection extends SimpleChannelInboundHandler<HttpObject>
-    implements RequestBody.Sink {
+final class BackendConnection extends SimpleChannelInboundHandler<HttpObject> {
 
   /** Who has the connection while no attempt is on it. */
   interface Owner {
@@ -136,61 +127,12 @@
 
   // ---- The request ----
 
-  /**
-   * Writes an attempt's request; nothing below the policy ever writes it again. It states the time
-   * that is left by now, as the connection may have been long in coming up.
-   */
+  /** Takes an attempt, and writes its request. */
   void carry(Attempt attempt) {
     current = attempt;
-    attempt.attachTo(this);
-    HttpRequest head = attempt.head();
-    if (attempt.dueAtMs() < Double.POSITIVE_INFINITY) {
-      double leftMs = Math.max(1, attempt.dueAtMs() - clock.now());
-      head.headers().set(ProtocolHeaders.TIMEOUT_MS, Long.toString((long) Math.ceil(leftMs)));
-    }
-    if (attempt.body().isComplete()) {
-      writeLast(
-          new DefaultFullHttpRequest(
-              HttpVersion.HTTP_1_1,
-              head.method(),
-              head.uri(),
-              attempt.body().buffered().retainedDuplicate(),
-              head.headers(),
-              EmptyHttpHeaders.INSTANCE));
-    } else {
-      channel.write(
-          new DefaultHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), head.headers()));
-      attempt.body().streamTo(this);
-      channel.flush();
-    }
-  }
-
-  private void writeLast(HttpObject last) {
-    Attempt attempt = current;
-    channel
-        .writeAndFlush(last)
-        .addListener(
-            (ChannelFuture written) -> {
-              if (written.isSuccess()) {
-                attempt.markWritten();
-              } else {
-                attempt.end(Status.WRITE_INCOMPLETE, null);
-                channel.close();
-              }
-            });
-  }
-
-  @Override
-  public boolean piece(ByteBuf bytes) {
-    channel
-        .writeAndFlush(new DefaultHttpContent(bytes))
-        .addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
-    return channel.isWritable();
-  }
-
-  @Override
-  public void end() {
-    writeLast(LastHttpContent.EMPTY_LAST_CONTENT);
+    RequestWriter writer = new RequestWriter(channel, attempt);
+    attempt.attachTo(this, writer);
+    writer.write(clock);
   }
 
   @Override
