--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -1,785 +1,292 @@
 package quotagateway.client;
 
-import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelFutureListener;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.channel.socket.SocketChannel;
 import io.netty.handler.codec.CodecException;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
-import io.netty.handler.codec.http.DefaultHttpRequest;
-import io.netty.handler.codec.http.DefaultHttpResponse;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaderValues;
-import io.netty.handler.codec.http.HttpHeaders;
-import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
-import io.netty.handler.codec.http.LastHttpContent;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
-import java.util.Locale;
-import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import quotagateway.backend.Attempt;
-import quotagateway.backend.RequestBody;
-import quotagateway.driver.PolicyDriver;
-import quotagateway.policy.event.RequestReceived;
-import quotagateway.transport.ProtocolHeaders;
-import quotagateway.transport.SocketTransport;
+import quotagateway.transport.KernelSockets;
 
-/** One client's connection: a request at a time, each with the one final answer. */
-final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
+/**
+ * One client's connection: requests one at a time in the order of their coming, each with its one
+ * final response. Reading requests, one exchange, writing responses and closing are {@link
+ * RequestAssembler}'s, {@link Exchange}'s, {@link ResponseWriter}'s and {@link ConnectionCloser}'s.
+ * On the event loop's thread; times are in milliseconds on the gateway's clock.
+ */
+final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
+    implements RequestAssembler.Listener, ConnectionCloser.Requests, ConnectionTimeouts.Activity {
 
   private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
 
-  /**
-   * How long a connection that is ended over bad input stays half open, so that the answer is read.
-   */
-  private static final long LINGER_MS = 300;
-
-  /** One over a larger request stays so for as long as more of that comes, within this. */
-  private static final double MOST_LINGER_MS = 10_000;
-
-  /**
-   * From its connecting, or for a later request from its first byte, a client has so long for a
-   * request's head. A trickle does not extend it: each held connection is one that another client
-   * cannot have.
-   */
-  private static final double REQUEST_MS = 2_200;
-
-  /** For the body it has this and the time that it takes at the least pace, 64 kB a second. */
-  private static final double BODY_MS = 700;
-
-  private static final double BODY_BYTES_PER_MS = 60;
-  private static final long MOST_BODY = 32L << 20;
-
-  /** Who has taken nothing of an answer, or of a body, for so long is not there any more. */
-  private static final double STUCK_MS = 30_000;
-
-  /** Between requests a connection may be ended after this, if another wants its place. */
-  private static final double EVICT_MS = 2_050;
-
-  /**
-   * One with no whole request in so long goes sooner: clients connect in order to ask, and ask at
-   * once.
-   */
-  private static final double EVICT_SILENT_MS = 300;
-
-  /**
-   * Between requests a connection is ended after this in any case: some clients never come back.
-   */
-  private static final double IDLE_MS = 10_000;
-
-  /** Requests kept behind the one under way; a client with more gets no further answers. */
-  private static final int MOST_BEHIND = 16;
-
-  private final ClientServer server;
-  private Channel channel;
-
-  /** One connection too many: its first request is refused, and it ends. */
-  private boolean over;
-
-  /** The request that is being worked on, and whether its connection is kept after it. */
-  private String current;
-
-  private Incoming handled;
-  private boolean keepAlive;
-
-  /** Where the pieces of its answer come from, and since when the client takes none. */
-  private Attempt passing;
-
-  private double stuckSince = Double.NaN;
-  private boolean ending;
-
-  /** When it was opened or last answered. */
-  private double quietSince;
-
-  private boolean asked;
-
-  /**
-   * When the request that is being received began, or NaN; and how many bytes have come of its
-   * head.
-   */
-  private double receivingSince = Double.NaN;
-
-  private int headBytes;
-
-  /** That request, once its head has come; and since when its body is not wanted for now. */
-  private Incoming coming;
-
-  private double pausedSince;
-  private double heardAt;
-
-  /** Too many requests came at once: those kept are answered, and then the connection ends. */
-  private boolean overrun;
-
-  /** Requests that wait their turn, and whether the first of them is about to have it. */
-  private final ArrayDeque<Incoming> waiting = new ArrayDeque<>(1);
-
-  private boolean proceeding;
-
-  /** A request as it comes. */
-  private final class Incoming {
-    final HttpRequest head;
-    final RequestBody body = new RequestBody(ClientConnection.this::read, server::hold);
-
-    /** When its last byte came to this machine: from then on its time counts. */
-    double arrivedAt;
-
-    /**
-     * When its body began, later by as long as that was not wanted; and how much has come of it.
-     */
-    double bodySince = server.now();
-
-    long bodyBytes;
-    boolean queued;
-
-    /** Taken by the module, with so much time from its last byte on. */
-    boolean taken;
-
-    double timeoutMs;
-    boolean malformed;
-    boolean expects;
-
-    Incoming(HttpRequest head) {
-      this.head = head;
-      malformed = head.decoderResult().isFailure();
-      expects = !malformed && HttpUtil.is100ContinueExpected(head);
-    }
-
-    boolean tooLarge() {
-      return Math.max(bodyBytes, HttpUtil.getContentLength(head, 0L)) > MOST_BODY;
-    }
-  }
-
-  ClientConnection(ClientServer server) {
-    this.server = server;
-  }
+  private final Channel channel;
+  private final ClientContext context;
+  private final ClientConnections connections;
+  private final RequestAssembler assembler;
+  private final ResponseWriter writer;
+  private final ConnectionCloser closer;
+  private final ConnectionTimeouts timeouts;
 
-  @Override
-  public void handlerAdded(ChannelHandlerContext ctx) {
-    channel = ctx.channel();
-    quietSince = server.now();
-    over = server.opened(this);
-  }
+  /** Requests that wait for their turn. */
+  private final ArrayDeque<InboundRequest> queue = new ArrayDeque<>(1);
 
-  /**
-   * Called with the size of what has come, before it is decoded; false when nothing more is wanted.
-   */
-  boolean receives(int bytes) {
-    heardAt = server.now();
-    if (ending || overrun) {
-      return false;
-    }
-    if (Double.isNaN(receivingSince)) {
-      receivingSince = heardAt;
-    }
-    if (coming == null) {
-      headBytes += bytes;
-      server.hold(bytes);
-      if (server.full() && headBytes > bytes) {
-        endWith(HttpResponseStatus.SERVICE_UNAVAILABLE, "too much is being received");
-        return false;
-      }
-    }
-    return true;
-  }
+  /** Whether the first of them is about to have it. */
+  private boolean nextScheduled;
 
-  /** Called after that has been decoded; begun: part of a further request is among it. */
-  void received(boolean begun) {
-    if (begun && Double.isNaN(receivingSince)) {
-      receivingSince = server.now();
-    }
-  }
+  /** The exchange that was started last, or null before the first. */
+  private Exchange exchange;
 
-  private void receivedHead() {
-    server.hold(-headBytes);
-    headBytes = 0;
-  }
+  /** The connection exceeds the budget: its first request is rejected, and it ends. */
+  private boolean overBudget;
 
-  /** Reads on, or leaves what the client sends to the kernel. */
-  private void read(boolean on) {
-    if (on != channel.config().isAutoRead()) {
-      if (!on) {
-        pausedSince = server.now();
-      } else if (coming != null) {
-        coming.bodySince += server.now() - pausedSince;
-      }
-      channel.config().setAutoRead(on);
-    }
+  ClientConnection(Channel channel, ClientContext context, ClientConnections connections) {
+    this.channel = channel;
+    this.context = context;
+    this.connections = connections;
+    assembler = new RequestAssembler(channel, context, this);
+    writer = new ResponseWriter(channel, context);
+    closer = new ConnectionCloser(channel, context, assembler, writer, this);
+    timeouts = new ConnectionTimeouts(context, assembler, writer, closer, this);
   }
 
-  double quietSince() {
-    return quietSince;
+  RequestAssembler assembler() {
+    return assembler;
   }
 
-  /** Whether no request is on it, and has not been for long enough to end it for another's sake. */
-  boolean evictable(double now) {
-    if (current != null || ending) {
-      return false;
-    }
-    if (asked && Double.isNaN(receivingSince)) {
-      return now - quietSince > EVICT_MS;
-    }
-    return now - (asked ? receivingSince : quietSince) > EVICT_SILENT_MS;
+  ConnectionCloser closer() {
+    return closer;
   }
 
-  /**
-   * Guards against clients that never finish a request, say nothing, never come back, or read no
-   * answer; and while draining ends what no request is on. One that has just connected may still
-   * ask.
-   */
-  void endIfOverdue(double now) {
-    if (ending) {
-      return;
-    }
-    if (now - stuckSince > STUCK_MS) {
-      channel.close();
-    } else if (coming != null && (current == null || coming.taken)) {
-      endIfSlow(now);
-    } else if (current == null && !Double.isNaN(receivingSince)) {
-      if (now - (asked ? receivingSince : quietSince) > REQUEST_MS) {
-        endWith(HttpResponseStatus.REQUEST_TIMEOUT, "request is not whole in time");
-      }
-    } else if (asked && server.drained() || now - quietSince > (asked ? IDLE_MS : REQUEST_MS)) {
-      closeIfIdle();
-    }
+  ConnectionTimeouts timeouts() {
+    return timeouts;
   }
 
-  private void endIfSlow(double now) {
-    double allowed = BODY_MS + coming.bodyBytes / BODY_BYTES_PER_MS;
-    if (!channel.config().isAutoRead()) {
-      if (coming.taken && now - pausedSince > STUCK_MS) {
-        giveUpBody(HttpResponseStatus.SERVICE_UNAVAILABLE, "body is not taken");
-      }
-    } else if (now - coming.bodySince > allowed
-        && now - (asked ? receivingSince : quietSince) > REQUEST_MS) {
-      giveUpBody(HttpResponseStatus.REQUEST_TIMEOUT, "body is not whole in time");
-    }
-  }
+  // ---- Events of the channel ----
 
-  /** What was taken of it reaches no backend whole. */
-  private void giveUpBody(HttpResponseStatus status, String reason) {
-    if (coming != null && coming.taken && current != null) {
-      String id = current;
-      current = null;
-      server.driver().disconnectClient(id);
-    }
-    endWith(status, reason);
+  @Override
+  public void handlerAdded(ChannelHandlerContext ctx) {
+    timeouts.restartIdleTime();
+    overBudget = connections.opened(this);
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-    if (ending || overrun) {
+    if (closing() || assembler.overrun()) {
       return;
     }
     if (part instanceof HttpRequest head) {
-      begin(head);
+      assembler.onHead(head);
     }
-    if (part instanceof HttpContent content && coming != null) {
-      more(content);
+    if (part instanceof HttpContent content) {
+      assembler.onContent(content);
     }
   }
 
-  private void begin(HttpRequest head) {
-    receivedHead();
-    boolean first = current == null && waiting.isEmpty();
-    Incoming next = new Incoming(head);
-    if (!first && (waiting.size() >= MOST_BEHIND || next.malformed)) {
-      // Reading goes on, so that a client that leaves is noticed; the bound is on what is kept.
-      overrun = true;
-      return;
-    }
-    if (next.malformed) {
-      next.body.end();
-      receivingSince = Double.NaN;
-      queue(next);
-      return;
-    }
-    coming = next;
-    if (next.tooLarge() || HttpUtil.getContentLength(head, 0L) > RequestBody.MOST_HELD) {
-      queue(next);
-    }
-    encourage();
-  }
-
-  /** Tells a client that waits for it to send its body, once no answer is owed before. */
-  private void encourage() {
-    if (coming != null
-        && coming.expects
-        && !ending
-        && !coming.tooLarge()
-        && current == null
-        && (waiting.isEmpty() || waiting.peek() == coming)) {
-      coming.expects = false;
-      channel.writeAndFlush(
-          new DefaultFullHttpResponse(
-              HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
-    }
-  }
-
-  private void more(HttpContent content) {
-    Incoming in = coming;
-    in.bodyBytes += content.content().readableBytes();
-    if (content instanceof LastHttpContent && in.taken && left()) {
-      // The client closed behind its body long ago, maybe: a backend that gets no last byte does
-      // not begin.
-      return;
-    }
-    if (content.decoderResult().isFailure() || in.tooLarge() && in.taken) {
-      in.malformed = !in.tooLarge();
-      if (in.taken) {
-        giveUpBody(
-            in.tooLarge()
-                ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
-                : HttpResponseStatus.BAD_REQUEST,
-            in.tooLarge() ? "body is too large" : "malformed body");
-      } else {
-        queue(in);
-      }
-      return;
-    }
-    if (!in.queued && in.bodyBytes > content.content().readableBytes() && server.full()) {
-      endWith(HttpResponseStatus.SERVICE_UNAVAILABLE, "too much is being received");
-      return;
-    }
-    in.body.add(content.content());
-    if (content instanceof LastHttpContent) {
-      coming = null;
-      receivingSince = Double.NaN;
-      in.arrivedAt = server.now() - SocketTransport.msSinceLastReceive(channel);
-      in.body.end();
-      if (in.taken && handled == in && current != null) {
-        server.driver().completeBody(current, in.arrivedAt + in.timeoutMs);
+  @Override
+  public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+    if (channel.isWritable()) {
+      writer.clearStall();
+      if (exchange != null) {
+        exchange.resume();
       }
-      queue(in);
-    } else if (in.body.large()) {
-      queue(in);
     }
   }
 
-  private void queue(Incoming in) {
-    if (!in.queued) {
-      in.queued = true;
-      in.arrivedAt = in.body.whole() ? in.arrivedAt : server.now();
-      waiting.add(in);
-      proceed();
+  @Override
+  public void channelInactive(ChannelHandlerContext ctx) {
+    assembler.releaseHead();
+    closer.closed();
+    connections.closed(this);
+    if (exchange != null) {
+      exchange.connectionClosed();
     }
   }
 
-  /**
-   * Has the next request handled behind all that the sockets have to tell by now. Guards against
-   * work for clients that are gone: where CPU is short for any cause, connections wait long to be
-   * accepted, and the hang-up is there with the request. Serving the dead first would leave no time
-   * for the living. Harm: a client that ends its sending before it has its answer gets none, as
-   * already when it does so later.
-   */
-  private void proceed() {
-    if (!proceeding && current == null && !waiting.isEmpty()) {
-      proceeding = true;
-      channel
-          .eventLoop()
-          .execute(
-              () -> {
-                proceeding = false;
-                Incoming next = waiting.poll();
-                if (next != null) {
-                  handle(next);
-                }
-              });
+  /** A broken or malformed connection is closed; a fault of this program is logged as well. */
+  @Override
+  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+    if (cause instanceof RuntimeException && !(cause instanceof CodecException)) {
+      LOG.log(Level.SEVERE, "request failed", cause);
     }
-    encourage();
+    ctx.close();
   }
 
-  private void handle(Incoming in) {
-    asked = true;
-    handled = in;
-    try {
-      keepAlive = HttpUtil.isKeepAlive(in.head);
-      if (in.malformed) {
-        endWith(HttpResponseStatus.BAD_REQUEST, "malformed request");
-      } else if (in.tooLarge()) {
-        endWith(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body is too large");
-      } else if (in.head.uri().equals("/up")) {
-        up(in.head);
-      } else if (over || server.over() || server.full()) {
-        keepAlive &= !over;
-        refused(0);
-      } else {
-        take(in);
-      }
-    } catch (RuntimeException e) {
-      faulty(e);
-    } finally {
-      if (!in.taken) {
-        in.body.release();
-      }
-    }
-  }
+  // ---- Requests in their order ----
 
-  /**
-   * A fault of ours costs this request, not the connection or the process; its cause goes to the
-   * log.
-   */
-  private void faulty(RuntimeException cause) {
-    LOG.log(Level.SEVERE, "request failed", cause);
-    if (current != null) {
-      server.driver().disconnectClient(current);
-      current = null;
-      answer(HttpResponseStatus.INTERNAL_SERVER_ERROR);
-    } else {
-      channel.close();
-    }
+  @Override
+  public boolean exchangeOpen() {
+    return exchange != null && exchange.open();
   }
 
-  private void up(HttpRequest message) {
-    boolean get = message.method().equals(HttpMethod.GET);
-    answer(
-        !get
-            ? HttpResponseStatus.METHOD_NOT_ALLOWED
-            : server.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
+  @Override
+  public boolean exchangeStarted() {
+    return exchange != null;
   }
 
-  private void take(Incoming in) {
-    RequestReceived request;
-    try {
-      request = server.read(in.head, in.arrivedAt);
-    } catch (RequestReader.BadRequest e) {
-      keepAlive &= e.framed();
-      answer(HttpResponseStatus.BAD_REQUEST, e.getMessage());
-      return;
-    }
-    in.timeoutMs = request.deadlineAtMs() - in.arrivedAt;
-    current = request.requestId();
-    in.taken = true;
-    server
-        .driver()
-        .accept(
-            in.body.whole() ? request : request.withoutDeadline(),
-            onward(in),
-            in.body,
-            new PolicyDriver.Client() {
-              @Override
-              public boolean isDisconnected() {
-                boolean left = ClientConnection.this.left();
-                current = left ? null : current;
-                return left;
-              }
-
-              @Override
-              public void onResponse(FullHttpResponse answer) {
-                current = null;
-                ClientConnection.this.served(answer);
-              }
-
-              @Override
-              public void onResponseStart(HttpResponse head, Attempt from) {
-                passing = from;
-                pass(head, in.head);
-              }
-
-              @Override
-              public boolean onResponseContent(HttpContent piece) {
-                return ClientConnection.this.piece(piece);
-              }
-
-              @Override
-              public void onResponseEnd(boolean whole) {
-                if (passing != null) {
-                  passed(whole);
-                }
-              }
-
-              @Override
-              public void onRejected(double holdOffMs) {
-                current = null;
-                ClientConnection.this.refused(holdOffMs);
-              }
-
-              @Override
-              public void onFailed() {
-                current = null;
-                answer(HttpResponseStatus.BAD_GATEWAY);
-              }
-            });
+  @Override
+  public boolean idle() {
+    return !exchangeOpen() && queue.isEmpty();
   }
 
   /**
-   * Whether the client has ended the connection, which is closed then, though its end was not read
-   * yet.
+   * Bounds what a client can have kept here. Prevents memory that grows with pipelined requests; a
+   * client that sends more gets the responses to those kept, and then a close.
    */
-  private boolean left() {
-    if (channel.isActive() && SocketTransport.isClosedByPeer(channel)) {
-      channel.close();
-    }
-    return !channel.isActive();
-  }
-
-  /** What goes on to a backend: the request line and the headers that are passed on, unchanged. */
-  private static HttpRequest onward(Incoming in) {
-    HttpHeaders from = in.head.headers();
-    DefaultHttpRequest onward =
-        new DefaultHttpRequest(
-            HttpVersion.HTTP_1_1, in.head.method(), RequestReader.path(in.head.uri()));
-    for (CharSequence name :
-        new CharSequence[] {
-          HttpHeaderNames.HOST,
-          ProtocolHeaders.REQUEST_ID,
-          ProtocolHeaders.REQUEST_CLASS,
-          ProtocolHeaders.IDEMPOTENCY_KEY,
-          HttpHeaderNames.CONTENT_TYPE,
-          ProtocolHeaders.TIMEOUT_MS
-        }) {
-      String value = from.get(name);
-      if (value != null) {
-        onward.headers().set(name, value);
-      }
-    }
-    long length =
-        in.body.whole() ? in.body.held().readableBytes() : HttpUtil.getContentLength(in.head, -1L);
-    if (length < 0) {
-      onward.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-    } else if (length > 0 || in.head.method().equals(HttpMethod.POST)) {
-      onward.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
-    }
-    return onward;
+  @Override
+  public boolean queueFull() {
+    return queue.size() >= RequestLimits.MAX_PIPELINED_REQUESTS;
   }
 
-  private void served(FullHttpResponse from) {
-    DefaultFullHttpResponse answer =
-        new DefaultFullHttpResponse(
-            HttpVersion.HTTP_1_1, HttpResponseStatus.OK, from.content().retain());
-    copyType(from, answer);
-    write(answer);
+  @Override
+  public void headReceived() {
+    sendContinueIfExpected();
   }
 
-  private static void copyType(HttpResponse from, HttpResponse to) {
-    String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
-    if (type != null) {
-      to.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
-    }
+  @Override
+  public void requestReady(InboundRequest request) {
+    queue.add(request);
+    startNext();
   }
 
-  /** Begins an answer that follows in pieces. */
-  private void pass(HttpResponse from, HttpRequest to) {
-    DefaultHttpResponse answer =
-        new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-    copyType(from, answer);
-    if (HttpUtil.isContentLengthSet(from)) {
-      answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, HttpUtil.getContentLength(from));
-    } else if (to.protocolVersion().isKeepAliveDefault()) {
-      answer.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-    } else {
-      // Of HTTP/1.0: the end of the connection is the end of the answer.
-      keepAlive = false;
+  @Override
+  public void requestComplete(InboundRequest request) {
+    if (request.accepted() && exchange.request() == request) {
+      exchange.requestComplete();
     }
-    keepAlive = keeps(answer);
-    channel.writeAndFlush(answer);
   }
 
-  private boolean piece(HttpContent piece) {
-    if (passing == null) {
-      return false;
-    }
-    channel.writeAndFlush(piece.retain());
-    if (!channel.isWritable() && Double.isNaN(stuckSince)) {
-      stuckSince = server.now();
+  @Override
+  public void bodyFailed(HttpResponseStatus status, String reason) {
+    InboundRequest receiving = assembler.receiving();
+    if (receiving != null && receiving.accepted() && exchangeOpen()) {
+      exchange.abandonRequest();
     }
-    return channel.isWritable();
+    closer.closeWithError(status, reason);
   }
 
-  /** The client takes more of its answer. */
   @Override
-  public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-    if (channel.isWritable()) {
-      stuckSince = Double.NaN;
-      if (passing != null) {
-        passing.resume();
-      }
-    }
+  public void unreadable(HttpResponseStatus status, String reason) {
+    closer.closeWithError(status, reason);
   }
 
   /**
-   * Ends such an answer; one that is not whole ends with a reset, which no framing takes for its
-   * end.
+   * Has the next request handled behind all that the sockets have to report by now. Prevents work
+   * for clients that are gone: where CPU is short for any cause, connections wait long to be
+   * accepted, and the close is there with the request; requests of such clients, served first,
+   * would leave no time for those of others. Cost: a client that ends its sending before it has its
+   * response gets none, as already when it does so later.
    */
-  private void passed(boolean whole) {
-    passing = null;
-    current = null;
-    stuckSince = Double.NaN;
-    quietSince = server.now();
-    if (!whole) {
-      ending = true;
-      dropWaiting();
-      SocketTransport.reset(channel);
-    } else if (keepAlive) {
-      proceed();
-    } else {
-      end(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
+  private void startNext() {
+    if (!nextScheduled && !exchangeOpen() && !queue.isEmpty()) {
+      nextScheduled = true;
+      channel.eventLoop().execute(this::startScheduled);
     }
+    sendContinueIfExpected();
   }
 
-  private void refused(double holdOffMs) {
-    FullHttpResponse answer =
-        empty(
-            holdOffMs > 0
-                ? HttpResponseStatus.TOO_MANY_REQUESTS
-                : HttpResponseStatus.SERVICE_UNAVAILABLE);
-    if (holdOffMs > 0) {
-      answer
-          .headers()
-          .set(HttpHeaderNames.RETRY_AFTER, String.format(Locale.ROOT, "%.3f", holdOffMs / 1000));
+  private void startScheduled() {
+    nextScheduled = false;
+    InboundRequest next = queue.poll();
+    if (next != null) {
+      exchange = new Exchange(next, this, context, writer);
+      exchange.start(overBudget);
     }
-    write(answer);
   }
 
-  private void answer(HttpResponseStatus status) {
-    write(empty(status));
+  /** Has a client send the body that it keeps back, once no response is owed before. */
+  private void sendContinueIfExpected() {
+    InboundRequest receiving = assembler.receiving();
+    if (receiving != null
+        && receiving.awaitsContinue()
+        && !closing()
+        && !receiving.tooLarge()
+        && !exchangeOpen()
+        && (queue.isEmpty() || queue.peek() == receiving)) {
+      receiving.continueSent();
+      writer.writeContinue();
+    }
   }
 
-  private void answer(HttpResponseStatus status, String reason) {
-    ByteBuf text = Unpooled.copiedBuffer(reason + "\n", StandardCharsets.US_ASCII);
-    write(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, text));
+  @Override
+  public void discardRequests() {
+    queue.forEach(request -> request.body().release());
+    queue.clear();
+    assembler.discard();
   }
 
-  private static FullHttpResponse empty(HttpResponseStatus status) {
-    return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
-  }
+  // ---- Responses ----
 
-  private void write(FullHttpResponse answer) {
-    answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
-    quietSince = server.now();
-    boolean keep = keeps(answer);
-    ChannelFuture written = channel.writeAndFlush(answer);
-    if (keep) {
+  /** Writes an exchange's response; the next request follows, or the connection ends. */
+  void respond(Exchange answered, FullHttpResponse response) {
+    timeouts.restartIdleTime();
+    boolean kept = keptAfter(answered);
+    ChannelFuture written =
+        writer.write(response, kept, answered.request().head().protocolVersion());
+    if (kept) {
       written.addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
-      proceed();
+      startNext();
     } else {
-      end(written);
-    }
-  }
-
-  /** Whether the connection is kept after this answer, which tells the client. */
-  private boolean keeps(HttpResponse answer) {
-    // In a crowd a kept connection is a place that another client may not find. What has come whole
-    // behind
-    // this request has been taken, and is answered first.
-    boolean last = (server.draining() || server.crowded() || overrun) && waiting.isEmpty();
-    boolean keep = keepAlive && !last && handled.body.whole();
-    if (!keep) {
-      answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-    } else if (!handled.head.protocolVersion().isKeepAliveDefault()) {
-      answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
+      closeAfter(written);
     }
-    return keep;
   }
 
   /**
-   * Ends the connection with its last answer; a client that still sends a body gets to read that
-   * first.
+   * An exchange's streamed response has ended; the next request follows, or the connection ends.
    */
-  private void end(ChannelFuture answered) {
-    ending = true;
-    dropWaiting();
-    if (coming != null && coming == handled) {
-      linger(answered);
-    } else {
-      answered.addListener(ChannelFutureListener.CLOSE);
-    }
-  }
-
-  /**
-   * Answers what cannot be read any further, and lets the client read that before the connection
-   * ends.
-   */
-  void endWith(HttpResponseStatus status, String reason) {
-    if (ending) {
-      return;
-    }
-    ending = true;
-    dropWaiting();
-    ByteBuf text = Unpooled.copiedBuffer(reason + "\n", StandardCharsets.US_ASCII);
-    FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, text);
-    answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, text.readableBytes());
-    answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-    linger(channel.writeAndFlush(answer));
-  }
-
-  private void linger(ChannelFuture answered) {
-    double until = server.now() + MOST_LINGER_MS;
-    boolean body = coming != null && coming.queued;
-    read(true);
-    answered.addListener(f -> ((SocketChannel) channel).shutdownOutput());
-    channel
-        .eventLoop()
-        .schedule(() -> lingered(body ? until : 0), LINGER_MS, TimeUnit.MILLISECONDS);
-  }
-
-  private void lingered(double until) {
-    double now = server.now();
-    if (now - heardAt < LINGER_MS && now < until) {
-      channel.eventLoop().schedule(() -> lingered(until), LINGER_MS, TimeUnit.MILLISECONDS);
+  void streamEnded(boolean complete, boolean kept) {
+    writer.clearStall();
+    timeouts.restartIdleTime();
+    if (!complete) {
+      closer.reset();
+    } else if (kept) {
+      startNext();
     } else {
-      channel.close();
+      closeAfter(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
     }
   }
 
   /**
-   * Ends the connection if no request is on it; one that is answered while draining ends by itself.
+   * Whether the connection is kept after the response to an exchange. In a crowd a kept connection
+   * is a place that another client may not find. What has come completely behind this request was
+   * accepted from its client, and is answered first.
    */
-  void closeIfIdle() {
-    if (current == null && waiting.isEmpty() && !ending) {
-      ending = true;
-      channel.close();
-    }
+  boolean keptAfter(Exchange answered) {
+    boolean endWanted = context.draining() || connections.crowded() || assembler.overrun();
+    boolean last = endWanted && queue.isEmpty();
+    return !last && answered.allowsKeepAlive();
   }
 
-  /** The process ends: what is half here is refused, as nobody will take the rest of it. */
-  void endUnasked() {
-    if (current == null && waiting.isEmpty() && !Double.isNaN(receivingSince)) {
-      endWith(HttpResponseStatus.SERVICE_UNAVAILABLE, "this front door ends");
-    } else {
-      closeIfIdle();
-    }
+  private void closeAfter(ChannelFuture written) {
+    InboundRequest receiving = assembler.receiving();
+    closer.closeAfter(written, receiving != null && receiving == exchange.request());
   }
 
-  private void dropWaiting() {
-    waiting.forEach(w -> w.body.release());
-    waiting.clear();
-    if (coming != null && !coming.taken) {
-      coming.body.release();
-    }
-  }
+  // ---- Closing ----
 
   @Override
-  public void channelInactive(ChannelHandlerContext ctx) {
-    ending = true;
-    receivedHead();
-    dropWaiting();
-    server.closed(this);
-    passing = null;
-    if (current != null) {
-      server.driver().disconnectClient(current);
-      current = null;
-    }
+  public boolean closing() {
+    return closer.closing();
   }
 
+  /**
+   * Whether the client has closed the connection, though that was not read yet; then it is closed
+   * here as well. Prevents attempts for clients that are gone: a loop that was held up, or that has
+   * paused reading, has not heard of it.
+   */
   @Override
-  public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    if (cause instanceof RuntimeException && !(cause instanceof CodecException)) {
-      LOG.log(Level.SEVERE, "request failed", cause);
+  public boolean clientLeft() {
+    if (channel.isActive() && KernelSockets.isClosedByPeer(channel)) {
+      channel.close();
     }
-    ctx.close();
+    return !channel.isActive();
   }
 }
