--- a/src/test/java/quotagateway/policy/admission/LoadShedderTest.java
+++ b/src/test/java/quotagateway/policy/admission/LoadShedderTest.java
@@ -170,6 +170,24 @@
     assertTrue(shedder.isOverloaded(1_000));
   }
 
+  /** A single request that hangs must not shed all the others. */
+  @Test
+  void oneVerySlowResponseCountsAsTwoObjectives() {
+    measure(200, Status.OK, MEAN_SERVICE_MS);
+    measure(1, Status.OK, 60_000);
+    assertFalse(shedder.isOverloaded(0), "0.95 of 0.05, and 0.05 of 2: 0.15");
+  }
+
+  /** Responses that come sooner than the mean show no spare capacity. */
+  @Test
+  void aLatencyIsAtLeastTheMeanServiceTime() {
+    AttemptEnded event = new AttemptEnded("r", 0, 1, Status.OK, 1, true, 0, null);
+    for (int i = 0; i < 200; i++) {
+      shedder.recordOutcome(event, nowMs - 1, OBJECTIVE_MS, 0, 300);
+    }
+    assertTrue(shedder.isOverloaded(0.5), "300 ms of 1 s");
+  }
+
   /** The gateway itself stood still: its backends were not slow. */
   @Test
   void aStallOfTheGatewayIsNoLatency() {
--- a/src/test/java/quotagateway/policy/quota/CustomerAccountTest.java
+++ b/src/test/java/quotagateway/policy/quota/CustomerAccountTest.java
@@ -85,6 +85,50 @@
     assertFalse(account.isKnownExhausted(4), "peers may have returned units by now");
   }
 
+  @Test
+  void unitsThatOthersWaitForCountAsUsedThere() {
+    read(0);
+    account.charge(7);
+    assertFalse(account.isKnownExhausted(3));
+    account.settlement().beginCall(1);
+    assertTrue(account.isKnownExhausted(3));
+  }
+
+  /** The peers were taken to use a part of the refill; the total shows that they did not. */
+  @Test
+  void whatPeersWereAssumedToUseComesBackIfTheyDidNot() {
+    read(0);
+    account.charge(8);
+    pass(1_000);
+    read(1.5);
+    assertEquals(2 + 2 - 1.5, account.availableUnits(), EXACT);
+    pass(1_000);
+    assertTrue(account.availableUnits() < 4.4, "peers are assumed to go on: with 0.27 a second");
+    read(1.5);
+    assertEquals(2.5 + 2, account.availableUnits(), EXACT);
+  }
+
+  /** Peers that use more than the whole rate cannot take this gateway's share of the refill. */
+  @Test
+  void heavyUseByPeersLeavesTheRefillOfThisGateway() {
+    account.recordTotal(window(), 0, 0, 1_000);
+    double before = account.availableUnits();
+    pass(1_000);
+    assertTrue(account.availableUnits() > before);
+  }
+
+  @Test
+  void whatPeersUseIsTakenOffTheHardLimitToo() {
+    QuotaFixture four = new QuotaFixture(4, true);
+    CustomerAccount limited = four.account(QuotaFixture.HARD_LIMIT, 4);
+    four.pass(60_000);
+    limited.advance(QuotaFixture.MEAN_SERVICE_MS);
+    limited.recordTotal(limited.windows().windowAt(four.nowMs()), 0, 0, 4);
+    assertTrue(limited.hardLimit().tryAcquire(4.1, true), "the local part: 21 * 0.8 / 4");
+    assertFalse(limited.hardLimit().tryAcquire(0.25, true), "the shared part had 4.2");
+    assertTrue(limited.hardLimit().tryAcquire(0.15, true));
+  }
+
   @Test
   void asksForNothingWhereTheBucketHasNoRoom() {
     account.charge(8);
@@ -166,6 +210,17 @@
     assertFalse(fixed.isKnownExhausted(0.5));
   }
 
+  /** Nothing is known yet: the customer is taken to use half of its rate elsewhere. */
+  @Test
+  void expectedUseIsTakenOffAFixedWindow() {
+    CustomerAccount fixed = fixture.account(QuotaFixture.FIXED_WINDOW, 2);
+    long window = fixed.windows().windowAt(fixture.nowMs());
+    fixture.pass(1_000);
+    fixed.advance(QuotaFixture.MEAN_SERVICE_MS);
+    assertEquals(window, fixed.windows().windowAt(fixture.nowMs()), "still the same window");
+    assertEquals(10 - 0.25, fixed.availableUnits(), EXACT);
+  }
+
   /** A total that is too large is not needed to know it: half a burst over is enough. */
   @Test
   void anEstimateHalfABurstOverShowsAnExhaustedWindow() {
--- a/src/test/java/quotagateway/policy/quota/QuotaLimiterTest.java
+++ b/src/test/java/quotagateway/policy/quota/QuotaLimiterTest.java
@@ -191,6 +191,32 @@
     }
   }
 
+  @Test
+  void theSecondReadingShowsThatTheFirstCallAddedNothing() {
+    pending(QuotaFixture.BUCKET, 3);
+    reply(Status.RESET, 0);
+    assertDecides(Admitted.class, reply(Status.OK, 0));
+    assertEquals(1 + 3, nextCallAdds(), EXACT);
+  }
+
+  @Test
+  void theSecondReadingShowsThatTheFirstCallWasAdded() {
+    pending(QuotaFixture.BUCKET, 3);
+    reply(Status.RESET, 0);
+    assertDecides(Admitted.class, reply(Status.OK, 3));
+    assertEquals(1, nextCallAdds(), EXACT);
+  }
+
+  /** Unlike in a bucket, what a rejected request added stays in the count of its window. */
+  @Test
+  void aRejectionInAFixedWindowIsNotTakenOff() {
+    pending(QuotaFixture.FIXED_WINDOW, 3);
+    assertDecides(OverQuota.class, reply(Status.OK, 12));
+    fixture.pass(25_000);
+    pending(QuotaFixture.FIXED_WINDOW, 1);
+    assertEquals(1, fixture.onlyCall().amount(), EXACT);
+  }
+
   @Test
   void repliesThatNobodyWaitsForAreIgnored() {
     CounterReplied unknown = new CounterReplied("nothing", Status.OK, 5, 1);
