--- /dev/null
+++ b/src/main/java/quotagateway/driver/ActionExecutor.java
@@ -0,0 +1,123 @@
+package quotagateway.driver;
+
+import io.netty.channel.EventLoop;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import quotagateway.backend.Attempt;
+import quotagateway.counter.CounterClient;
+import quotagateway.policy.action.Action;
+import quotagateway.policy.action.CancelAttempt;
+import quotagateway.policy.action.FailRequest;
+import quotagateway.policy.action.IncrementCounter;
+import quotagateway.policy.action.RejectRequest;
+import quotagateway.policy.action.ScheduleTimer;
+import quotagateway.policy.action.StartAttempt;
+import quotagateway.policy.action.WatchEndpoints;
+import quotagateway.policy.event.Event;
+import quotagateway.policy.event.TimerFired;
+import quotagateway.transport.MonotonicClock;
+
+/**
+ * Executes the policy's actions at clients, backends, the counter and the event loop's timers.
+ * Owned by the event loop's thread.
+ */
+final class ActionExecutor {
+
+  private final EventLoop loop;
+  private final MonotonicClock clock;
+  private final ActiveRequests requests;
+  private final AttemptStarter attempts;
+  private final Consumer<Event> events;
+
+  /** Null until the driver's start. */
+  private CounterClient counter;
+
+  /**
+   * @param events takes what is reported to the policy
+   */
+  ActionExecutor(
+      EventLoop loop,
+      MonotonicClock clock,
+      ActiveRequests requests,
+      AttemptStarter attempts,
+      Consumer<Event> events) {
+    this.loop = loop;
+    this.clock = clock;
+    this.requests = requests;
+    this.attempts = attempts;
+    this.events = events;
+  }
+
+  void useCounter(CounterClient counter) {
+    this.counter = counter;
+  }
+
+  /**
+   * Executes an action.
+   *
+   * @param decidedAtMs when the policy decided on it, in milliseconds of the gateway's clock
+   */
+  void execute(Action action, double decidedAtMs) {
+    action.handle(new DecisionHandler(decidedAtMs));
+  }
+
+  /** Executes the actions of one decision. */
+  private final class DecisionHandler implements Action.Handler<RuntimeException> {
+    private final double decidedAtMs;
+
+    DecisionHandler(double decidedAtMs) {
+      this.decidedAtMs = decidedAtMs;
+    }
+
+    @Override
+    public void onStartAttempt(StartAttempt action) {
+      attempts.start(action, decidedAtMs);
+    }
+
+    @Override
+    public void onCancelAttempt(CancelAttempt action) {
+      ActiveRequest request = requests.get(action.requestId());
+      Attempt attempt = request == null ? null : request.attempt(action.attempt());
+      if (attempt != null) {
+        attempt.abandon(attempt.statusIfCancelled());
+      }
+    }
+
+    @Override
+    public void onRejectRequest(RejectRequest action) {
+      ActiveRequest request = requests.get(action.requestId());
+      if (request != null && request.finish()) {
+        request.listener.onRejected(action.retryAfterMs());
+        requests.removeIfOver(request);
+      }
+    }
+
+    @Override
+    public void onFailRequest(FailRequest action) {
+      ActiveRequest request = requests.get(action.requestId());
+      if (request != null && request.finish()) {
+        request.listener.onFailed();
+        requests.removeIfOver(request);
+      }
+    }
+
+    @Override
+    public void onIncrementCounter(IncrementCounter action) {
+      counter.increment(action.counterName(), action.amount(), action.ttlMs());
+    }
+
+    /** Never early: the policy ignores a timer before its time, and none would follow. */
+    @Override
+    public void onScheduleTimer(ScheduleTimer action) {
+      double delayMs = Math.max(0, action.atMs() - clock.now());
+      loop.schedule(
+          () -> events.accept(new TimerFired(action.timer())),
+          (long) Math.ceil(delayMs * 1000) + 1,
+          TimeUnit.MICROSECONDS);
+    }
+
+    /** Needs nothing: the endpoint list is watched from the start. */
+    @Override
+    public void onWatchEndpoints(WatchEndpoints action) {}
+  }
+}
--- a/src/main/java/quotagateway/driver/PolicyDriver.java
+++ b/src/main/java/quotagateway/driver/PolicyDriver.java
@@ -15,13 +15,6 @@
 import quotagateway.endpoint.EndpointListForm;
 import quotagateway.policy.GatewayPolicy;
 import quotagateway.policy.action.Action;
-import quotagateway.policy.action.CancelAttempt;
-import quotagateway.policy.action.FailRequest;
-import quotagateway.policy.action.IncrementCounter;
-import quotagateway.policy.action.RejectRequest;
-import quotagateway.policy.action.ScheduleTimer;
-import quotagateway.policy.action.StartAttempt;
-import quotagateway.policy.action.WatchEndpoints;
 import quotagateway.policy.event.AttemptEnded;
 import quotagateway.policy.event.ClientDisconnected;
 import quotagateway.policy.event.CounterReplied;
@@ -53,12 +46,10 @@
   private final BackendConnectionPool backends;
   private final ActiveRequests requests = new ActiveRequests();
   private final AttemptStarter attempts;
+  private final ActionExecutor executor;
   private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
   private boolean delivering;
 
-  /** Null until the start. */
-  private CounterClient counter;
-
   public PolicyDriver(
       EventLoop loop, MonotonicClock clock, GatewayPolicy policy, BackendConnectionPool backends) {
     this.loop = loop;
@@ -66,6 +57,7 @@
     this.policy = policy;
     this.backends = backends;
     attempts = new AttemptStarter(clock, backends, requests, this::deliver, this::disconnectClient);
+    executor = new ActionExecutor(loop, clock, requests, attempts, this::deliver);
   }
 
   /**
@@ -74,10 +66,10 @@
    * @param known the endpoint list as this gateway last had it
    */
   public void start(CounterClient counter, EndpointUpdate known) {
-    this.counter = counter;
+    executor.useCounter(counter);
     double decidedAtMs = clock.now();
     for (Action action : policy.start(decidedAtMs)) {
-      execute(action, decidedAtMs);
+      executor.execute(action, decidedAtMs);
     }
     deliver(new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, known.endpoints()));
     backends.onEndpointsUpdated(known);
@@ -225,7 +217,7 @@
     }
     for (Action action : actions) {
       try {
-        execute(action, decidedAtMs);
+        executor.execute(action, decidedAtMs);
       } catch (RuntimeException e) {
         LOG.log(Level.SEVERE, "action failed action=" + action, e);
       }
@@ -248,68 +240,4 @@
       fail(request);
     }
   }
-
-  private void execute(Action action, double decidedAtMs) {
-    action.handle(new ActionExecutor(decidedAtMs));
-  }
-
-  /** Executes the actions of one decision. */
-  private final class ActionExecutor implements Action.Handler<RuntimeException> {
-    private final double decidedAtMs;
-
-    ActionExecutor(double decidedAtMs) {
-      this.decidedAtMs = decidedAtMs;
-    }
-
-    @Override
-    public void onStartAttempt(StartAttempt action) {
-      attempts.start(action, decidedAtMs);
-    }
-
-    @Override
-    public void onCancelAttempt(CancelAttempt action) {
-      ActiveRequest request = requests.get(action.requestId());
-      Attempt attempt = request == null ? null : request.attempt(action.attempt());
-      if (attempt != null) {
-        attempt.abandon(attempt.statusIfCancelled());
-      }
-    }
-
-    @Override
-    public void onRejectRequest(RejectRequest action) {
-      ActiveRequest request = requests.get(action.requestId());
-      if (request != null && request.finish()) {
-        request.listener.onRejected(action.retryAfterMs());
-        requests.removeIfOver(request);
-      }
-    }
-
-    @Override
-    public void onFailRequest(FailRequest action) {
-      ActiveRequest request = requests.get(action.requestId());
-      if (request != null && request.finish()) {
-        request.listener.onFailed();
-        requests.removeIfOver(request);
-      }
-    }
-
-    @Override
-    public void onIncrementCounter(IncrementCounter action) {
-      counter.increment(action.counterName(), action.amount(), action.ttlMs());
-    }
-
-    /** Never early: the policy ignores a timer before its time, and none would follow. */
-    @Override
-    public void onScheduleTimer(ScheduleTimer action) {
-      double delayMs = Math.max(0, action.atMs() - clock.now());
-      loop.schedule(
-          () -> deliver(new TimerFired(action.timer())),
-          (long) Math.ceil(delayMs * 1000) + 1,
-          TimeUnit.MICROSECONDS);
-    }
-
-    /** Needs nothing: the endpoint list is watched from the start. */
-    @Override
-    public void onWatchEndpoints(WatchEndpoints action) {}
-  }
 }
