--- a/src/main/java/quotagateway/backend/BackendConnection.java
+++ b/src/main/java/quotagateway/backend/BackendConnection.java
@@ -1,16 +1,11 @@
 package quotagateway.backend;
 
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.http.DefaultHttpContent;
 import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpObject;
-import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.LastHttpContent;
 import java.net.InetSocketAddress;
 import quotagateway.policy.event.Status;
 import quotagateway.transport.MonotonicClock;
@@ -20,7 +15,8 @@
  * receives its response, and ends it with a status. On the event loop's thread; times are in
  * milliseconds on the gateway's clock.
  */
-final class BackendConnection extends SimpleChannelInboundHandler<HttpObject> {
+final class BackendConnection extends SimpleChannelInboundHandler<HttpObject>
+    implements ResponseReceiver.Listener {
 
   /** Who has the connection while no attempt is on it. */
   interface Owner {
@@ -38,12 +34,7 @@
   private final MonotonicClock clock;
   private final IdleConnectionReuse reuse;
   private Channel channel;
-  private ReceivedResponse response;
-  private StalledResponseTimer stallTimer;
-
-  /** The attempt that it carries, or null. */
-  private Attempt current;
-
+  private ResponseReceiver receiver;
   private double idleSinceMs;
 
   /** For how long it had been idle before it was used again. */
@@ -52,15 +43,6 @@
   /** Whether it has carried a response before, and is in use again. */
   private boolean reused;
 
-  /** Whether the connection broke: its end is then no response's end. */
-  private boolean broken;
-
-  /** Whether more has come than the one response. */
-  private boolean excessReceived;
-
-  /** Whether reading is paused, as the client takes no more of the response for now. */
-  private boolean paused;
-
   /**
    * @param address where it leads, for good, though its backend may move
    * @param decoder of the same channel
@@ -82,8 +64,7 @@
   @Override
   public void handlerAdded(ChannelHandlerContext ctx) {
     channel = ctx.channel();
-    response = new ReceivedResponse(channel.alloc());
-    stallTimer = new StalledResponseTimer(channel.eventLoop(), clock, this::checkProgress);
+    receiver = new ResponseReceiver(channel, clock, this);
   }
 
   // ---- Between attempts ----
@@ -120,8 +101,7 @@
    * Closes it under its attempt, which its caller ends: nothing that still comes is for that one.
    */
   void closeUnderAttempt() {
-    current = null;
-    clearResponse();
+    receiver.detachAttempt();
     close();
   }
 
@@ -129,7 +109,7 @@
 
   /** Takes an attempt, and writes its request. */
   void carry(Attempt attempt) {
-    current = attempt;
+    receiver.await(attempt);
     RequestWriter writer = new RequestWriter(channel, attempt);
     attempt.attachTo(this, writer);
     writer.write(clock);
@@ -137,8 +117,9 @@
 
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-    if (current != null && channel.isWritable()) {
-      current.body().sinkWritable();
+    Attempt attempt = receiver.attempt();
+    if (attempt != null && channel.isWritable()) {
+      attempt.body().sinkWritable();
     }
   }
 
@@ -146,97 +127,17 @@
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-    if (current == null) {
+    if (receiver.attempt() == null) {
       // A response that no request asked for.
       ctx.close();
-      return;
-    }
-    if (response.complete()) {
-      excessReceived = true;
-      return;
-    }
-    boolean secondHead = part instanceof HttpResponse && response.hasHead();
-    if (part.decoderResult().isFailure() || secondHead) {
-      failMalformed();
-      return;
-    }
-    if (part instanceof HttpResponse head) {
-      onHead(head);
-    }
-    if (current != null && part instanceof HttpContent content) {
-      onContent(content);
-    }
-  }
-
-  private void onHead(HttpResponse head) {
-    if (!response.begin(head)) {
-      failMalformed();
-    } else if (response.announcedTooLarge()) {
-      startStreaming();
     } else {
-      response.allocateBody();
-    }
-  }
-
-  private void onContent(HttpContent content) {
-    boolean last = content instanceof LastHttpContent;
-    if (broken && last && !ResponseClassifier.isFramed(response.head())) {
-      // The decoder takes any end of the connection for the response's.
-      return;
-    }
-    if (!current.hasResponseStarted() && !response.fits(content)) {
-      startStreaming();
-    }
-    if (current != null && current.hasResponseStarted()) {
-      stream(content);
-    } else if (current != null) {
-      response.append(content);
-    }
-    if (current != null && last) {
-      if (ResponseClassifier.isInformational(response.head())) {
-        clearResponse();
-      } else {
-        response.markComplete();
-      }
-    }
-  }
-
-  /**
-   * Begins to stream the response to its client: it is too large to be kept, or so slow that its
-   * client may wait for it. From then on no other attempt can replace it.
-   */
-  private void startStreaming() {
-    if (!current.isWritten() || ResponseClassifier.classify(response.head()) != Status.OK) {
-      failMalformed();
-      return;
-    }
-    boolean wanted = current.startResponse(response.head());
-    if (current == null) {
-      return;
-    }
-    ByteBuf kept = response.body();
-    if (!wanted) {
-      current.abandon(Status.CANCELLED);
-    } else if (kept != null && kept.isReadable()) {
-      stream(new DefaultHttpContent(kept));
-    }
-  }
-
-  private void stream(HttpContent content) {
-    boolean moreWanted = current.onResponseContent(content);
-    if (!moreWanted && current != null && !(content instanceof LastHttpContent)) {
-      paused = true;
-      channel.config().setAutoRead(false);
+      receiver.onPart(part);
     }
   }
 
   /** The client can take more of the response. */
   void resume() {
-    if (paused) {
-      paused = false;
-      stallTimer.recordProgress();
-      channel.config().setAutoRead(true);
-    }
+    receiver.resume();
   }
 
   /**
@@ -246,52 +147,28 @@
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    if (current == null) {
-      if (decoder.hasMoreBytes()) {
-        ctx.close();
+    if (receiver.attempt() != null) {
+      if (receiver.response().complete()) {
+        finish();
+      } else {
+        receiver.watchProgress(decoder.hasMoreBytes());
       }
-    } else if (response.complete()) {
-      finish();
-    } else if (response.hasHead() || decoder.hasMoreBytes()) {
-      stallTimer.recordProgress();
-      stallTimer.ensureScheduled();
-    }
-  }
-
-  private void checkProgress() {
-    if (!paused && stallTimer.isStalled(current.hasResponseStarted())) {
-      failMalformed();
-      return;
-    }
-    if (mayBeSlowByIntent()) {
-      startStreaming();
-    }
-    if (current != null) {
-      stallTimer.ensureScheduled();
+    } else if (decoder.hasMoreBytes()) {
+      ctx.close();
     }
   }
 
-  /** Where no length is announced the response may be one whose first bytes its client awaits. */
-  private boolean mayBeSlowByIntent() {
-    return !current.hasResponseStarted()
-        && response.hasHead()
-        && response.body() != null
-        && !HttpUtil.isContentLengthSet(response.head())
-        && current.isWritten()
-        && ResponseClassifier.classify(response.head()) == Status.OK;
-  }
-
   /** The response is complete: the attempt ends, and the connection may be used again. */
   private void finish() {
-    Attempt attempt = current;
+    Attempt attempt = receiver.attempt();
+    ReceivedResponse response = receiver.response();
     FullHttpResponse kept = attempt.hasResponseStarted() ? null : response.toFullResponse();
     // A response ahead of the request's end is none to this request.
     boolean inOrder = attempt.isWritten();
     boolean reusable = inOrder && isReusableAfter(attempt);
     Status status =
         inOrder ? ResponseClassifier.classify(response.head()) : Status.WRITE_INCOMPLETE;
-    current = null;
-    clearResponse();
+    receiver.detachAttempt();
     if (reusable) {
       owner.connectionReusable(this);
     } else {
@@ -313,9 +190,9 @@
    */
   private boolean isReusableAfter(Attempt attempt) {
     return !attempt.hasEnded()
-        && !excessReceived
+        && !receiver.excessReceived()
         && !decoder.hasMoreBytes()
-        && HttpUtil.isKeepAlive(response.head())
+        && HttpUtil.isKeepAlive(receiver.response().head())
         && channel.isActive();
   }
 
@@ -323,33 +200,21 @@
    * What came cannot be the response, or it stopped half way: the request may have been executed,
    * and the connection is of no more use.
    */
-  private void failMalformed() {
-    Attempt attempt = current;
-    current = null;
-    clearResponse();
+  @Override
+  public void responseMalformed() {
+    Attempt attempt = receiver.detachAttempt();
     channel.close();
     if (attempt != null) {
       attempt.end(attempt.statusIfMalformed(), null);
     }
   }
 
-  private void clearResponse() {
-    response.clear();
-    stallTimer.cancel();
-    if (current == null) {
-      response.clearInformational();
-      resume();
-    }
-  }
-
   // ---- The end of the connection ----
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    Attempt attempt = current;
-    boolean deadWhenReused = reused && !response.hasBegun();
-    current = null;
-    clearResponse();
+    boolean deadWhenReused = reused && !receiver.response().hasBegun();
+    Attempt attempt = receiver.detachAttempt();
     owner.connectionClosed(this);
     if (attempt != null) {
       if (deadWhenReused) {
@@ -362,7 +227,7 @@
   /** A reset, or a fault of this program: the connection is of no more use. */
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    broken = true;
+    receiver.markBroken();
     ctx.close();
   }
 }
