--- a/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
+++ b/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
@@ -39,7 +39,7 @@
 import quotagateway.endpoint.Endpoint;
 import quotagateway.endpoint.EndpointState;
 import quotagateway.policy.event.Status;
-import quotagateway.testing.Peers;
+import quotagateway.testing.TestQueues;
 import quotagateway.transport.ConnectionBudget;
 import quotagateway.transport.Dialer;
 import quotagateway.transport.MonotonicClock;
@@ -120,7 +120,7 @@
                     });
               })
           .sync();
-      assertEquals(Status.WRITE_INCOMPLETE, Peers.next(ends));
+      assertEquals(Status.WRITE_INCOMPLETE, TestQueues.next(ends));
     }
   }
 
@@ -128,7 +128,7 @@
   void aRefusedConnectionIsUnreachable() throws Exception {
     int port = freePort();
     loop.submit(() -> pool(100, port).start(1, attempt(5_000), FOREVER)).sync();
-    assertEquals(Status.CONNECT_FAILED, Peers.next(ends));
+    assertEquals(Status.CONNECT_FAILED, TestQueues.next(ends));
   }
 
   /**
@@ -210,7 +210,7 @@
         taken.setSoTimeout(10_000);
         assertEquals(-1, taken.getInputStream().read());
       }
-      assertEquals(Status.NOT_SENT, Peers.next(ends));
+      assertEquals(Status.NOT_SENT, TestQueues.next(ends));
     }
   }
 
@@ -249,7 +249,7 @@
               })
           .sync();
       try (Socket taken = server.accept()) {
-        assertEquals(Status.WRITE_INCOMPLETE, Peers.next(ends));
+        assertEquals(Status.WRITE_INCOMPLETE, TestQueues.next(ends));
         taken.setSoTimeout(10_000);
         int came = taken.getInputStream().readAllBytes().length;
         assertTrue(came < size, came + " bytes of " + size + " came");
@@ -301,16 +301,16 @@
   void whatThisGatewayCouldNotSendTellsNothingOfTheBackend() throws Exception {
     int port = freePort();
     loop.submit(() -> pool(0, port).start(1, attempt(5_000), FOREVER)).sync();
-    assertEquals(Status.NOT_SENT, Peers.next(ends));
+    assertEquals(Status.NOT_SENT, TestQueues.next(ends));
     loop.submit(() -> pool(100, port).start(2, attempt(5_000), FOREVER)).sync();
-    assertEquals(Status.NOT_SENT, Peers.next(ends));
+    assertEquals(Status.NOT_SENT, TestQueues.next(ends));
     loop.submit(
             () -> {
               Attempt late = attempt(5_000);
               late.abandon(late.overdue());
             })
         .sync();
-    assertEquals(Status.NOT_SENT, Peers.next(ends));
+    assertEquals(Status.NOT_SENT, TestQueues.next(ends));
   }
 
   /**
@@ -357,7 +357,7 @@
       read(first);
       first.setSoLinger(true, 0);
       first.close();
-      assertEquals(Status.MALFORMED_RESPONSE, Peers.next(ends));
+      assertEquals(Status.MALFORMED_RESPONSE, TestQueues.next(ends));
       quiet = System.nanoTime() - quiet;
       loop.submit(() -> pool.start(1, attempt(5_000), FOREVER));
       Socket second = server.accept();
@@ -373,7 +373,7 @@
     backend
         .getOutputStream()
         .write("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(US_ASCII));
-    assertEquals(Status.OK, Peers.next(ends));
+    assertEquals(Status.OK, TestQueues.next(ends));
   }
 
   private static void read(Socket backend) throws IOException {
--- a/src/test/java/quotagateway/config/GatewayConfigTest.java
+++ b/src/test/java/quotagateway/config/GatewayConfigTest.java
@@ -10,25 +10,25 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import quotagateway.testing.Peers;
+import quotagateway.testing.GatewayFixture;
 
 /** What a configuration file is read as, and which files are rejected. */
 class GatewayConfigTest {
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
 
   @TempDir private Path folder;
 
   @AfterEach
   void close() throws Exception {
-    peers.close();
+    fixture.close();
   }
 
   /** A start that fails must name the setting at fault, or nobody finds it at night. */
   @Test
   void rejectedConfigurationNamesTheSettingAtFault() throws Exception {
-    String good = peers.config();
-    assertEquals(50, Peers.parse(good).settings().capabilities().counterTimeoutMs());
+    String good = fixture.config();
+    assertEquals(50, GatewayFixture.parse(good).settings().capabilities().counterTimeoutMs());
     for (String[] bad :
         new String[][] {
           {"127.0.0.1:0", "somewhere:80", "listen"},
@@ -38,7 +38,7 @@
       String message =
           assertThrows(
                   InvalidConfigurationException.class,
-                  () -> Peers.parse(good.replace(bad[0], bad[1])))
+                  () -> GatewayFixture.parse(good.replace(bad[0], bad[1])))
               .getMessage();
       assertTrue(message.contains(bad[2]), message);
     }
@@ -46,9 +46,9 @@
 
   @Test
   void rejectedValueOfAClassIsNamedWithItsClass() {
-    String bad = peers.config().replaceFirst("4000", "-4000");
+    String bad = fixture.config().replaceFirst("4000", "-4000");
     InvalidConfigurationException failure =
-        assertThrows(InvalidConfigurationException.class, () -> Peers.parse(bad));
+        assertThrows(InvalidConfigurationException.class, () -> GatewayFixture.parse(bad));
     assertEquals("settings.Profiles.quote.DeadlineMs", failure.key());
   }
 
@@ -64,7 +64,7 @@
   @Test
   void replacedFileMustHaveEveryKeyOfTheOneInUse() throws Exception {
     Path file = folder.resolve("config.json");
-    String good = peers.config();
+    String good = fixture.config();
     Files.writeString(file, good);
     GatewayConfig inUse = ConfigurationFile.read(file);
     assertEquals(inUse.settings(), ConfigurationFile.reread(file, inUse).settings());
@@ -78,7 +78,7 @@
 
   @Test
   void adminAddressOfTheEnvironmentComesBeforeThatOfTheFile() throws Exception {
-    GatewayConfig config = Peers.parse(peers.config());
+    GatewayConfig config = GatewayFixture.parse(fixture.config());
     assertEquals(config, config.withAdminAddress(null));
     assertEquals(7, config.withAdminAddress("127.0.0.1:7").adminAddress().getPort());
     assertThrows(InvalidConfigurationException.class, () -> config.withAdminAddress("nowhere"));
@@ -86,10 +86,11 @@
 
   @Test
   void counterAddressMayLackWhereThereIsNoSharedCounter() throws Exception {
-    String counter = "\"counter\":\"127.0.0.1:" + peers.counter.getLocalPort() + "\",";
-    String without = peers.config().replace(counter, "");
-    assertThrows(InvalidConfigurationException.class, () -> Peers.parse(without));
-    GatewayConfig config = Peers.parse(without.replace("\"Counter\":true", "\"Counter\":false"));
+    String counter = "\"counter\":\"127.0.0.1:" + fixture.counter.port() + "\",";
+    String without = fixture.config().replace(counter, "");
+    assertThrows(InvalidConfigurationException.class, () -> GatewayFixture.parse(without));
+    GatewayConfig config =
+        GatewayFixture.parse(without.replace("\"Counter\":true", "\"Counter\":false"));
     assertNull(config.counterAddress());
   }
 }
--- a/src/test/java/quotagateway/counter/CounterClientTest.java
+++ b/src/test/java/quotagateway/counter/CounterClientTest.java
@@ -15,7 +15,9 @@
 import org.junit.jupiter.api.Timeout;
 import quotagateway.policy.event.CounterReplied;
 import quotagateway.policy.event.Status;
-import quotagateway.testing.Peers;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.TestQueues;
+import quotagateway.testing.TextStreams;
 import quotagateway.transport.Dialer;
 import quotagateway.transport.MonotonicClock;
 import quotagateway.transport.SocketTransport;
@@ -24,7 +26,7 @@
 @Timeout(30)
 class CounterClientTest {
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
   private final BlockingQueue<CounterReplied> ends = new LinkedBlockingQueue<>();
@@ -33,7 +35,7 @@
   @AfterEach
   void close() throws Exception {
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
-    peers.close();
+    fixture.close();
   }
 
   /** Calls until one gets through, as the connections come up on their own. */
@@ -43,14 +45,14 @@
             group.next(),
             new MonotonicClock(),
             Dialer.sockets(group.next(), 250),
-            new InetSocketAddress("127.0.0.1", peers.counter.getLocalPort()),
+            new InetSocketAddress("127.0.0.1", fixture.counter.port()),
             limitMs,
             ends::add);
     group.next().submit(client::start).sync();
     do {
       add("up", 0);
-    } while (Peers.next(ends).status() == Status.CONNECT_FAILED);
-    peers.atCounter.clear();
+    } while (TestQueues.next(ends).status() == Status.CONNECT_FAILED);
+    fixture.counter.calls.clear();
   }
 
   private void add(String name, double amount) {
@@ -61,33 +63,33 @@
   void writesPlainNumbersAndReadsTotals() throws Exception {
     start(5_000);
     add("a", 2);
-    assertEquals("incr a 2 4000", Peers.next(peers.atCounter));
-    assertEquals(new CounterReplied("a", Status.OK, 2, 0).total(), Peers.next(ends).total());
+    assertEquals("incr a 2 4000", TestQueues.next(fixture.counter.calls));
+    assertEquals(new CounterReplied("a", Status.OK, 2, 0).total(), TestQueues.next(ends).total());
     add("a", -0.0000125);
-    assertEquals("incr a -0.000013 4000", Peers.next(peers.atCounter));
-    Peers.next(ends);
-    peers.counting = line -> "busy";
+    assertEquals("incr a -0.000013 4000", TestQueues.next(fixture.counter.calls));
+    TestQueues.next(ends);
+    fixture.counter.replies = line -> "busy";
     add("a", 1);
-    assertEquals(Status.REJECTED, Peers.next(ends).status());
+    assertEquals(Status.REJECTED, TestQueues.next(ends).status());
   }
 
   /** A call that its part holds up delays no call for another name. */
   @Test
   void oneSlowNameDoesNotHoldUpOthers() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
-    peers.counting =
+    fixture.counter.replies =
         line -> {
           if (line.contains("slow")) {
             await(go);
           }
-          return peers.count(line);
+          return fixture.counter.count(line);
         };
     start(5_000);
     add("slow", 1);
     add("fast", 1);
-    assertEquals("fast", Peers.next(ends).counterName());
+    assertEquals("fast", TestQueues.next(ends).counterName());
     go.countDown();
-    assertEquals("slow", Peers.next(ends).counterName());
+    assertEquals("slow", TestQueues.next(ends).counterName());
   }
 
   /** The late answer to a call that was given up is not taken for that of the call behind it. */
@@ -95,22 +97,22 @@
   void aCallGivenUpKeepsItsPlace() throws Exception {
     start(1_500);
     CountDownLatch go = new CountDownLatch(1);
-    peers.counting =
+    fixture.counter.replies =
         line -> {
           if (line.contains(" 5 ")) {
             await(go);
           }
-          return peers.count(line);
+          return fixture.counter.count(line);
         };
     for (int i = 0; i < 12; i++) {
       add("n" + i, 5);
     }
     for (int i = 0; i < 12; i++) {
-      assertEquals(Status.TIMED_OUT, Peers.next(ends).status());
+      assertEquals(Status.TIMED_OUT, TestQueues.next(ends).status());
     }
     add("x", 1);
     go.countDown();
-    CounterReplied next = Peers.next(ends);
+    CounterReplied next = TestQueues.next(ends);
     assertEquals(Status.OK, next.status());
     assertEquals(1, next.total());
   }
@@ -118,12 +120,12 @@
   @Test
   void junkEndsTheConnectionAndMayHaveBeenAdded() throws Exception {
     start(5_000);
-    peers.counting = line -> "what?";
+    fixture.counter.replies = line -> "what?";
     add("a", 1);
-    assertEquals(Status.MALFORMED_RESPONSE, Peers.next(ends).status());
-    peers.counting = peers::count;
+    assertEquals(Status.MALFORMED_RESPONSE, TestQueues.next(ends).status());
+    fixture.counter.replies = fixture.counter::count;
     add("b", 1);
-    assertEquals(Status.OK, Peers.next(ends).status());
+    assertEquals(Status.OK, TestQueues.next(ends).status());
   }
 
   /**
@@ -132,15 +134,15 @@
   @Test
   void silentConnectionsAreReplaced() throws Exception {
     start(50);
-    peers.counting = line -> null;
+    fixture.counter.replies = line -> null;
     for (int i = 0; i < 24; i++) {
       add("n" + i, 1);
-      assertNotEquals(Status.OK, Peers.next(ends).status());
+      assertNotEquals(Status.OK, TestQueues.next(ends).status());
     }
-    peers.counting = peers::count;
+    fixture.counter.replies = fixture.counter::count;
     do {
       add("back", 0);
-    } while (Peers.next(ends).status() != Status.OK);
+    } while (TestQueues.next(ends).status() != Status.OK);
   }
 
   private static void await(CountDownLatch latch) {
@@ -156,7 +158,7 @@
   void whatTheOldAddressOwesIsHeardAfterAMove() throws Exception {
     start(5_000);
     CountDownLatch moved = new CountDownLatch(1);
-    peers.counting =
+    fixture.counter.replies =
         line -> {
           try {
             moved.await(10, TimeUnit.SECONDS);
@@ -166,21 +168,19 @@
           return "ok 77";
         };
     add("a", 2);
-    Peers.next(peers.atCounter);
-    try (Peers other = new Peers()) {
+    TestQueues.next(fixture.counter.calls);
+    try (GatewayFixture other = new GatewayFixture()) {
       group
           .next()
           .submit(
-              () ->
-                  client.changeAddress(
-                      new InetSocketAddress("127.0.0.1", other.counter.getLocalPort())))
+              () -> client.changeAddress(new InetSocketAddress("127.0.0.1", other.counter.port())))
           .sync();
       moved.countDown();
-      assertEquals(77, Peers.next(ends).total());
+      assertEquals(77, TestQueues.next(ends).total());
       do {
         add("b", 1);
-        assertEquals(Status.OK, Peers.next(ends).status());
-      } while (other.atCounter.isEmpty());
+        assertEquals(Status.OK, TestQueues.next(ends).status());
+      } while (other.counter.calls.isEmpty());
     }
   }
 
@@ -189,14 +189,14 @@
   void noiseSpoilsOneAnswerAlone() throws Exception {
     start(5_000);
     int port =
-        peers
+        fixture
             .listen(
                 50,
                 (in, out, socket) -> {
                   in.read();
-                  Peers.write(out, "no line's end");
+                  TextStreams.write(out, "no line's end");
                 })
-            .getLocalPort();
+            .port();
     group
         .next()
         .submit(() -> client.changeAddress(new InetSocketAddress("127.0.0.1", port)))
@@ -204,26 +204,24 @@
     Status status;
     do {
       add("a", 1);
-      status = Peers.next(ends).status();
+      status = TestQueues.next(ends).status();
     } while (status == Status.OK);
     assertEquals(Status.MALFORMED_RESPONSE, status);
-    peers.counting = line -> "total?";
+    fixture.counter.replies = line -> "total?";
     group
         .next()
         .submit(
-            () ->
-                client.changeAddress(
-                    new InetSocketAddress("127.0.0.1", peers.counter.getLocalPort())))
+            () -> client.changeAddress(new InetSocketAddress("127.0.0.1", fixture.counter.port())))
         .sync();
-    peers.atCounter.clear();
-    while (peers.atCounter.isEmpty()) {
+    fixture.counter.calls.clear();
+    while (fixture.counter.calls.isEmpty()) {
       add("b", 1);
-      status = Peers.next(ends).status();
+      status = TestQueues.next(ends).status();
     }
     assertEquals(Status.MALFORMED_RESPONSE, status);
-    peers.counting = peers::count;
+    fixture.counter.replies = fixture.counter::count;
     do {
       add("c", 1);
-    } while (Peers.next(ends).status() != Status.OK);
+    } while (TestQueues.next(ends).status() != Status.OK);
   }
 }
--- a/src/test/java/quotagateway/discovery/DiscoveryFailureTest.java
+++ b/src/test/java/quotagateway/discovery/DiscoveryFailureTest.java
@@ -28,7 +28,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import quotagateway.testing.Peers;
+import quotagateway.testing.EndpointListJson;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.HttpMessage;
+import quotagateway.testing.TextStreams;
 import quotagateway.transport.Dialer;
 import quotagateway.transport.MonotonicClock;
 import quotagateway.transport.SocketTransport;
@@ -70,7 +73,7 @@
     }
   }
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
   private final EventLoop loop = group.next();
@@ -85,7 +88,7 @@
       channel.close();
     }
     full.close();
-    peers.close();
+    fixture.close();
   }
 
   @Test
@@ -122,23 +125,22 @@
     AtomicLong silentSince = new AtomicLong();
     Dialer sockets = DiscoveryClient.dialer(loop);
     InetSocketAddress agent =
-        (InetSocketAddress)
-            peers
-                .listen(
-                    50,
-                    (in, out, socket) -> {
-                      Peers.read(in);
-                      int call = calls.get();
-                      if (call == 1) {
-                        Peers.write(out, HEAD + "1\r\n\n\r\n");
-                        silentSince.set(System.nanoTime());
-                      } else if (call > 1 + failure.times) {
-                        Peers.write(out, HEAD + chunk(Peers.list(8, true) + "\n"));
-                      } else {
-                        fail(failure, in, out, socket);
-                      }
-                    })
-                .getLocalSocketAddress();
+        fixture
+            .listen(
+                50,
+                (in, out, socket) -> {
+                  HttpMessage.read(in);
+                  int call = calls.get();
+                  if (call == 1) {
+                    TextStreams.write(out, HEAD + "1\r\n\n\r\n");
+                    silentSince.set(System.nanoTime());
+                  } else if (call > 1 + failure.times) {
+                    TextStreams.write(out, HEAD + chunk(EndpointListJson.list(8, true) + "\n"));
+                  } else {
+                    fail(failure, in, out, socket);
+                  }
+                })
+            .address();
     Dialer dialer =
         (address, handler) -> {
           int call = calls.incrementAndGet();
@@ -186,11 +188,12 @@
     switch (failure) {
       case CLOSED -> socket.close();
       case HEAD_TRICKLES -> trickle(HEAD, in, out, socket);
-      case HEAD_ONLY -> Peers.write(out, HEAD);
-      case LIST_CUT -> Peers.write(out, HEAD + chunk(Peers.list(8, true).substring(0, 20)));
-      case CHUNK_CUT -> Peers.write(out, HEAD + "1f");
-      case ENDS_UNTOLD -> Peers.write(out, HEAD + "0\r\n\r\n");
-      case ERROR -> Peers.write(out, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
+      case HEAD_ONLY -> TextStreams.write(out, HEAD);
+      case LIST_CUT ->
+          TextStreams.write(out, HEAD + chunk(EndpointListJson.list(8, true).substring(0, 20)));
+      case CHUNK_CUT -> TextStreams.write(out, HEAD + "1f");
+      case ENDS_UNTOLD -> TextStreams.write(out, HEAD + "0\r\n\r\n");
+      case ERROR -> TextStreams.write(out, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
       default -> {}
     }
   }
@@ -200,7 +203,7 @@
       throws IOException {
     socket.setSoTimeout(100);
     for (int i = 0; i < text.length(); i++) {
-      Peers.write(out, text.substring(i, i + 1));
+      TextStreams.write(out, text.substring(i, i + 1));
       try {
         if (in.read() < 0) {
           return;
--- a/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
+++ b/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
@@ -39,8 +39,14 @@
 import quotagateway.policy.event.RequestReceived;
 import quotagateway.policy.settings.PolicySettings;
 import quotagateway.server.GatewayServer;
-import quotagateway.testing.Peers;
-import quotagateway.testing.Peers.Client;
+import quotagateway.testing.EndpointListJson;
+import quotagateway.testing.FakeBackend;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.HttpMessage;
+import quotagateway.testing.TestClient;
+import quotagateway.testing.TestQueues;
+import quotagateway.testing.TestRequests;
+import quotagateway.testing.TextStreams;
 import quotagateway.transport.BackendAddress;
 import quotagateway.transport.ConnectionBudget;
 import quotagateway.transport.Dialer;
@@ -55,7 +61,7 @@
 @Timeout(30)
 class ConcurrentEventsTest {
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
   private final EventLoop loop = group.next();
@@ -89,7 +95,7 @@
   @AfterEach
   void close() throws Exception {
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
-    peers.close();
+    fixture.close();
     first.close();
     second.close();
   }
@@ -109,8 +115,8 @@
    */
   private void start() throws IOException, InvalidConfigurationException {
     settings =
-        Peers.parse(
-                peers
+        GatewayFixture.parse(
+                fixture
                     .config()
                     .replace("\"Counter\":true", "\"Counter\":false")
                     .replace("\"RepeatWindowMs\":4000", "\"RepeatWindowMs\":1000"))
@@ -231,7 +237,7 @@
             })
         .sync();
     assertEquals("", heard(first));
-    assertEquals("failed", Peers.next(answers));
+    assertEquals("failed", TestQueues.next(answers));
   }
 
   @Test
@@ -299,9 +305,9 @@
 
   private void answer(Socket backend, String expected) throws Exception {
     backend.setSoTimeout(10_000);
-    assertEquals(expected, Peers.read(backend.getInputStream()).firstLine());
-    Peers.write(backend.getOutputStream(), Peers.OK);
-    assertEquals("served", Peers.next(answers));
+    assertEquals(expected, HttpMessage.read(backend.getInputStream()).firstLine());
+    TextStreams.write(backend.getOutputStream(), FakeBackend.OK_RESPONSE);
+    assertEquals("served", TestQueues.next(answers));
   }
 
   /**
@@ -331,7 +337,7 @@
             })
         .sync();
     Socket used = waitForRequest(one, two);
-    assertEquals("POST /buy/r3 HTTP/1.1", Peers.read(used.getInputStream()).firstLine());
+    assertEquals("POST /buy/r3 HTTP/1.1", HttpMessage.read(used.getInputStream()).firstLine());
     double window = settings.requestClasses().get(1).deduplicationWindowMs();
     loop.submit(
             () -> {
@@ -342,15 +348,15 @@
               return null;
             })
         .sync();
-    assertNotEquals("served", Peers.next(answers));
+    assertNotEquals("served", TestQueues.next(answers));
     assertEquals(0, (used == one ? two : one).getInputStream().available());
   }
 
   private void answerAny(Socket backend) throws Exception {
     backend.setSoTimeout(10_000);
-    Peers.read(backend.getInputStream());
-    Peers.write(backend.getOutputStream(), Peers.OK);
-    assertEquals("served", Peers.next(answers));
+    HttpMessage.read(backend.getInputStream());
+    TextStreams.write(backend.getOutputStream(), FakeBackend.OK_RESPONSE);
+    assertEquals("served", TestQueues.next(answers));
   }
 
   private static Socket waitForRequest(Socket one, Socket two) throws IOException {
@@ -368,16 +374,16 @@
   /** At the last call what is half read is refused, and so is what waits behind a request. */
   @Test
   void theEndComesBeforeTheRestOfARequest() throws Exception {
-    peers.answer = (request, out) -> true;
+    fixture.backend.responder = (request, out) -> true;
     GatewayServer door =
-        peers.start(
-            peers
-                .config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
+        fixture.start(
+            fixture
+                .config(EndpointListJson.entry("s-1", fixture.backend.port(), "active"))
                 .replace("\"DeadlineMs\":4000", "\"DeadlineMs\":1000")
                 .replace("\"AimMs\":1500", "\"AimMs\":500"));
-    Client half = peers.client();
-    half.send(Peers.get("h1", 1000).substring(0, 60));
-    Client kept = peers.client();
+    TestClient half = fixture.client();
+    half.send(TestRequests.get("h1", 1000).substring(0, 60));
+    TestClient kept = fixture.client();
     assertEquals(200, kept.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
     Thread end = new Thread(door::shutDownGracefully);
     end.start();
@@ -390,11 +396,11 @@
 
   @Test
   void theEndComesBeforeTheTurnOfWhatWaitsBehindARequest() throws Exception {
-    GatewayServer door = peers.start();
-    peers.answer = (request, out) -> true;
-    Client client = peers.client();
-    client.send(Peers.get("r1", 4000) + Peers.get("r2", 4000));
-    Peers.next(peers.atBackend);
+    GatewayServer door = fixture.start();
+    fixture.backend.responder = (request, out) -> true;
+    TestClient client = fixture.client();
+    client.send(TestRequests.get("r1", 4000) + TestRequests.get("r2", 4000));
+    TestQueues.next(fixture.backend.received);
     door.loop
         .submit(
             () -> {
--- a/src/test/java/quotagateway/server/AdminServerTest.java
+++ b/src/test/java/quotagateway/server/AdminServerTest.java
@@ -10,8 +10,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import quotagateway.testing.Peers;
-import quotagateway.testing.Peers.Client;
+import quotagateway.testing.FakeBackend;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.TestClient;
+import quotagateway.testing.TestQueues;
+import quotagateway.testing.TestRequests;
+import quotagateway.testing.TextStreams;
 
 /** What operators are told, whatever clients and other callers do; and what their calls change. */
 @Timeout(30)
@@ -19,56 +23,57 @@
 
   private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
 
   @AfterEach
   void close() throws Exception {
-    peers.close();
+    fixture.close();
   }
 
   @Test
   void drainsAndTakesBackWithoutARestart() throws Exception {
-    peers.start();
-    assertEquals(200, peers.operator("GET /ready"));
-    Client kept = peers.client();
-    assertEquals(200, kept.ask(Peers.get("r1", 3000)).status());
-    assertEquals(200, peers.operator("POST /drain"));
-    assertEquals(503, peers.client().ask(UP).status());
-    assertEquals(503, peers.operator("GET /ready"));
+    fixture.start();
+    assertEquals(200, fixture.operator("GET /ready"));
+    TestClient kept = fixture.client();
+    assertEquals(200, kept.ask(TestRequests.get("r1", 3000)).status());
+    assertEquals(200, fixture.operator("POST /drain"));
+    assertEquals(503, fixture.client().ask(UP).status());
+    assertEquals(503, fixture.operator("GET /ready"));
     assertTrue(kept.ended(), "a connection with no request on it is not kept");
-    assertEquals("close", peers.client().ask(Peers.get("late", 3000)).header("Connection"));
-    assertEquals(200, peers.operator("POST /drain"), "a second call asks for nothing more");
-    assertEquals(200, peers.operator("POST /undrain"));
-    Client back = peers.client();
+    assertEquals(
+        "close", fixture.client().ask(TestRequests.get("late", 3000)).header("Connection"));
+    assertEquals(200, fixture.operator("POST /drain"), "a second call asks for nothing more");
+    assertEquals(200, fixture.operator("POST /undrain"));
+    TestClient back = fixture.client();
     assertEquals(200, back.ask(UP).status());
-    assertEquals(200, back.ask(Peers.get("r2", 3000)).status());
-    assertEquals(200, back.ask(Peers.get("r3", 3000)).status());
+    assertEquals(200, back.ask(TestRequests.get("r2", 3000)).status());
+    assertEquals(200, back.ask(TestRequests.get("r3", 3000)).status());
   }
 
   private void answerAfter(CountDownLatch drained) {
-    peers.answer =
+    fixture.backend.responder =
         (request, out) -> {
           try {
             drained.await();
           } catch (InterruptedException e) {
             return false;
           }
-          return Peers.write(out, Peers.OK);
+          return TextStreams.write(out, FakeBackend.OK_RESPONSE);
         };
   }
 
   /** A drain ends with the answer that a request waits for, not before. */
   @Test
   void whatWasTakenIsAnsweredWhileDraining() throws Exception {
-    peers.start();
+    fixture.start();
     CountDownLatch drained = new CountDownLatch(1);
     answerAfter(drained);
-    Client busy = peers.client();
-    busy.send(Peers.get("r1", 4000));
-    Peers.next(peers.atBackend);
-    Client idle = peers.client();
+    TestClient busy = fixture.client();
+    busy.send(TestRequests.get("r1", 4000));
+    TestQueues.next(fixture.backend.received);
+    TestClient idle = fixture.client();
     idle.ask(UP);
-    assertEquals(200, peers.operator("POST /drain"));
+    assertEquals(200, fixture.operator("POST /drain"));
     assertTrue(idle.ended());
     drained.countDown();
     assertEquals(200, busy.receive().status());
@@ -78,13 +83,14 @@
   /** A request behind another has been taken with it: only the last answer ends the connection. */
   @Test
   void whatCameBehindAnotherIsAnsweredToo() throws Exception {
-    peers.start();
+    fixture.start();
     CountDownLatch drained = new CountDownLatch(1);
     answerAfter(drained);
-    Client busy = peers.client();
-    busy.send(Peers.get("r1", 4000) + Peers.get("r2", 4000) + Peers.get("r3", 4000));
-    Peers.next(peers.atBackend);
-    assertEquals(200, peers.operator("POST /drain"));
+    TestClient busy = fixture.client();
+    busy.send(
+        TestRequests.get("r1", 4000) + TestRequests.get("r2", 4000) + TestRequests.get("r3", 4000));
+    TestQueues.next(fixture.backend.received);
+    assertEquals(200, fixture.operator("POST /drain"));
     drained.countDown();
     assertNull(busy.receive().header("Connection"));
     assertNull(busy.receive().header("Connection"));
@@ -94,7 +100,7 @@
 
   @Test
   void answersWhileTheClientsLoopStandsStill() throws Exception {
-    GatewayServer door = peers.start();
+    GatewayServer door = fixture.start();
     CountDownLatch go = new CountDownLatch(1);
     door.loop.execute(
         () -> {
@@ -104,43 +110,43 @@
             Thread.currentThread().interrupt();
           }
         });
-    assertEquals(200, peers.operator("GET /ready"));
-    assertEquals(200, peers.operator("POST /drain"));
+    assertEquals(200, fixture.operator("GET /ready"));
+    assertEquals(200, fixture.operator("POST /drain"));
     go.countDown();
-    assertEquals(503, peers.client().ask(UP).status());
+    assertEquals(503, fixture.client().ask(UP).status());
   }
 
   @Test
   void callersThatNeverCallKeepNobodyOutAndAreEnded() throws Exception {
-    peers.start();
-    List<Client> silent = new ArrayList<>();
+    fixture.start();
+    List<TestClient> silent = new ArrayList<>();
     for (int i = 0; i < 50; i++) {
-      Client caller = peers.operator();
+      TestClient caller = fixture.operator();
       caller.send("POST /dra");
       silent.add(caller);
     }
-    assertEquals(200, peers.operator("GET /ready"));
-    for (Client caller : silent) {
+    assertEquals(200, fixture.operator("GET /ready"));
+    for (TestClient caller : silent) {
       assertTrue(caller.ended());
     }
-    assertEquals(200, peers.client().ask(UP).status(), "half a call moves nothing");
+    assertEquals(200, fixture.client().ask(UP).status(), "half a call moves nothing");
   }
 
   @Test
   void refusesWhatIsNoCall() throws Exception {
-    peers.start();
-    assertEquals(404, peers.operator("GET /up"));
-    assertEquals(405, peers.operator("GET /drain"));
-    assertEquals(405, peers.operator("POST /ready"));
-    assertEquals(200, peers.operator("POST http://127.0.0.1/undrain"), "it serves already");
-    assertEquals(200, peers.client().ask(UP).status());
+    fixture.start();
+    assertEquals(404, fixture.operator("GET /up"));
+    assertEquals(405, fixture.operator("GET /drain"));
+    assertEquals(405, fixture.operator("POST /ready"));
+    assertEquals(200, fixture.operator("POST http://127.0.0.1/undrain"), "it serves already");
+    assertEquals(200, fixture.client().ask(UP).status());
   }
 
   /** Clients cannot drain the door: the calls are none of the clients' address. */
   @Test
   void clientsCannotCall() throws Exception {
-    peers.start();
-    peers.client().ask("POST /drain HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
-    assertEquals(200, peers.operator("GET /ready"));
+    fixture.start();
+    fixture.client().ask("POST /drain HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
+    assertEquals(200, fixture.operator("GET /ready"));
   }
 }
--- a/src/test/java/quotagateway/server/ClientDisconnectTest.java
+++ b/src/test/java/quotagateway/server/ClientDisconnectTest.java
@@ -19,8 +19,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import quotagateway.testing.Peers;
-import quotagateway.testing.Peers.Client;
+import quotagateway.testing.EndpointListJson;
+import quotagateway.testing.FakeBackend;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.TestClient;
+import quotagateway.testing.TestQueues;
+import quotagateway.testing.TestRequests;
+import quotagateway.testing.TextStreams;
 
 /** No attempt begins for a client that has left, whatever its request waited for when it did. */
 @Timeout(30)
@@ -44,7 +49,7 @@
     HALF_CLOSE,
     RESET;
 
-    void by(Client client) throws IOException {
+    void by(TestClient client) throws IOException {
       if (this == HALF_CLOSE) {
         client.socket.shutdownOutput();
       } else {
@@ -54,7 +59,7 @@
     }
   }
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
   private final CountDownLatch resume = new CountDownLatch(1);
   private final BlockingQueue<OutputStream> asked = new LinkedBlockingQueue<>();
   private GatewayServer door;
@@ -62,13 +67,13 @@
   @AfterEach
   void close() throws Exception {
     resume.countDown();
-    peers.close();
+    fixture.close();
   }
 
   /** Its requests wait for the counter, and for backends, until their time is up. */
   private void start(String config) throws Exception {
     door =
-        peers.start(
+        fixture.start(
             config
                 .replace("\"CountLimitMs\":50", "\"CountLimitMs\":20000")
                 .replace(
@@ -77,7 +82,7 @@
   }
 
   private String config() {
-    return peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"));
+    return fixture.config(EndpointListJson.entry("s-1", fixture.backend.port(), "active"));
   }
 
   private void holdLoop() throws InterruptedException {
@@ -98,26 +103,26 @@
    * Sends a request whose first call to the counter is not answered yet; gives that call's
    * connection.
    */
-  private OutputStream waitForCounter(Client client, String request) throws Exception {
+  private OutputStream waitForCounter(TestClient client, String request) throws Exception {
     AtomicBoolean first = new AtomicBoolean(true);
-    peers.counting = line -> first.getAndSet(false) ? null : peers.count(line);
+    fixture.counter.replies = line -> first.getAndSet(false) ? null : fixture.counter.count(line);
     client.send(request);
-    return Peers.next(peers.unanswered);
+    return TestQueues.next(fixture.counter.unanswered);
   }
 
   /** Leaves so many connections to the backend that the next requests are written to at once. */
   private void keepConnections(int number) throws Exception {
-    peers.answer = (request, out) -> asked.add(out);
-    List<Client> clients = new ArrayList<>();
+    fixture.backend.responder = (request, out) -> asked.add(out);
+    List<TestClient> clients = new ArrayList<>();
     for (int i = 0; i < number; i++) {
-      clients.add(peers.client());
-      clients.get(i).send(Peers.get("kept" + i, 3000));
-      Peers.next(peers.atBackend);
+      clients.add(fixture.client());
+      clients.get(i).send(TestRequests.get("kept" + i, 3000));
+      TestQueues.next(fixture.backend.received);
     }
-    for (Client client : clients) {
-      Peers.write(Peers.next(asked), Peers.OK);
+    for (TestClient client : clients) {
+      TextStreams.write(TestQueues.next(asked), FakeBackend.OK_RESPONSE);
     }
-    for (Client client : clients) {
+    for (TestClient client : clients) {
       assertEquals(200, client.receive().status());
       client.close();
     }
@@ -132,15 +137,15 @@
   }
 
   private static String post(int size) {
-    return Peers.post("gone", "x".repeat(size)).replace(": 3000", ": 90000");
+    return TestRequests.post("gone", "x".repeat(size)).replace(": 3000", ": 90000");
   }
 
   /** The next request that reaches a backend is one that was made after all of this. */
   private void assertNothingWasSent() throws Exception {
     awaitClosed();
-    peers.answer = (request, out) -> Peers.write(out, Peers.OK);
-    assertEquals(200, peers.client().ask(Peers.get("later", 3000)).status());
-    assertEquals("later", Peers.next(peers.atBackend).header("Request-Id"));
+    fixture.backend.responder = (request, out) -> TextStreams.write(out, FakeBackend.OK_RESPONSE);
+    assertEquals(200, fixture.client().ask(TestRequests.get("later", 3000)).status());
+    assertEquals("later", TestQueues.next(fixture.backend.received).header("Request-Id"));
   }
 
   /** The plan's limit of open requests makes the first call one for a place among those. */
@@ -150,10 +155,10 @@
     assumeTrue(Epoll.isAvailable(), NEEDS_EPOLL);
     start(forPlace ? config().replace("\"Refill\":400,", "\"Open\":1,") : config());
     keepConnections(1);
-    Client client = peers.client();
-    OutputStream call = waitForCounter(client, Peers.get("gone", 90_000));
+    TestClient client = fixture.client();
+    OutputStream call = waitForCounter(client, TestRequests.get("gone", 90_000));
     holdLoop();
-    Peers.write(call, "ok 1\r\n");
+    TextStreams.write(call, "ok 1\r\n");
     leaving.by(client);
     resume.countDown();
     assertNothingWasSent();
@@ -168,12 +173,12 @@
     assumeTrue(Epoll.isAvailable(), NEEDS_EPOLL);
     start(config());
     keepConnections(2);
-    Client client = peers.client();
-    client.send(Peers.get("gone", 90_000));
-    OutputStream backend = Peers.next(asked);
-    Peers.next(peers.atBackend);
+    TestClient client = fixture.client();
+    client.send(TestRequests.get("gone", 90_000));
+    OutputStream backend = TestQueues.next(asked);
+    TestQueues.next(fixture.backend.received);
     holdLoop();
-    Peers.write(backend, "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
+    TextStreams.write(backend, "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
     leaving.by(client);
     resume.countDown();
     assertNothingWasSent();
@@ -195,13 +200,13 @@
       throws Exception {
     assumeTrue(Epoll.isAvailable(), NEEDS_EPOLL);
     start(config());
-    Client client = peers.client();
+    TestClient client = fixture.client();
     String post = post(READ_IN_PART);
     OutputStream call =
-        waitForCounter(client, behindAnother ? Peers.get("first", 90_000) + post : post);
+        waitForCounter(client, behindAnother ? TestRequests.get("first", 90_000) + post : post);
     leaving.by(client);
     awaitClosed();
-    Peers.write(call, "ok 2\r\n");
+    TextStreams.write(call, "ok 2\r\n");
     assertNothingWasSent();
   }
 
@@ -214,25 +219,27 @@
   void theCloseComesWithTheEndOfAHugeBody(Leaving leaving) throws Exception {
     assumeTrue(Epoll.isAvailable(), NEEDS_EPOLL);
     start(config());
-    Client client = peers.client();
+    TestClient client = fixture.client();
     OutputStream call = waitForCounter(client, post(HUGE));
     leaving.by(client);
-    Peers.write(call, "ok 2\r\n");
+    TextStreams.write(call, "ok 2\r\n");
     assertNothingWasSent();
   }
 
   @ParameterizedTest
   @EnumSource
   void aClientLeavesBeforeThereIsABackend(Leaving leaving) throws Exception {
-    start(peers.config());
-    Client client = peers.client();
-    client.send(Peers.get("gone", 90_000));
-    Peers.next(peers.atCounter);
-    Peers.next(peers.watches);
+    start(fixture.config());
+    TestClient client = fixture.client();
+    client.send(TestRequests.get("gone", 90_000));
+    TestQueues.next(fixture.counter.calls);
+    TestQueues.next(fixture.discovery.watches);
     leaving.by(client);
     awaitClosed();
-    peers.tell(
-        Peers.list(8, true, Peers.entry("s-1", peers.backend.getLocalPort(), "active")) + "\n");
+    fixture.discovery.send(
+        EndpointListJson.list(
+                8, true, EndpointListJson.entry("s-1", fixture.backend.port(), "active"))
+            + "\n");
     assertNothingWasSent();
   }
 }
--- a/src/test/java/quotagateway/server/DelayedReadTest.java
+++ b/src/test/java/quotagateway/server/DelayedReadTest.java
@@ -11,23 +11,25 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import quotagateway.testing.Peers;
-import quotagateway.testing.Peers.Client;
-import quotagateway.testing.Peers.Message;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.HttpMessage;
+import quotagateway.testing.TestClient;
+import quotagateway.testing.TestQueues;
+import quotagateway.testing.TestRequests;
 
 /** What came while the front door stood still, as one that is short of CPU does. */
 @Timeout(30)
 class DelayedReadTest {
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
   private final CountDownLatch standing = new CountDownLatch(1);
   private final CountDownLatch go = new CountDownLatch(1);
 
   @BeforeEach
   void standStill() throws Exception {
-    GatewayServer door = peers.start();
-    assertEquals(200, peers.client().ask(Peers.get("first", 3000)).status());
-    Peers.next(peers.atBackend);
+    GatewayServer door = fixture.start();
+    assertEquals(200, fixture.client().ask(TestRequests.get("first", 3000)).status());
+    TestQueues.next(fixture.backend.received);
     door.loop.execute(
         () -> {
           standing.countDown();
@@ -42,33 +44,33 @@
 
   @AfterEach
   void close() throws Exception {
-    peers.close();
+    fixture.close();
   }
 
   @Test
   void noWorkIsDoneForClientsThatHaveGone() throws Exception {
     for (int i = 0; i < 20; i++) {
-      Client gone = peers.client();
-      gone.send(Peers.get("gone" + i, 3000));
+      TestClient gone = fixture.client();
+      gone.send(TestRequests.get("gone" + i, 3000));
       gone.close();
     }
-    Client stays = peers.client();
-    stays.send(Peers.get("stays", 3000));
+    TestClient stays = fixture.client();
+    stays.send(TestRequests.get("stays", 3000));
     go.countDown();
     assertEquals(200, stays.receive().status());
-    assertEquals("stays", Peers.next(peers.atBackend).header("Request-Id"));
+    assertEquals("stays", TestQueues.next(fixture.backend.received).header("Request-Id"));
   }
 
   /** A backend is told the time that is left, not that which was there when the request came. */
   @Test
   void timeCountsFromTheRequestsComing() throws Exception {
     assumeTrue(Epoll.isAvailable(), "only there the kernel tells when it came");
-    Client client = peers.client();
-    client.send(Peers.get("old", 3000));
+    TestClient client = fixture.client();
+    client.send(TestRequests.get("old", 3000));
     TimeUnit.MILLISECONDS.sleep(500);
     go.countDown();
     assertEquals(200, client.receive().status());
-    Message sent = Peers.next(peers.atBackend);
+    HttpMessage sent = TestQueues.next(fixture.backend.received);
     int left = Integer.parseInt(sent.header("Request-Timeout-Ms"));
     assertTrue(left < 2_600, left + " ms told, 500 of 3000 were over");
   }
@@ -76,11 +78,11 @@
   @Test
   void whatIsOverWhenItIsReadGoesNowhere() throws Exception {
     assumeTrue(Epoll.isAvailable(), "only there the kernel tells when it came");
-    Client client = peers.client();
-    client.send(Peers.get("over", 300));
+    TestClient client = fixture.client();
+    client.send(TestRequests.get("over", 300));
     TimeUnit.MILLISECONDS.sleep(400);
     go.countDown();
     assertEquals(503, client.receive().status());
-    assertTrue(peers.atBackend.isEmpty());
+    assertTrue(fixture.backend.received.isEmpty());
   }
 }
--- a/src/test/java/quotagateway/server/DiscoveryTest.java
+++ b/src/test/java/quotagateway/server/DiscoveryTest.java
@@ -21,61 +21,69 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import quotagateway.discovery.DiscoveryClient;
-import quotagateway.testing.Peers;
-import quotagateway.testing.Peers.Client;
+import quotagateway.testing.EndpointListJson;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.HttpMessage;
+import quotagateway.testing.ScriptedServer;
+import quotagateway.testing.TestClient;
+import quotagateway.testing.TestQueues;
+import quotagateway.testing.TestRequests;
+import quotagateway.testing.TextStreams;
 
 /** The list of backends: how changes arrive, and what follows from them. */
 @Timeout(40)
 class DiscoveryTest {
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
 
   @AfterEach
   void close() throws Exception {
-    peers.close();
+    fixture.close();
   }
 
-  private ServerSocket namedBackend(String name) {
-    return peers.listen(
+  private ScriptedServer namedBackend(String name) {
+    return fixture.listen(
         50,
         (in, out, socket) -> {
           while (true) {
-            Peers.read(in);
-            Peers.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + name);
+            HttpMessage.read(in);
+            TextStreams.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n" + name);
           }
         });
   }
 
   private void askUntil(String name) throws IOException {
-    Client client = peers.client();
+    TestClient client = fixture.client();
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
     int n = 0;
-    while (!client.ask(Peers.get("to-" + name + n++, 3000)).text().equals(name)) {
+    while (!client.ask(TestRequests.get("to-" + name + n++, 3000)).text().equals(name)) {
       assertTrue(System.nanoTime() < until, "no request goes to " + name);
     }
   }
 
   @Test
   void takesChangesThatAreSplitAcrossChunks() throws Exception {
-    int first = namedBackend("1").getLocalPort();
-    int second = namedBackend("2").getLocalPort();
-    peers.start(peers.config(Peers.entry("s-1", first, "active")));
-    assertEquals("GET /discovery/hosts?stream=1&index=7 HTTP/1.1", Peers.next(peers.watches));
+    int first = namedBackend("1").port();
+    int second = namedBackend("2").port();
+    fixture.start(fixture.config(EndpointListJson.entry("s-1", first, "active")));
+    assertEquals(
+        "GET /discovery/hosts?stream=1&index=7 HTTP/1.1",
+        TestQueues.next(fixture.discovery.watches));
     askUntil("1");
     String line =
-        Peers.list(
+        EndpointListJson.list(
                 8,
                 false,
-                Peers.entry("s-1", first, "leaving"),
-                Peers.entry("s-2", second, "active"))
+                EndpointListJson.entry("s-1", first, "leaving"),
+                EndpointListJson.entry("s-2", second, "active"))
             + "\n";
-    peers.tell("\n" + line.substring(0, 30));
-    peers.tell(line.substring(30, 90));
-    peers.tell(line.substring(90) + "\n");
+    fixture.discovery.send("\n" + line.substring(0, 30));
+    fixture.discovery.send(line.substring(30, 90));
+    fixture.discovery.send(line.substring(90) + "\n");
     askUntil("2");
-    Client client = peers.client();
+    TestClient client = fixture.client();
     for (int i = 0; i < 20; i++) {
-      assertEquals("2", client.ask(Peers.get("r" + i, 3000)).text());
+      assertEquals("2", client.ask(TestRequests.get("r" + i, 3000)).text());
     }
   }
 
@@ -92,22 +100,26 @@
         channel.configureBlocking(false);
         channel.connect(full.getLocalSocketAddress());
       }
-      String config = peers.config(Peers.entry("s-1", full.getLocalPort(), "active"));
-      peers.start(
+      String config = fixture.config(EndpointListJson.entry("s-1", full.getLocalPort(), "active"));
+      fixture.start(
           config
               .replace("\"DialTimeoutMs\":250", "\"DialTimeoutMs\":20000")
               .replace("\"Cancel\":true", "\"Cancel\":false")
               .replace("\"DeadlineMs\":4000", "\"DeadlineMs\":15000"));
-      Peers.next(peers.watches);
-      Client client = peers.client();
+      TestQueues.next(fixture.discovery.watches);
+      TestClient client = fixture.client();
       long from = System.nanoTime();
       client.send(
-          Peers.post("r1", "b").replace("Request-Timeout-Ms: 3000", "Request-Timeout-Ms: 15000"));
-      Peers.next(peers.atCounter);
+          TestRequests.post("r1", "b")
+              .replace("Request-Timeout-Ms: 3000", "Request-Timeout-Ms: 15000"));
+      TestQueues.next(fixture.counter.calls);
       // The next call follows the first one's answer, so the first attempt is under way.
-      peers.client().send(Peers.post("r2", "b"));
-      Peers.next(peers.atCounter);
-      peers.tell(Peers.list(8, false, Peers.entry("s-1", full.getLocalPort(), "leaving")) + "\n");
+      fixture.client().send(TestRequests.post("r2", "b"));
+      TestQueues.next(fixture.counter.calls);
+      fixture.discovery.send(
+          EndpointListJson.list(
+                  8, false, EndpointListJson.entry("s-1", full.getLocalPort(), "leaving"))
+              + "\n");
       assertEquals(503, client.receive().status());
       assertTrue(System.nanoTime() - from < TimeUnit.SECONDS.toNanos(9));
     } finally {
@@ -119,12 +131,12 @@
 
   @Test
   void junkEndsTheWatchAndTheNextGoesOnFromTheLastVersion() throws Exception {
-    peers.start();
-    Peers.next(peers.watches);
-    peers.tell(Peers.list(9, false) + "\n");
-    peers.tell("{\"version\":10,\"servers\":[{\"id\":\n");
-    assertTrue(Peers.next(peers.watches).contains("index=9 "));
-    assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
+    fixture.start();
+    TestQueues.next(fixture.discovery.watches);
+    fixture.discovery.send(EndpointListJson.list(9, false) + "\n");
+    fixture.discovery.send("{\"version\":10,\"servers\":[{\"id\":\n");
+    assertTrue(TestQueues.next(fixture.discovery.watches).contains("index=9 "));
+    assertEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
   }
 
   /** A list that nobody can take is asked for again and again, and told to those on call once. */
@@ -149,17 +161,17 @@
         };
     log.addHandler(handler);
     try {
-      peers.start();
+      fixture.start();
       for (int i = 0; i < 4; i++) {
-        assertTrue(Peers.next(peers.watches).contains("index=7 "));
-        peers.tell("{\"version\":10,\"servers\":[{\"id\":}]}\n");
+        assertTrue(TestQueues.next(fixture.discovery.watches).contains("index=7 "));
+        fixture.discovery.send("{\"version\":10,\"servers\":[{\"id\":}]}\n");
       }
-      Peers.next(peers.watches);
+      TestQueues.next(fixture.discovery.watches);
       assertEquals(1, warnings.size(), () -> warnings + "");
       assertTrue(
           warnings.get(0).startsWith("endpoint list rejected version_in_use=7 reason="),
           warnings.get(0));
-      assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
+      assertEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
     } finally {
       log.removeHandler(handler);
     }
@@ -171,30 +183,30 @@
    */
   @Test
   void whatCannotBeUsedInAListIsPassedOver() throws Exception {
-    int second = namedBackend("2").getLocalPort();
-    peers.start();
-    Peers.next(peers.watches);
-    peers.tell(
-        Peers.list(
+    int second = namedBackend("2").port();
+    fixture.start();
+    TestQueues.next(fixture.discovery.watches);
+    fixture.discovery.send(
+        EndpointListJson.list(
                 9,
                 false,
-                Peers.entry("s-9", 1, "active").replace("127.0.0.1:1", "nowhere"),
+                EndpointListJson.entry("s-9", 1, "active").replace("127.0.0.1:1", "nowhere"),
                 "{\"id\":7}",
-                Peers.entry("s-1", peers.backend.getLocalPort(), "leaving"),
-                Peers.entry("s-2", second, "active"))
+                EndpointListJson.entry("s-1", fixture.backend.port(), "leaving"),
+                EndpointListJson.entry("s-2", second, "active"))
             + "\n");
     askUntil("2");
-    peers.tell("{\"version\":-4,\"full\":true}\n");
-    assertTrue(Peers.next(peers.watches).contains("index=9 "));
+    fixture.discovery.send("{\"version\":-4,\"full\":true}\n");
+    assertTrue(TestQueues.next(fixture.discovery.watches).contains("index=9 "));
     askUntil("2");
   }
 
   /** A machine that vanished resets nothing: the watch is replaced for its silence alone. */
   @Test
   void aSilentWatchIsReplaced() throws Exception {
-    peers.start();
-    Peers.next(peers.watches);
-    assertTrue(Peers.next(peers.watches).contains("index=7 "));
+    fixture.start();
+    TestQueues.next(fixture.discovery.watches);
+    assertTrue(TestQueues.next(fixture.discovery.watches).contains("index=7 "));
   }
 
   /**
@@ -202,22 +214,24 @@
    */
   @Test
   void whatASilentWatchMissesIsHeardInTimeThoughTheNextOnesDoNotBegin() throws Exception {
-    int second = namedBackend("2").getLocalPort();
+    int second = namedBackend("2").port();
     AtomicInteger watches = new AtomicInteger();
     AtomicLong silentSince = new AtomicLong();
     int agent =
-        peers
+        fixture
             .listen(
                 50,
                 (in, out, socket) -> {
-                  Peers.read(in);
+                  HttpMessage.read(in);
                   int number = watches.incrementAndGet();
                   if (number == 1) {
-                    Peers.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                    TextStreams.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     silentSince.set(System.nanoTime());
                   } else if (number > 3) {
-                    String list = Peers.list(8, true, Peers.entry("s-2", second, "active"));
-                    Peers.write(
+                    String list =
+                        EndpointListJson.list(
+                            8, true, EndpointListJson.entry("s-2", second, "active"));
+                    TextStreams.write(
                         out,
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                             + Integer.toHexString(list.length())
@@ -226,11 +240,11 @@
                             + "\r\n");
                   }
                 })
-            .getLocalPort();
-    String config = peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"));
-    peers.start(
+            .port();
+    String config = fixture.config(EndpointListJson.entry("s-1", fixture.backend.port(), "active"));
+    fixture.start(
         config.replace(
-            "\"discovery\":\"127.0.0.1:" + peers.discovery.getLocalPort(),
+            "\"discovery\":\"127.0.0.1:" + fixture.discovery.port(),
             "\"discovery\":\"127.0.0.1:" + agent));
     askUntil("2");
     assertTrue(System.nanoTime() - silentSince.get() < TimeUnit.SECONDS.toNanos(6));
@@ -239,10 +253,10 @@
   /** However many watches fail while an agent is away, the next is never long in coming. */
   @Test
   void aReturningAgentIsAskedWithinTheSecondThatADrainLeaves() throws Exception {
-    int second = namedBackend("2").getLocalPort();
+    int second = namedBackend("2").port();
     AtomicInteger watches = new AtomicInteger();
     int agent =
-        peers
+        fixture
             .listen(
                 50,
                 (in, out, socket) -> {
@@ -250,9 +264,11 @@
                     socket.close();
                     return;
                   }
-                  Peers.read(in);
-                  String list = Peers.list(8, true, Peers.entry("s-2", second, "active"));
-                  Peers.write(
+                  HttpMessage.read(in);
+                  String list =
+                      EndpointListJson.list(
+                          8, true, EndpointListJson.entry("s-2", second, "active"));
+                  TextStreams.write(
                       out,
                       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                           + Integer.toHexString(list.length())
@@ -260,11 +276,11 @@
                           + list
                           + "\r\n");
                 })
-            .getLocalPort();
-    String config = peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"));
-    peers.start(
+            .port();
+    String config = fixture.config(EndpointListJson.entry("s-1", fixture.backend.port(), "active"));
+    fixture.start(
         config.replace(
-            "\"discovery\":\"127.0.0.1:" + peers.discovery.getLocalPort(),
+            "\"discovery\":\"127.0.0.1:" + fixture.discovery.port(),
             "\"discovery\":\"127.0.0.1:" + agent));
     long from = System.nanoTime();
     askUntil("2");
@@ -273,19 +289,19 @@
 
   @Test
   void takesListsThatComeIndentedAndOneBehindAnother() throws Exception {
-    int first = peers.backend.getLocalPort();
-    int second = namedBackend("2").getLocalPort();
-    peers.start();
-    Peers.next(peers.watches);
+    int first = fixture.backend.port();
+    int second = namedBackend("2").port();
+    fixture.start();
+    TestQueues.next(fixture.discovery.watches);
     String list =
-        Peers.list(8, false, Peers.entry("s-1", first, "leaving"))
+        EndpointListJson.list(8, false, EndpointListJson.entry("s-1", first, "leaving"))
                 .replace(",", ",\n  ")
                 .replace("{", "{\r\n\t")
             + "\n\n"
-            + Peers.list(9, false, Peers.entry("s-2", second, "active"));
-    peers.tell(list.substring(0, 50));
-    peers.tell(list.substring(50));
+            + EndpointListJson.list(9, false, EndpointListJson.entry("s-2", second, "active"));
+    fixture.discovery.send(list.substring(0, 50));
+    fixture.discovery.send(list.substring(50));
     askUntil("2");
-    assertTrue(peers.watches.isEmpty(), "none of it was junk");
+    assertTrue(fixture.discovery.watches.isEmpty(), "none of it was junk");
   }
 }
--- a/src/test/java/quotagateway/server/GatewayServerTest.java
+++ b/src/test/java/quotagateway/server/GatewayServerTest.java
@@ -24,35 +24,40 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import quotagateway.testing.Peers;
-import quotagateway.testing.Peers.Client;
-import quotagateway.testing.Peers.Message;
+import quotagateway.testing.EndpointListJson;
+import quotagateway.testing.FakeBackend;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.HttpMessage;
+import quotagateway.testing.TestClient;
+import quotagateway.testing.TestQueues;
+import quotagateway.testing.TestRequests;
+import quotagateway.testing.TextStreams;
 
 /** The real front door between small peers on loopback. */
 @Timeout(30)
 class GatewayServerTest {
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
 
   @AfterEach
   void close() throws Exception {
-    peers.close();
+    fixture.close();
   }
 
   @Test
   void passesRequestAndAnswerOnUnchanged() throws Exception {
-    peers.start();
+    fixture.start();
     String body = "x".repeat(60_000) + "\u00e9\0\r\n";
-    peers.answer =
+    fixture.backend.responder =
         (request, out) ->
-            Peers.write(
+            TextStreams.write(
                 out,
                 "HTTP/1.1 200 OK\r\nContent-Length: "
                     + request.body().length
                     + "\r\n\r\n"
                     + request.text());
-    Message answer = peers.client().ask(Peers.post("r1", body));
-    Message sent = Peers.next(peers.atBackend);
+    HttpMessage answer = fixture.client().ask(TestRequests.post("r1", body));
+    HttpMessage sent = TestQueues.next(fixture.backend.received);
     assertEquals("POST /buy/9 HTTP/1.1", sent.firstLine());
     assertEquals("r1", sent.header("Request-Id"));
     assertEquals("key-r1", sent.header("Idempotency-Key"));
@@ -66,22 +71,23 @@
   void keepsClientAndBackendConnections() throws Exception {
     AtomicInteger connections = new AtomicInteger();
     int port =
-        peers
+        fixture
             .listen(
                 50,
                 (in, out, socket) -> {
                   connections.incrementAndGet();
                   while (true) {
-                    peers.atBackend.add(Peers.read(in));
-                    Peers.write(out, Peers.OK);
+                    fixture.backend.received.add(HttpMessage.read(in));
+                    TextStreams.write(out, FakeBackend.OK_RESPONSE);
                   }
                 })
-            .getLocalPort();
-    peers.start(peers.config(Peers.entry("s-1", port, "active")));
-    Client client = peers.client();
+            .port();
+    fixture.start(fixture.config(EndpointListJson.entry("s-1", port, "active")));
+    TestClient client = fixture.client();
     for (int i = 0; i < 5; i++) {
-      assertEquals("fine", client.ask(Peers.get("r" + i, 3000)).text());
-      assertEquals("GET /quote/17?a=%20b&c HTTP/1.1", Peers.next(peers.atBackend).firstLine());
+      assertEquals("fine", client.ask(TestRequests.get("r" + i, 3000)).text());
+      assertEquals(
+          "GET /quote/17?a=%20b&c HTTP/1.1", TestQueues.next(fixture.backend.received).firstLine());
       // A connection is used again only once it is seen that nothing follows the answer.
       TimeUnit.MILLISECONDS.sleep(30);
     }
@@ -90,13 +96,14 @@
 
   @Test
   void answersRequestsWrittenBehindEachOtherInTheirOrder() throws Exception {
-    peers.start();
-    peers.answer =
+    fixture.start();
+    fixture.backend.responder =
         (request, out) ->
-            Peers.write(
+            TextStreams.write(
                 out, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + request.header("Request-Id"));
-    Client client = peers.client();
-    client.send(Peers.get("r1", 3000) + Peers.get("r2", 3000) + Peers.get("r3", 3000));
+    TestClient client = fixture.client();
+    client.send(
+        TestRequests.get("r1", 3000) + TestRequests.get("r2", 3000) + TestRequests.get("r3", 3000));
     for (String id : new String[] {"r1", "r2", "r3"}) {
       assertEquals(id, client.receive().text());
     }
@@ -104,53 +111,61 @@
 
   @Test
   void aRejectionHasNotRunAndIsTriedAgain() throws Exception {
-    peers.start();
+    fixture.start();
     AtomicInteger asked = new AtomicInteger();
-    peers.answer =
+    fixture.backend.responder =
         (request, out) ->
-            Peers.write(out, asked.incrementAndGet() == 1 ? Peers.NOT_STARTED : Peers.OK);
-    assertEquals(200, peers.client().ask(Peers.post("r1", "b")).status());
+            TextStreams.write(
+                out,
+                asked.incrementAndGet() == 1
+                    ? FakeBackend.NOT_STARTED_RESPONSE
+                    : FakeBackend.OK_RESPONSE);
+    assertEquals(200, fixture.client().ask(TestRequests.post("r1", "b")).status());
     assertEquals(2, asked.get());
   }
 
   /** A repeat of what may have run carries the same id and key; nothing but the module sends it. */
   @Test
   void aBrokenConnectionAfterTheRequestIsAResetAndTheModuleRepeatsIt() throws Exception {
-    peers.start();
+    fixture.start();
     AtomicInteger asked = new AtomicInteger();
-    peers.answer = (request, out) -> asked.incrementAndGet() > 1 && Peers.write(out, Peers.OK);
-    assertEquals(200, peers.client().ask(Peers.post("r1", "b")).status());
-    assertEquals("key-r1", Peers.next(peers.atBackend).header("Idempotency-Key"));
-    assertEquals("key-r1", Peers.next(peers.atBackend).header("Idempotency-Key"));
+    fixture.backend.responder =
+        (request, out) ->
+            asked.incrementAndGet() > 1 && TextStreams.write(out, FakeBackend.OK_RESPONSE);
+    assertEquals(200, fixture.client().ask(TestRequests.post("r1", "b")).status());
+    assertEquals("key-r1", TestQueues.next(fixture.backend.received).header("Idempotency-Key"));
+    assertEquals("key-r1", TestQueues.next(fixture.backend.received).header("Idempotency-Key"));
   }
 
   @Test
   void aCutAnswerIsNotServed() throws Exception {
-    peers.start();
-    peers.answer =
+    fixture.start();
+    fixture.backend.responder =
         (request, out) -> {
-          Peers.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part");
+          TextStreams.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part");
           return false;
         };
-    assertNotEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
+    assertNotEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
   }
 
   @Test
   void junkFromABackendEndsItsConnectionAndServingGoesOn() throws Exception {
-    peers.start();
+    fixture.start();
     AtomicInteger asked = new AtomicInteger();
-    peers.answer =
+    fixture.backend.responder =
         (request, out) ->
-            Peers.write(out, asked.incrementAndGet() == 1 ? "no http at all\r\n\r\n" : Peers.OK);
-    assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
-    assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
+            TextStreams.write(
+                out,
+                asked.incrementAndGet() == 1 ? "no http at all\r\n\r\n" : FakeBackend.OK_RESPONSE);
+    assertEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
+    assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
   }
 
   @Test
   void aRefusedConnectionMeansARefusalThatIsHarmlessToRepeat() throws Exception {
-    peers.backend.close();
-    peers.start();
-    assertEquals(503, peers.client().ask(Peers.post("r1", "b")).status());
+    fixture.backend.stopListening();
+    fixture.start();
+    assertEquals(503, fixture.client().ask(TestRequests.post("r1", "b")).status());
   }
 
   /** Vanished hosts are silent: a connect has its own limit, far below the client's time. */
@@ -164,9 +179,9 @@
         c.connect(full.getLocalSocketAddress());
         fill.add(c);
       }
-      peers.start(peers.config(Peers.entry("s-1", full.getLocalPort(), "active")));
+      fixture.start(fixture.config(EndpointListJson.entry("s-1", full.getLocalPort(), "active")));
       long from = System.nanoTime();
-      assertEquals(503, peers.client().ask(Peers.post("r1", "b")).status());
+      assertEquals(503, fixture.client().ask(TestRequests.post("r1", "b")).status());
       assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(2_900));
       for (SocketChannel c : fill) {
         c.close();
@@ -178,28 +193,28 @@
   void aSilentBackendCostsTheAttemptItsConnectionAndTheClientHearsInTime() throws Exception {
     CountDownLatch closed = new CountDownLatch(1);
     int port =
-        peers
+        fixture
             .listen(
                 50,
                 (in, out, socket) -> {
-                  Peers.read(in);
+                  HttpMessage.read(in);
                   if (in.read() < 0) {
                     closed.countDown();
                   }
                 })
-            .getLocalPort();
-    peers.start(peers.config(Peers.entry("s-1", port, "active")));
+            .port();
+    fixture.start(fixture.config(EndpointListJson.entry("s-1", port, "active")));
     long from = System.nanoTime();
-    assertNotEquals(200, peers.client().ask(Peers.get("r1", 900)).status());
+    assertNotEquals(200, fixture.client().ask(TestRequests.get("r1", 900)).status());
     assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(950));
     assertTrue(closed.await(10, TimeUnit.SECONDS));
   }
 
   @Test
   void refusesBrokenRequestsWithoutAskingABackend() throws Exception {
-    peers.start();
-    Client client = peers.client();
-    String good = Peers.get("r1", 3000);
+    fixture.start();
+    TestClient client = fixture.client();
+    String good = TestRequests.get("r1", 3000);
     for (String bad :
         new String[] {
           good.replace("quote", "other"),
@@ -210,50 +225,54 @@
           good.replace("00000000b4d65521", "-1"),
           good.replace("3000", "0"),
           good.replace("GET", "POST"),
-          Peers.post("r1", "").replace("Idempotency-Key: key-r1\r\n", ""),
+          TestRequests.post("r1", "").replace("Idempotency-Key: key-r1\r\n", ""),
           good.replace("/quote/17", "/\u00fcquote")
         }) {
       assertEquals(400, client.ask(bad).status(), bad);
     }
     assertEquals(200, client.ask(good).status());
-    Peers.next(peers.atBackend);
-    assertNull(peers.atBackend.poll());
+    TestQueues.next(fixture.backend.received);
+    assertNull(fixture.backend.received.poll());
   }
 
   @Test
   void endsTheConnectionOverMalformedAndOversizedMessages() throws Exception {
-    peers.start();
-    Client malformed = peers.client();
+    fixture.start();
+    TestClient malformed = fixture.client();
     assertEquals(400, malformed.ask("GET /quote HTTP/1.1\r\nbroken header\r\n\r\n").status());
     assertTrue(malformed.ended());
-    Client large = peers.client();
+    TestClient large = fixture.client();
     assertEquals(
         413,
         large
-            .ask(Peers.post("r1", "").replace("Content-Length: 0", "Content-Length: 40000000"))
+            .ask(
+                TestRequests.post("r1", "")
+                    .replace("Content-Length: 0", "Content-Length: 40000000"))
             .status());
     large.socket.shutdownOutput();
     assertTrue(large.ended());
-    assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
+    assertEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
   }
 
   @Test
   void tellsWhetherItCanServe() throws Exception {
-    peers.start();
+    fixture.start();
     String up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
-    assertEquals(200, peers.client().ask(up).status());
-    assertEquals(405, peers.client().ask(up.replace("GET", "PUT")).status());
+    assertEquals(200, fixture.client().ask(up).status());
+    assertEquals(405, fixture.client().ask(up.replace("GET", "PUT")).status());
   }
 
   @Test
   void withoutBackendsItIsNotUpUntilDiscoveryNamesOne() throws Exception {
-    peers.start(peers.config());
+    fixture.start(fixture.config());
     String up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
-    Client client = peers.client();
+    TestClient client = fixture.client();
     assertEquals(503, client.ask(up).status());
-    Peers.next(peers.watches);
-    peers.tell(
-        Peers.list(8, true, Peers.entry("s-1", peers.backend.getLocalPort(), "active")) + "\n");
+    TestQueues.next(fixture.discovery.watches);
+    fixture.discovery.send(
+        EndpointListJson.list(
+                8, true, EndpointListJson.entry("s-1", fixture.backend.port(), "active"))
+            + "\n");
     while (client.ask(up).status() != 200) {
       Thread.onSpinWait();
     }
@@ -264,40 +283,40 @@
    */
   @Test
   void aClientThatLeavesIsForgotten() throws Exception {
-    peers.start();
+    fixture.start();
     CountDownLatch left = new CountDownLatch(1);
-    peers.answer =
+    fixture.backend.responder =
         (request, out) -> {
           await(left);
-          return Peers.write(out, Peers.OK);
+          return TextStreams.write(out, FakeBackend.OK_RESPONSE);
         };
-    Client client = peers.client();
-    client.send(Peers.get("r1", 3000));
-    Peers.next(peers.atBackend);
+    TestClient client = fixture.client();
+    client.send(TestRequests.get("r1", 3000));
+    TestQueues.next(fixture.backend.received);
     client.close();
     left.countDown();
-    assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
+    assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
   }
 
   /** A planned end: what was taken is answered, and the answer ends the connection. */
   @Test
   void drainsWithoutLosingARequest() throws Exception {
-    GatewayServer door = peers.start();
+    GatewayServer door = fixture.start();
     CountDownLatch told = new CountDownLatch(1);
-    peers.answer =
+    fixture.backend.responder =
         (request, out) -> {
           await(told);
-          return Peers.write(out, Peers.OK);
+          return TextStreams.write(out, FakeBackend.OK_RESPONSE);
         };
-    Client idle = peers.client();
-    Client busy = peers.client();
-    busy.send(Peers.get("r1", 3000));
-    Peers.next(peers.atBackend);
+    TestClient idle = fixture.client();
+    TestClient busy = fixture.client();
+    busy.send(TestRequests.get("r1", 3000));
+    TestQueues.next(fixture.backend.received);
     Thread end = new Thread(door::shutDownGracefully);
     end.start();
     assertTrue(idle.ended());
     told.countDown();
-    Message answer = busy.receive();
+    HttpMessage answer = busy.receive();
     assertEquals(200, answer.status());
     assertEquals("close", answer.header("Connection"));
     assertTrue(busy.ended());
@@ -340,9 +359,9 @@
         };
     log.addHandler(handler);
     try {
-      peers.start(
-          peers
-              .config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
+      fixture.start(
+          fixture
+              .config(EndpointListJson.entry("s-1", fixture.backend.port(), "active"))
               .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + port + "\""));
     } finally {
       log.removeHandler(handler);
--- a/src/test/java/quotagateway/server/InheritedSignalTest.java
+++ b/src/test/java/quotagateway/server/InheritedSignalTest.java
@@ -18,7 +18,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import quotagateway.testing.Peers;
+import quotagateway.testing.EndpointListJson;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.TestQueues;
 
 /** The real program, started by a shell that ignores SIGHUP as nohup and some supervisors do. */
 @Timeout(60)
@@ -29,8 +31,8 @@
   /** What the run command of the deploy file puts between exec and java. */
   private static final Pattern LAUNCHER = Pattern.compile("run = \"exec (.*?)java .*");
 
-  private final Peers before = new Peers();
-  private final Peers after = new Peers();
+  private final GatewayFixture before = new GatewayFixture();
+  private final GatewayFixture after = new GatewayFixture();
   private Process program;
 
   @TempDir private Path folder;
@@ -49,10 +51,10 @@
   void reloadsWhereSighupWasIgnoredAtTheStart() throws Exception {
     start(launcher());
     awaitServing();
-    Peers.next(before.watches);
+    TestQueues.next(before.discovery.watches);
     Files.writeString(configFile(), config(after));
     sendSighup();
-    assertTrue(Peers.next(after.watches).contains("index=7 "), this::output);
+    assertTrue(TestQueues.next(after.discovery.watches).contains("index=7 "), this::output);
   }
 
   @Test
@@ -138,8 +140,8 @@
     assertEquals(0, kill.exitValue());
   }
 
-  private static String config(Peers peers) {
-    return peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"));
+  private static String config(GatewayFixture fixture) {
+    return fixture.config(EndpointListJson.entry("s-1", fixture.backend.port(), "active"));
   }
 
   private Path configFile() {
--- a/src/test/java/quotagateway/server/MalformedResponseTest.java
+++ b/src/test/java/quotagateway/server/MalformedResponseTest.java
@@ -8,18 +8,24 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import quotagateway.testing.Peers;
-import quotagateway.testing.Peers.Client;
+import quotagateway.testing.EndpointListJson;
+import quotagateway.testing.FakeBackend;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.HttpMessage;
+import quotagateway.testing.TestClient;
+import quotagateway.testing.TestQueues;
+import quotagateway.testing.TestRequests;
+import quotagateway.testing.TextStreams;
 
 /** Answers that come spoilt, and good ones that bring more than belongs to them. */
 @Timeout(30)
 class MalformedResponseTest {
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
 
   @AfterEach
   void close() throws Exception {
-    peers.close();
+    fixture.close();
   }
 
   private static String ok(String body) {
@@ -29,8 +35,8 @@
   /** What lies behind an answer must never be served as the answer to the next request. */
   @Test
   void whatComesBehindAnAnswerIsNotTheNextOne() throws Exception {
-    peers.start();
-    Client client = peers.client();
+    fixture.start();
+    TestClient client = fixture.client();
     int n = 0;
     for (String behind :
         new String[] {
@@ -42,30 +48,33 @@
           "HTTP/1.1 2x0 OK\r\n\r\n"
         }) {
       String id = "r" + n++;
-      peers.answer = (request, out) -> Peers.write(out, ok(request.header("Request-Id")) + behind);
-      assertEquals(id, client.ask(Peers.get(id, 3000)).text());
-      peers.answer = (request, out) -> Peers.write(out, ok(request.header("Request-Id")));
-      assertEquals(id + "next", client.ask(Peers.get(id + "next", 3000)).text());
+      fixture.backend.responder =
+          (request, out) -> TextStreams.write(out, ok(request.header("Request-Id")) + behind);
+      assertEquals(id, client.ask(TestRequests.get(id, 3000)).text());
+      fixture.backend.responder =
+          (request, out) -> TextStreams.write(out, ok(request.header("Request-Id")));
+      assertEquals(id + "next", client.ask(TestRequests.get(id + "next", 3000)).text());
     }
   }
 
   /** The same where the second copy comes in a segment of its own. */
   @Test
   void aSecondCopyJustBehindIsNotTheNextAnswer() throws Exception {
-    peers.start();
-    Client client = peers.client();
-    peers.answer =
+    fixture.start();
+    TestClient client = fixture.client();
+    fixture.backend.responder =
         (request, out) ->
-            Peers.write(out, ok(request.header("Request-Id"))) && Peers.write(out, ok("stale"));
+            TextStreams.write(out, ok(request.header("Request-Id")))
+                && TextStreams.write(out, ok("stale"));
     for (int i = 0; i < 50; i++) {
-      assertEquals("r" + i, client.ask(Peers.get("r" + i, 3000)).text());
+      assertEquals("r" + i, client.ask(TestRequests.get("r" + i, 3000)).text());
     }
   }
 
   @Test
   void informationalAnswersAheadArePassedOver() throws Exception {
-    peers.start();
-    Client client = peers.client();
+    fixture.start();
+    TestClient client = fixture.client();
     int n = 0;
     for (String ahead :
         new String[] {
@@ -75,12 +84,12 @@
           "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n"
         }) {
       AtomicInteger asked = new AtomicInteger();
-      peers.answer =
+      fixture.backend.responder =
           (request, out) -> {
             asked.incrementAndGet();
-            return Peers.write(out, ahead + ahead + ok("fine"));
+            return TextStreams.write(out, ahead + ahead + ok("fine"));
           };
-      assertEquals("fine", client.ask(Peers.get("r" + n++, 3000)).text());
+      assertEquals("fine", client.ask(TestRequests.get("r" + n++, 3000)).text());
       assertEquals(1, asked.get(), ahead);
     }
   }
@@ -88,8 +97,8 @@
   /** None is served, and none holds its request for long: the module tries again at once. */
   @Test
   void aSpoiltAnswerIsAFailedAttempt() throws Exception {
-    peers.start();
-    Client client = peers.client();
+    fixture.start();
+    TestClient client = fixture.client();
     int n = 0;
     for (String spoilt :
         new String[] {
@@ -109,15 +118,17 @@
           "HTTP/1.1 200 OK\r\n" + "X-Pad: pppppppppp\r\n".repeat(1_000)
         }) {
       AtomicInteger asked = new AtomicInteger();
-      peers.answer =
-          (request, out) -> Peers.write(out, asked.incrementAndGet() == 1 ? spoilt : Peers.OK);
+      fixture.backend.responder =
+          (request, out) ->
+              TextStreams.write(
+                  out, asked.incrementAndGet() == 1 ? spoilt : FakeBackend.OK_RESPONSE);
       long from = System.nanoTime();
-      assertEquals("fine", client.ask(Peers.get("r" + n++, 3900)).text(), spoilt);
+      assertEquals("fine", client.ask(TestRequests.get("r" + n++, 3900)).text(), spoilt);
       assertEquals(2, asked.get(), spoilt);
       assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(900), spoilt);
       for (int i = 0; i < 8; i++) {
         // Earns the next repeat: the module allows so many for each first attempt.
-        assertEquals(200, client.ask(Peers.get("g" + n + "-" + i, 3900)).status());
+        assertEquals(200, client.ask(TestRequests.get("g" + n + "-" + i, 3900)).status());
       }
     }
   }
@@ -129,20 +140,20 @@
   @Test
   void aKeptConnectionThatTurnsOutDeadCostsNoRequest() throws Exception {
     int port =
-        peers
+        fixture
             .listen(
                 50,
                 (in, out, socket) -> {
-                  Peers.read(in);
-                  Peers.write(out, Peers.OK);
-                  Peers.read(in);
+                  HttpMessage.read(in);
+                  TextStreams.write(out, FakeBackend.OK_RESPONSE);
+                  HttpMessage.read(in);
                   socket.close();
                 })
-            .getLocalPort();
-    peers.start(peers.config(Peers.entry("s-1", port, "active")));
-    Client client = peers.client();
+            .port();
+    fixture.start(fixture.config(EndpointListJson.entry("s-1", port, "active")));
+    TestClient client = fixture.client();
     for (int i = 0; i < 60; i++) {
-      assertEquals(200, client.ask(Peers.get("r" + i, 3000)).status());
+      assertEquals(200, client.ask(TestRequests.get("r" + i, 3000)).status());
       TimeUnit.MILLISECONDS.sleep(10);
     }
   }
@@ -150,15 +161,19 @@
   /** Figures that cannot be read are unknown, not nought: nothing is settled by them. */
   @Test
   void anUnreadableFigureOfUnitsSettlesNothing() throws Exception {
-    peers.start();
-    Client client = peers.client();
+    fixture.start();
+    TestClient client = fixture.client();
     for (String units : new String[] {"%%%", "-3", "NaN", "1e999", ""}) {
-      peers.answer =
+      fixture.backend.responder =
           (request, out) ->
-              Peers.write(out, Peers.OK.replace("X-Units-Charged: 2", "X-Units-Charged: " + units));
+              TextStreams.write(
+                  out,
+                  FakeBackend.OK_RESPONSE.replace(
+                      "X-Units-Charged: 2", "X-Units-Charged: " + units));
       assertEquals(
-          200, client.ask(Peers.get("r" + units.length() + units.hashCode(), 3000)).status());
-      assertTrue(Peers.next(peers.atCounter).matches("incr \\S+ 2 .*"), units);
+          200,
+          client.ask(TestRequests.get("r" + units.length() + units.hashCode(), 3000)).status());
+      assertTrue(TestQueues.next(fixture.counter.calls).matches("incr \\S+ 2 .*"), units);
     }
   }
 }
--- a/src/test/java/quotagateway/server/MisbehavingClientTest.java
+++ b/src/test/java/quotagateway/server/MisbehavingClientTest.java
@@ -16,9 +16,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import quotagateway.config.ResourceLimits;
-import quotagateway.testing.Peers;
-import quotagateway.testing.Peers.Client;
-import quotagateway.testing.Peers.Message;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.HttpMessage;
+import quotagateway.testing.TestClient;
+import quotagateway.testing.TestQueues;
+import quotagateway.testing.TestRequests;
 import quotagateway.transport.ConnectionBudget;
 
 /** Clients that hold connections, never finish, or send what could be read in two ways. */
@@ -27,34 +29,34 @@
 
   private static final long OWED_NANOS = TimeUnit.SECONDS.toNanos(3);
   private static final int PLACES =
-      new ConnectionBudget(ResourceLimits.of(Peers.FEW_SOCKETS, 128, 1).connections())
+      new ConnectionBudget(ResourceLimits.of(GatewayFixture.FEW_DESCRIPTORS, 128, 1).connections())
           .maxClientConnections();
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
 
   @AfterEach
   void close() throws Exception {
-    peers.close();
+    fixture.close();
   }
 
   /** Descriptors run out without a bound; over it one connection is refused, not all of them. */
   @Test
   void oneConnectionTooManyIsRefusedAndTheOthersAreServed() throws Exception {
-    peers.start(peers.smallConfig());
-    String request = Peers.get("r1", 3000);
-    Client taken;
-    Client tooMany;
+    fixture.start(fixture.smallConfig());
+    String request = TestRequests.get("r1", 3000);
+    TestClient taken;
+    TestClient tooMany;
     int n = 0;
     do {
       // Again if the machine stood still: those that send no whole request may be ended after a
       // while.
       for (int i = 1; i < PLACES; i++) {
-        peers.client().send(request.substring(0, 20));
+        fixture.client().send(request.substring(0, 20));
       }
-      taken = peers.client();
+      taken = fixture.client();
       taken.send(request.substring(0, 20));
-      tooMany = peers.client();
-    } while (tooMany.ask(Peers.get("t" + n++, 3000)).status() != 503);
+      tooMany = fixture.client();
+    } while (tooMany.ask(TestRequests.get("t" + n++, 3000)).status() != 503);
     assertTrue(tooMany.ended());
     assertEquals(200, taken.ask(request.substring(20)).status());
   }
@@ -62,11 +64,11 @@
   /** Clients that ask once and keep their connection for good must not lock others out. */
   @Test
   void aCrowdThatAsksOnceAndStaysLocksNobodyOut() throws Exception {
-    peers.start(peers.smallConfig());
-    assertNull(peers.client().ask(Peers.get("first", 3000)).header("Connection"));
-    Message answer = null;
+    fixture.start(fixture.smallConfig());
+    assertNull(fixture.client().ask(TestRequests.get("first", 3000)).header("Connection"));
+    HttpMessage answer = null;
     for (int i = 0; i < 2 * PLACES; i++) {
-      answer = peers.client().ask(Peers.get("r" + i, 3000));
+      answer = fixture.client().ask(TestRequests.get("r" + i, 3000));
       assertEquals(200, answer.status());
     }
     assertEquals("close", answer.header("Connection"));
@@ -97,8 +99,8 @@
    */
   @Test
   void theOverdueAreEndedThoughOneConnectionFails() throws Exception {
-    GatewayServer door = peers.start();
-    Client silent = peers.client();
+    GatewayServer door = fixture.start();
+    TestClient silent = fixture.client();
     FailingChannel failing =
         door.loop
             .submit(
@@ -107,7 +109,7 @@
                   door.clients().adopt(channel);
                   channel.writeInbound(
                       Unpooled.copiedBuffer(
-                          Peers.post("r1", "body").replace("body", "b"),
+                          TestRequests.post("r1", "body").replace("body", "b"),
                           StandardCharsets.ISO_8859_1));
                   channel.fails = true;
                   return channel;
@@ -116,7 +118,7 @@
             .getNow();
     assertTrue(failing.asked.await(10, TimeUnit.SECONDS));
     assertTrue(silent.ended());
-    assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
+    assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
   }
 
   /** One that throws when it is asked whether it reads. */
@@ -136,8 +138,8 @@
 
   @Test
   void aTrickleDoesNotExtendTheTimeForARequest() throws Exception {
-    peers.start();
-    Client client = peers.client();
+    fixture.start();
+    TestClient client = fixture.client();
     long from = System.nanoTime();
     client.send("GET /quote/17 HTTP/1.1\r\n");
     client.socket.setSoTimeout(50);
@@ -155,9 +157,9 @@
 
   @Test
   void aConnectionThatSaysNothingIsEnded() throws Exception {
-    peers.start();
+    fixture.start();
     long from = System.nanoTime();
-    assertTrue(peers.client().ended());
+    assertTrue(fixture.client().ended());
     assertTrue(System.nanoTime() - from < OWED_NANOS);
   }
 
@@ -166,9 +168,9 @@
    */
   @Test
   void whatCanBeFramedInTwoWaysIsRefusedAndTheConnectionEnds() throws Exception {
-    peers.start();
-    String hidden = Peers.get("hidden", 3000);
-    String post = Peers.post("r1", "");
+    fixture.start();
+    String hidden = TestRequests.get("hidden", 3000);
+    String post = TestRequests.post("r1", "");
     for (String bad :
         new String[] {
           post.replace("Content-Length: 0", "Content-Length: 5\r\nTransfer-Encoding: chunked")
@@ -186,15 +188,15 @@
           post.replace("X-Plan: basic", "X-Plan: basic\r\nX-Plan: basic"),
           post.replace("X-Quota:", "X-Quota: units=1,spread=2,first=1\r\nX-Quota:")
         }) {
-      Client client = peers.client();
+      TestClient client = fixture.client();
       client.send(bad);
       assertEquals(400, client.receive().status(), bad);
       client.socket.shutdownOutput();
       assertTrue(client.ended(), bad);
     }
-    assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
-    assertEquals("r2", Peers.next(peers.atBackend).header("Request-Id"));
-    assertNull(peers.atBackend.poll());
+    assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
+    assertEquals("r2", TestQueues.next(fixture.backend.received).header("Request-Id"));
+    assertNull(fixture.backend.received.poll());
   }
 
   /**
@@ -203,9 +205,9 @@
    */
   @Test
   void valuesOutOfRangeReachNeitherBackendNorCounter() throws Exception {
-    peers.start();
-    String good = Peers.get("r1", 3000);
-    Client client = peers.client();
+    fixture.start();
+    String good = TestRequests.get("r1", 3000);
+    TestClient client = fixture.client();
     for (String bad :
         new String[] {
           good.replace("units=2", "units=9"),
@@ -226,20 +228,22 @@
       assertEquals(400, client.ask(bad).status(), bad);
     }
     assertEquals(200, client.ask(good).status());
-    assertTrue(Peers.next(peers.atCounter).startsWith("incr "));
-    assertNull(peers.atCounter.poll());
-    Peers.next(peers.atBackend);
-    assertNull(peers.atBackend.poll());
+    assertTrue(TestQueues.next(fixture.counter.calls).startsWith("incr "));
+    assertNull(fixture.counter.calls.poll());
+    TestQueues.next(fixture.backend.received);
+    assertNull(fixture.backend.received.poll());
   }
 
   @Test
   void aHugeBodyGetsItsErrorBeforeItHasCome() throws Exception {
-    peers.start();
-    Client client = peers.client();
-    client.send(Peers.post("r1", "").replace("Content-Length: 0", "Content-Length: 60000000"));
+    fixture.start();
+    TestClient client = fixture.client();
+    client.send(
+        TestRequests.post("r1", "").replace("Content-Length: 0", "Content-Length: 60000000"));
     assertEquals(413, client.receive().status());
-    Client chunked = peers.client();
-    chunked.send(Peers.post("cut", "").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
+    TestClient chunked = fixture.client();
+    chunked.send(
+        TestRequests.post("cut", "").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
     String chunk = "8000\r\n" + "x".repeat(0x8000) + "\r\n";
     try {
       for (int i = 0; i < 2_000; i++) {
@@ -248,19 +252,22 @@
     } catch (SocketException e) {
       // The front door has ended the connection, which tells the client as well as the error does.
     }
-    assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
-    assertEquals("r2", Peers.next(peers.atBackend).header("Request-Id"), "none came whole before");
+    assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
+    assertEquals(
+        "r2",
+        TestQueues.next(fixture.backend.received).header("Request-Id"),
+        "none came whole before");
   }
 
   /** More requests at once than are kept: those kept are answered, and the connection ends. */
   @Test
   void aFloodOnOneConnectionIsBounded() throws Exception {
-    peers.start();
+    fixture.start();
     StringBuilder flood = new StringBuilder();
     for (int i = 0; i < 200; i++) {
-      flood.append(Peers.get("r" + i, 3000));
+      flood.append(TestRequests.get("r" + i, 3000));
     }
-    Client client = peers.client();
+    TestClient client = fixture.client();
     client.send(flood.toString());
     int answers = 0;
     try {
--- a/src/test/java/quotagateway/server/ReloadTest.java
+++ b/src/test/java/quotagateway/server/ReloadTest.java
@@ -11,16 +11,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import quotagateway.testing.Peers;
-import quotagateway.testing.Peers.Client;
+import quotagateway.testing.EndpointListJson;
+import quotagateway.testing.FakeBackend;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.TestClient;
+import quotagateway.testing.TestQueues;
+import quotagateway.testing.TestRequests;
+import quotagateway.testing.TextStreams;
 
 /** A replaced configuration moves discovery and the counter under load. */
 @Timeout(30)
 class ReloadTest {
 
   @TempDir private Path folder;
-  private final Peers before = new Peers();
-  private final Peers after = new Peers();
+  private final GatewayFixture before = new GatewayFixture();
+  private final GatewayFixture after = new GatewayFixture();
   private Path file;
   private GatewayServer door;
 
@@ -28,7 +33,7 @@
   void start() throws Exception {
     file = folder.resolve("config.json");
     door = before.start();
-    Peers.next(before.watches);
+    TestQueues.next(before.discovery.watches);
   }
 
   @AfterEach
@@ -44,21 +49,21 @@
 
   @Test
   void movesToTheNewAddressesAndLosesNothing() throws Exception {
-    Client client = before.client();
-    assertEquals(200, client.ask(Peers.get("r1", 3000)).status());
-    Peers.next(before.atCounter);
+    TestClient client = before.client();
+    assertEquals(200, client.ask(TestRequests.get("r1", 3000)).status());
+    TestQueues.next(before.counter.calls);
     reload(after.config());
-    assertTrue(Peers.next(after.watches).contains("index=7 "));
-    after.tell(Peers.list(8, false) + "\n");
+    assertTrue(TestQueues.next(after.discovery.watches).contains("index=7 "));
+    after.discovery.send(EndpointListJson.list(8, false) + "\n");
     int n = 0;
-    while (after.atCounter.poll(20, TimeUnit.MILLISECONDS) == null) {
-      assertEquals(200, client.ask(Peers.get("m" + n++, 3000)).status());
+    while (after.counter.calls.poll(20, TimeUnit.MILLISECONDS) == null) {
+      assertEquals(200, client.ask(TestRequests.get("m" + n++, 3000)).status());
     }
-    before.atCounter.clear();
-    assertEquals(200, client.ask(Peers.get("r2", 3000)).status());
-    Peers.next(after.atCounter);
-    assertTrue(before.atCounter.isEmpty());
-    assertTrue(before.watches.isEmpty());
+    before.counter.calls.clear();
+    assertEquals(200, client.ask(TestRequests.get("r2", 3000)).status());
+    TestQueues.next(after.counter.calls);
+    assertTrue(before.counter.calls.isEmpty());
+    assertTrue(before.discovery.watches.isEmpty());
   }
 
   @Test
@@ -67,14 +72,14 @@
     reload(after.config().replace("\"discovery\":\"127.0.0.1", "\"discovery\":\"nowhere"));
     Files.delete(file);
     door.reload(file);
-    Client client = before.client();
-    assertEquals(200, client.ask(Peers.get("r1", 3000)).status());
-    Peers.next(before.atCounter);
-    before.tell(Peers.list(8, true) + "\n");
-    for (int n = 0; client.ask(Peers.get("r" + n, 500)).status() == 200; n++) {
+    TestClient client = before.client();
+    assertEquals(200, client.ask(TestRequests.get("r1", 3000)).status());
+    TestQueues.next(before.counter.calls);
+    before.discovery.send(EndpointListJson.list(8, true) + "\n");
+    for (int n = 0; client.ask(TestRequests.get("r" + n, 500)).status() == 200; n++) {
       Thread.onSpinWait();
     }
-    assertTrue(after.watches.isEmpty());
+    assertTrue(after.discovery.watches.isEmpty());
   }
 
   private static String withClass(String config, String name, String repeat) {
@@ -88,13 +93,13 @@
   }
 
   private String own() {
-    return before.config(Peers.entry("s-1", before.backend.getLocalPort(), "active"));
+    return before.config(EndpointListJson.entry("s-1", before.backend.port(), "active"));
   }
 
   @Test
   void aClassIsAddedAndAnotherDropped() throws Exception {
-    Client client = before.client();
-    String extra = Peers.get("r1", 3000).replace("quote", "extra");
+    TestClient client = before.client();
+    String extra = TestRequests.get("r1", 3000).replace("quote", "extra");
     assertEquals(400, client.ask(extra).status());
     reload(withClass(own(), "extra", "pure").replace("\"Name\":\"quote\"", "\"Name\":\"other\""));
     while (client.ask(extra).status() != 200) {
@@ -102,26 +107,26 @@
     }
     assertEquals(
         200,
-        client.ask(Peers.get("r2", 3000)).status(),
+        client.ask(TestRequests.get("r2", 3000)).status(),
         "those under way still name the old class");
-    for (int n = 0; client.ask(Peers.get("r" + n, 3000)).status() == 200; n++) {
+    for (int n = 0; client.ask(TestRequests.get("r" + n, 3000)).status() == 200; n++) {
       TimeUnit.MILLISECONDS.sleep(50);
     }
-    assertEquals(400, client.ask(Peers.get("r4", 3000)).status());
+    assertEquals(400, client.ask(TestRequests.get("r4", 3000)).status());
     assertEquals(200, client.ask(extra).status());
   }
 
   /** Clients ask by the old method until they have heard; both ways are served meanwhile. */
   @Test
   void aClassWhoseEffectChangesIsServedInBothWays() throws Exception {
-    Client client = before.client();
-    String keyed = Peers.post("p1", "b").replace("buy", "quote");
+    TestClient client = before.client();
+    String keyed = TestRequests.post("p1", "b").replace("buy", "quote");
     assertEquals(400, client.ask(keyed).status());
     reload(own().replace("\"quote\",\"Repeat\":\"pure\"", "\"quote\",\"Repeat\":\"token\""));
     while (client.ask(keyed).status() != 200) {
       Thread.onSpinWait();
     }
-    assertEquals(200, client.ask(Peers.get("r1", 3000)).status());
+    assertEquals(200, client.ask(TestRequests.get("r1", 3000)).status());
   }
 
   /**
@@ -129,30 +134,29 @@
    */
   @Test
   void whatIsReadByTheSettingsBeforeHasTheirAttempts() throws Exception {
-    Client client = before.client();
+    TestClient client = before.client();
     reload(withClass(own(), "extra", "pure").replace("\"MaxAttempts\":6", "\"MaxAttempts\":1"));
-    while (client.ask(Peers.get("e1", 3000).replace("quote", "extra")).status() == 400) {
+    while (client.ask(TestRequests.get("e1", 3000).replace("quote", "extra")).status() == 400) {
       Thread.onSpinWait();
     }
     reload(withClass(own(), "extra", "pure").replace("\"Name\":\"quote\"", "\"Name\":\"other\""));
-    while (client.ask(Peers.get("o1", 3000).replace("quote", "other")).status() == 400) {
+    while (client.ask(TestRequests.get("o1", 3000).replace("quote", "other")).status() == 400) {
       Thread.onSpinWait();
     }
-    before.answer = (request, out) -> Peers.write(out, Peers.NOT_STARTED);
-    before.atBackend.clear();
-    assertEquals(503, client.ask(Peers.get("r1", 3000)).status());
-    assertEquals(1, before.atBackend.size());
+    before.backend.responder =
+        (request, out) -> TextStreams.write(out, FakeBackend.NOT_STARTED_RESPONSE);
+    before.backend.received.clear();
+    assertEquals(503, client.ask(TestRequests.get("r1", 3000)).status());
+    assertEquals(1, before.backend.received.size());
   }
 
   @Test
   void nothingIsTakenFromABrokenFile() throws Exception {
     String good =
         withClass(own(), "extra", "pure")
-            .replace(
-                "127.0.0.1:" + before.discovery.getLocalPort(),
-                "127.0.0.1:" + after.discovery.getLocalPort());
-    String extra = Peers.get("r1", 3000).replace("quote", "extra");
-    Client client = before.client();
+            .replace("127.0.0.1:" + before.discovery.port(), "127.0.0.1:" + after.discovery.port());
+    String extra = TestRequests.get("r1", 3000).replace("quote", "extra");
+    TestClient client = before.client();
     for (String broken :
         new String[] {
           "",
@@ -174,14 +178,14 @@
         }) {
       reload(broken);
       // The loop has done by the second question whatever the reload had asked of it.
-      assertEquals(200, client.ask(Peers.get("g" + broken.hashCode(), 3000)).status());
+      assertEquals(200, client.ask(TestRequests.get("g" + broken.hashCode(), 3000)).status());
       assertEquals(400, client.ask(extra).status(), broken);
     }
-    assertTrue(after.watches.isEmpty());
+    assertTrue(after.discovery.watches.isEmpty());
     reload(good);
     while (client.ask(extra).status() != 200) {
       Thread.onSpinWait();
     }
-    Peers.next(after.watches);
+    TestQueues.next(after.discovery.watches);
   }
 }
--- a/src/test/java/quotagateway/server/ResourceLimitsTest.java
+++ b/src/test/java/quotagateway/server/ResourceLimitsTest.java
@@ -29,8 +29,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import quotagateway.config.ResourceLimits;
 import quotagateway.counter.CounterClient;
-import quotagateway.testing.Peers;
-import quotagateway.testing.Peers.Client;
+import quotagateway.testing.EndpointListJson;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.HttpMessage;
+import quotagateway.testing.TestClient;
+import quotagateway.testing.TestQueues;
+import quotagateway.testing.TestRequests;
+import quotagateway.testing.TextStreams;
 import quotagateway.transport.ConnectionBudget;
 
 /** A front door in a process of its own, with the memory of the deploy file and few descriptors. */
@@ -41,7 +46,7 @@
   private static final int MEMORY_MB = 192;
   private static final long AT_ONCE_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
   private final Socket reserved = new Socket();
   private final AtomicBoolean away = new AtomicBoolean();
   private final AtomicInteger counterConnections = new AtomicInteger();
@@ -67,21 +72,21 @@
       process.destroyForcibly().waitFor();
     }
     reserved.close();
-    peers.close();
+    fixture.close();
   }
 
   private int backendThatSays(String name) {
-    return peers
+    return fixture
         .listen(
             50,
             (in, out, socket) -> {
               while (true) {
-                Peers.read(in);
-                Peers.write(
+                HttpMessage.read(in);
+                TextStreams.write(
                     out, "HTTP/1.1 200 OK\r\nContent-Length: " + name.length() + "\r\n\r\n" + name);
               }
             })
-        .getLocalPort();
+        .port();
   }
 
   /**
@@ -144,8 +149,8 @@
     for (int n = 0; ; n++) {
       assertTrue(process.isAlive(), () -> "it has ended: " + output());
       assertTrue(System.nanoTime() < until, () -> "no answer of " + name + " in time; " + output());
-      try (Client client = new Client(address)) {
-        if (client.ask(Peers.get(name + "-" + n, 3000)).text().equals(name)) {
+      try (TestClient client = new TestClient(address)) {
+        if (client.ask(TestRequests.get(name + "-" + n, 3000)).text().equals(name)) {
           return;
         }
       } catch (IOException e) {
@@ -172,7 +177,7 @@
 
   /** Discovery that takes no watch while it is away, and tells this list as soon as it is back. */
   private int discoveryThatTells(String list, AtomicInteger watches) {
-    return peers
+    return fixture
         .listen(
             50,
             (in, out, socket) -> {
@@ -180,16 +185,16 @@
                 socket.close();
                 return;
               }
-              Peers.read(in);
+              HttpMessage.read(in);
               watches.incrementAndGet();
-              Peers.write(
+              TextStreams.write(
                   out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + whole(list));
             })
-        .getLocalPort();
+        .port();
   }
 
   private int counter() {
-    return peers
+    return fixture
         .listen(
             50,
             (in, out, socket) -> {
@@ -198,32 +203,34 @@
                 return;
               }
               counterConnections.incrementAndGet();
-              peers.serveCounter(in, out, socket);
+              fixture.counter.serve(in, out, socket);
             })
-        .getLocalPort();
+        .port();
   }
 
   /** What clients may hold leaves descriptors for all that the front door itself connects to. */
   @ParameterizedTest
-  @ValueSource(ints = {80, Peers.FEW_SOCKETS})
+  @ValueSource(ints = {80, GatewayFixture.FEW_DESCRIPTORS})
   void aCrowdLeavesDescriptorsForDiscoveryCounterAndBackends(int sockets) throws Exception {
     int first = backendThatSays("1");
     int second = backendThatSays("2");
     away.set(true);
     AtomicInteger watches = new AtomicInteger();
     int discovery =
-        discoveryThatTells(Peers.list(8, true, Peers.entry("s-2", second, "active")), watches);
+        discoveryThatTells(
+            EndpointListJson.list(8, true, EndpointListJson.entry("s-2", second, "active")),
+            watches);
     start(
-        peers
-            .config(Peers.entry("s-1", first, "active"))
-            .replace("127.0.0.1:" + peers.discovery.getLocalPort(), "127.0.0.1:" + discovery)
-            .replace("127.0.0.1:" + peers.counter.getLocalPort(), "127.0.0.1:" + counter()),
+        fixture
+            .config(EndpointListJson.entry("s-1", first, "active"))
+            .replace("127.0.0.1:" + fixture.discovery.port(), "127.0.0.1:" + discovery)
+            .replace("127.0.0.1:" + fixture.counter.port(), "127.0.0.1:" + counter()),
         sockets);
-    ArrayDeque<Client> crowd = new ArrayDeque<>();
+    ArrayDeque<TestClient> crowd = new ArrayDeque<>();
     Step crowdIn =
         () -> {
           for (int i = 0; i < 20; i++) {
-            crowd.add(new Client(address));
+            crowd.add(new TestClient(address));
             if (crowd.size() > 3 * sockets) {
               crowd.poll().close();
             }
@@ -248,18 +255,18 @@
     }
     askUntil("2", AT_ONCE_NANOS);
     assertFalse(output().contains("Too many open files"), this::output);
-    for (Client client : crowd) {
+    for (TestClient client : crowd) {
       client.close();
     }
   }
 
   private static String servers(
       int version, boolean full, int from, int to, int port, String state) {
-    return Peers.list(
+    return EndpointListJson.list(
         version,
         full,
         IntStream.range(from, to)
-            .mapToObj(i -> Peers.entry("server-with-a-long-name-" + i, port, state))
+            .mapToObj(i -> EndpointListJson.entry("server-with-a-long-name-" + i, port, state))
             .toArray(String[]::new));
   }
 
@@ -270,14 +277,14 @@
     int second = backendThatSays("2");
     int third = backendThatSays("3");
     start(
-        peers
+        fixture
             .config()
             .replace(
-                "\"known\":" + Peers.list(7, true),
+                "\"known\":" + EndpointListJson.list(7, true),
                 "\"known\":" + servers(7, true, 0, MANY_SERVERS, first, "active"))
             .replace("\"Balancers\":2,\"SelfIndex\":0", "\"Balancers\":120,\"SelfIndex\":119"),
         1024);
-    Peers.next(peers.watches);
+    TestQueues.next(fixture.discovery.watches);
     tell(servers(8, true, MANY_SERVERS, 2 * MANY_SERVERS, second, "active"));
     askUntil("2", TimeUnit.SECONDS.toNanos(20));
     tell(servers(9, false, MANY_SERVERS, 2 * MANY_SERVERS, second, "leaving"));
@@ -285,9 +292,9 @@
       tell(servers(v, true, v * MANY_SERVERS, (v + 1) * MANY_SERVERS, third, "active"));
     }
     askUntil("3", TimeUnit.SECONDS.toNanos(20));
-    try (Client client = new Client(address)) {
+    try (TestClient client = new TestClient(address)) {
       for (int i = 0; i < 100; i++) {
-        assertEquals("3", client.ask(Peers.get("many-" + i, 3000)).text());
+        assertEquals("3", client.ask(TestRequests.get("many-" + i, 3000)).text());
       }
     }
     long peak =
@@ -297,11 +304,11 @@
             .findFirst()
             .orElseThrow();
     assertTrue(peak < MEMORY_MB, peak + " MB");
-    assertTrue(peers.watches.isEmpty(), "none of the lists ended the watch");
+    assertTrue(fixture.discovery.watches.isEmpty(), "none of the lists ended the watch");
   }
 
   private void tell(String list) throws IOException {
-    OutputStream out = peers.watchers.get(peers.watchers.size() - 1);
-    Peers.write(out, whole(list));
+    OutputStream out = fixture.discovery.watchers.get(fixture.discovery.watchers.size() - 1);
+    TextStreams.write(out, whole(list));
   }
 }
--- a/src/test/java/quotagateway/server/StaleEventTest.java
+++ b/src/test/java/quotagateway/server/StaleEventTest.java
@@ -11,8 +11,6 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.epoll.Epoll;
 import io.netty.channel.epoll.EpollSocketChannel;
-import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
@@ -25,8 +23,15 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import quotagateway.testing.Peers;
-import quotagateway.testing.Peers.Client;
+import quotagateway.testing.EndpointListJson;
+import quotagateway.testing.FakeBackend;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.HttpMessage;
+import quotagateway.testing.ScriptedServer;
+import quotagateway.testing.TestClient;
+import quotagateway.testing.TestQueues;
+import quotagateway.testing.TestRequests;
+import quotagateway.testing.TextStreams;
 
 /**
  * An event of a closed connection, told to the one that took its descriptor's number in the same
@@ -47,9 +52,10 @@
   /** The loop needs fewer to read what there is of it. */
   private static final int TURNS = 100;
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
   private final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
-  private final ServerSocket other = peers.listen(50, (in, out, socket) -> accepted.add(socket));
+  private final ScriptedServer other =
+      fixture.listen(50, (in, out, socket) -> accepted.add(socket));
   private final CountDownLatch bodyIsRead = new CountDownLatch(1);
   private final CountDownLatch go = new CountDownLatch(1);
   private final List<EpollSocketChannel> closed = new ArrayList<>();
@@ -60,17 +66,17 @@
   void start() throws Exception {
     assumeTrue(Epoll.isAvailable(), "only there connections go by their descriptors' numbers");
     int backend =
-        peers
+        fixture
             .listen(
                 50,
                 (in, out, socket) -> {
                   in.read();
                   await(bodyIsRead);
-                  Peers.read(in);
-                  Peers.write(out, Peers.OK);
+                  HttpMessage.read(in);
+                  TextStreams.write(out, FakeBackend.OK_RESPONSE);
                 })
-            .getLocalPort();
-    door = peers.start(peers.config(Peers.entry("s-1", backend, "active")));
+            .port();
+    door = fixture.start(fixture.config(EndpointListJson.entry("s-1", backend, "active")));
   }
 
   @AfterEach
@@ -78,7 +84,7 @@
     for (EpollSocketChannel unused : spare) {
       unused.fd().close();
     }
-    peers.close();
+    fixture.close();
   }
 
   /**
@@ -96,18 +102,18 @@
                 closed.forEach(Channel::close);
               }
             });
-    Socket closingPeer = Peers.next(accepted);
+    Socket closingPeer = TestQueues.next(accepted);
     List<Socket> hangUps = openThoseToClose();
     standStill();
-    Peers.write(closingPeer.getOutputStream(), "x");
-    Client client = peers.client();
+    TextStreams.write(closingPeer.getOutputStream(), "x");
+    TestClient client = fixture.client();
     for (Socket hangUp : hangUps) {
       hangUp.close();
     }
     go.countDown();
 
     client.send(
-        Peers.post("r1", "").replace("Length: 0", "Length: " + 2 * HALF) + "x".repeat(HALF));
+        TestRequests.post("r1", "").replace("Length: 0", "Length: " + 2 * HALF) + "x".repeat(HALF));
     for (int turn = 0; turn < TURNS; turn++) {
       door.loop.submit(() -> {}).sync();
     }
@@ -131,10 +137,10 @@
                 dialed.complete(begin(new ChannelInboundHandlerAdapter()));
               }
             });
-    Socket closingPeer = Peers.next(accepted);
+    Socket closingPeer = TestQueues.next(accepted);
     List<Socket> hangUps = openThoseToClose();
     standStill();
-    Peers.write(closingPeer.getOutputStream(), "x");
+    TextStreams.write(closingPeer.getOutputStream(), "x");
     for (Socket hangUp : hangUps) {
       hangUp.close();
     }
@@ -151,7 +157,7 @@
     List<Socket> peersOfThose = new ArrayList<>();
     for (int i = 0; i < CLOSED; i++) {
       closed.add(dial(new ChannelInboundHandlerAdapter()));
-      peersOfThose.add(Peers.next(accepted));
+      peersOfThose.add(TestQueues.next(accepted));
     }
     return peersOfThose;
   }
@@ -184,7 +190,7 @@
         .group(door.loop)
         .channel(EpollSocketChannel.class)
         .handler(handler)
-        .connect((InetSocketAddress) other.getLocalSocketAddress());
+        .connect(other.address());
   }
 
   private static void await(CountDownLatch latch) {
--- a/src/test/java/quotagateway/server/StartTest.java
+++ b/src/test/java/quotagateway/server/StartTest.java
@@ -18,7 +18,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import quotagateway.testing.Peers;
+import quotagateway.testing.EndpointListJson;
+import quotagateway.testing.GatewayFixture;
 
 /** What the program loads as it starts by the deploy file: all CPU for it is waited for. */
 @Timeout(60)
@@ -26,13 +27,13 @@
 
   private static final String THRESHOLD = "-XX:Tier3InvocationThreshold=";
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
 
   @TempDir Path folder;
 
   @AfterEach
   void close() throws Exception {
-    peers.close();
+    fixture.close();
   }
 
   /**
@@ -84,8 +85,8 @@
     try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
       Files.writeString(
           config,
-          peers
-              .config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
+          fixture
+              .config(EndpointListJson.entry("s-1", fixture.backend.port(), "active"))
               .replace("127.0.0.1:0", "127.0.0.1:" + taken.getLocalPort()));
       List<String> command = new ArrayList<>();
       command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
--- a/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
+++ b/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import quotagateway.config.ResourceLimits;
-import quotagateway.testing.Peers;
-import quotagateway.testing.Peers.Client;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.TestClient;
+import quotagateway.testing.TestRequests;
 import quotagateway.transport.ConnectionBudget;
 
 /** A second process beside the old one, which then ends. */
@@ -23,13 +24,13 @@
 
   private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
 
   @TempDir Path folder;
 
   @AfterEach
   void close() throws Exception {
-    peers.close();
+    fixture.close();
   }
 
   /**
@@ -38,23 +39,23 @@
    */
   @Test
   void theOldOneEndsWithoutTurningAnybodyAway() throws Exception {
-    GatewayServer old = peers.start();
-    peers.startBeside();
-    assertEquals(200, peers.operator("GET /ready"));
-    List<Client> before = new ArrayList<>();
+    GatewayServer old = fixture.start();
+    fixture.startBeside();
+    assertEquals(200, fixture.operator("GET /ready"));
+    List<TestClient> before = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      before.add(peers.client());
+      before.add(fixture.client());
     }
     Thread end = new Thread(old::shutDownGracefully);
     end.start();
     for (int i = 0; i < 20; i++) {
-      assertEquals(200, before.get(i).ask(Peers.get("r" + i, 3000)).status());
+      assertEquals(200, before.get(i).ask(TestRequests.get("r" + i, 3000)).status());
     }
     end.join(10_000);
     assertFalse(end.isAlive());
     for (int i = 0; i < 20; i++) {
-      assertEquals(200, peers.client().ask(UP).status());
-      assertEquals(200, peers.client().ask(Peers.get("s" + i, 3000)).status());
+      assertEquals(200, fixture.client().ask(UP).status());
+      assertEquals(200, fixture.client().ask(TestRequests.get("s" + i, 3000)).status());
     }
   }
 
@@ -63,13 +64,13 @@
    */
   @Test
   void aLastOneGoesOnAccepting() throws Exception {
-    GatewayServer door = peers.start();
+    GatewayServer door = fixture.start();
     Thread end = new Thread(door::shutDownGracefully);
     end.start();
     while (door.lifecycle().serving()) {
       Thread.onSpinWait();
     }
-    assertEquals(503, peers.client().ask(UP).status());
+    assertEquals(503, fixture.client().ask(UP).status());
     end.join(10_000);
   }
 
--- a/src/test/java/quotagateway/server/WarmUpTest.java
+++ b/src/test/java/quotagateway/server/WarmUpTest.java
@@ -6,17 +6,20 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import quotagateway.testing.Peers;
+import quotagateway.testing.EndpointListJson;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.TestQueues;
+import quotagateway.testing.TestRequests;
 
 /** The made-up requests before service. */
 @Timeout(30)
 class WarmUpTest {
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
 
   @AfterEach
   void close() throws Exception {
-    peers.close();
+    fixture.close();
   }
 
   /**
@@ -25,11 +28,11 @@
    */
   @Test
   void getsTheSameCpuFromASmallPartOfACore() throws Exception {
-    String whole = peers.smallConfig();
+    String whole = fixture.smallConfig();
     String part = whole.replace("\"cores\":1", "\"cores\":0.25");
     assertEquals(
-        4 * new WarmUp(Peers.parse(whole)).limitMs(),
-        new WarmUp(Peers.parse(part)).limitMs(),
+        4 * new WarmUp(GatewayFixture.parse(whole)).limitMs(),
+        new WarmUp(GatewayFixture.parse(part)).limitMs(),
         1e-6);
   }
 
@@ -38,12 +41,15 @@
    */
   @Test
   void goesTheWholeWayAndTouchesNoSocket() throws Exception {
-    String config = peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"));
-    int served = new WarmUp(Peers.parse(config)).run(20_000);
+    String config = fixture.config(EndpointListJson.entry("s-1", fixture.backend.port(), "active"));
+    int served = new WarmUp(GatewayFixture.parse(config)).run(20_000);
     assertTrue(served > WarmUp.REQUESTS / 2, served + " served");
-    assertTrue(peers.atBackend.isEmpty() && peers.atCounter.isEmpty() && peers.watches.isEmpty());
-    peers.start(config);
-    assertEquals(200, peers.client().ask(Peers.get("real", 3000)).status());
-    assertEquals("real", Peers.next(peers.atBackend).header("Request-Id"));
+    assertTrue(
+        fixture.backend.received.isEmpty()
+            && fixture.counter.calls.isEmpty()
+            && fixture.discovery.watches.isEmpty());
+    fixture.start(config);
+    assertEquals(200, fixture.client().ask(TestRequests.get("real", 3000)).status());
+    assertEquals("real", TestQueues.next(fixture.backend.received).header("Request-Id"));
   }
 }
--- /dev/null
+++ b/src/test/java/quotagateway/testing/FakeCounter.java
@@ -0,0 +1,66 @@
+package quotagateway.testing;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.OutputStream;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.util.Map;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.function.UnaryOperator;
+
+/** Stands for the shared counter: counts, or replies as the test has it. */
+public final class FakeCounter implements Closeable {
+
+  /** The calls that arrived, as lines; pings are left out. */
+  public final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
+
+  /** The connections on which a call waits for the test's own reply. */
+  public final BlockingQueue<OutputStream> unanswered = new LinkedBlockingQueue<>();
+
+  /** Gives the reply to a call, without its line end; null for none. */
+  public volatile UnaryOperator<String> replies = this::count;
+
+  private final Map<String, Double> counts = new ConcurrentHashMap<>();
+  private final ScriptedServer server = new ScriptedServer(50, this::serve);
+
+  /** Serves one connection until it ends. */
+  public void serve(InputStream in, OutputStream out, Socket socket) throws IOException {
+    while (true) {
+      String line = TextStreams.readLine(in);
+      if (line.equals("ping")) {
+        TextStreams.write(out, "pong\r\n");
+        continue;
+      }
+      calls.add(line);
+      String reply = replies.apply(line);
+      if (reply == null) {
+        unanswered.add(out);
+      } else {
+        TextStreams.write(out, reply + "\r\n");
+      }
+    }
+  }
+
+  /** Adds as a call says, and gives the reply with the total. */
+  public String count(String line) {
+    String[] parts = line.split(" ");
+    return "ok " + counts.merge(parts[1], Double.valueOf(parts[2]), Double::sum);
+  }
+
+  public int port() {
+    return server.port();
+  }
+
+  public InetSocketAddress address() {
+    return server.address();
+  }
+
+  @Override
+  public void close() throws IOException {
+    server.close();
+  }
+}
--- /dev/null
+++ b/src/test/java/quotagateway/testing/TestClient.java
@@ -0,0 +1,57 @@
+package quotagateway.testing;
+
+import java.io.BufferedInputStream;
+import java.io.Closeable;
+import java.io.IOException;
+import java.io.InputStream;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.net.SocketException;
+
+/** Stands for a client, on one connection. */
+public final class TestClient implements Closeable {
+
+  private static final int READ_TIMEOUT_MS = 10_000;
+
+  public final Socket socket;
+  private final InputStream in;
+
+  public TestClient(InetSocketAddress address) throws IOException {
+    socket = new Socket(address.getAddress(), address.getPort());
+    socket.setSoTimeout(READ_TIMEOUT_MS);
+    in = new BufferedInputStream(socket.getInputStream());
+  }
+
+  public void send(String text) throws IOException {
+    TextStreams.write(socket.getOutputStream(), text);
+  }
+
+  public HttpMessage receive() throws IOException {
+    return HttpMessage.read(in);
+  }
+
+  /** Sends a request and reads its response. */
+  public HttpMessage ask(String request) throws IOException {
+    send(request);
+    return receive();
+  }
+
+  /** Reads all that follows up to the end of the connection; gives how many bytes it was. */
+  public int rest() throws IOException {
+    return in.readAllBytes().length;
+  }
+
+  /** True when nothing more comes and the connection ends. */
+  public boolean ended() throws IOException {
+    try {
+      return in.read() < 0;
+    } catch (SocketException e) {
+      return true;
+    }
+  }
+
+  @Override
+  public void close() throws IOException {
+    socket.close();
+  }
+}
