--- a/src/test/java/quotagateway/server/WarmUpTest.java
+++ b/src/test/java/quotagateway/server/WarmUpTest.java
@@ -31,8 +31,8 @@
     String whole = fixture.smallConfig();
     String part = whole.replace("\"cores\":1", "\"cores\":0.25");
     assertEquals(
-        4 * new WarmUp(GatewayFixture.parse(whole)).limitMs(),
-        new WarmUp(GatewayFixture.parse(part)).limitMs(),
+        4 * new WarmUp(GatewayFixture.parse(whole)).timeLimitMs(),
+        new WarmUp(GatewayFixture.parse(part)).timeLimitMs(),
         1e-6);
   }
 
