--- a/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
+++ b/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
@@ -49,8 +49,8 @@
 import quotagateway.transport.SocketTransport;
 
 /**
- * Events that cross, in the bad order. Where a connection is coming up, both happen in one turn of
- * the event loop: the kernel has the connection by then, and the loop cannot know.
+ * Events that cross, in the order that does harm. Where a connection is coming up, both happen in
+ * one turn of the event loop: the kernel has the connection by then, and the loop cannot know.
  */
 @Timeout(30)
 class ConcurrentEventsTest {
@@ -73,8 +73,8 @@
   private PolicySettings settings;
   private PolicyDriver driver;
 
-  /** Whether the client has left, which the driver was not told. */
-  private volatile boolean left;
+  /** Whether the client has disconnected, of which the driver was not notified. */
+  private volatile boolean disconnected;
 
   private static ServerSocket listen() {
     try {
@@ -94,18 +94,19 @@
     second.close();
   }
 
-  private static long at(ServerSocket place) {
-    return BackendAddress.encode((InetSocketAddress) place.getLocalSocketAddress());
+  private static long address(ServerSocket server) {
+    return BackendAddress.encode((InetSocketAddress) server.getLocalSocketAddress());
   }
 
-  private static EndpointUpdate news(
-      boolean full, long id, ServerSocket place, EndpointState phase, double startedMs) {
+  private static EndpointUpdate update(
+      boolean full, long id, ServerSocket server, EndpointState state, double startedMs) {
     return new EndpointUpdate(
-        1, full, List.of(new Endpoint(id, "a", 0, phase, 1, startedMs, at(place))));
+        1, full, List.of(new Endpoint(id, "a", 0, state, 1, startedMs, address(server))));
   }
 
   /**
-   * A driver whose module asks no counter and knows the first backend; to be called on the loop.
+   * Starts a driver whose policy has no counter and knows the first backend; to be called on the
+   * loop.
    */
   private void start() throws IOException, InvalidConfigurationException {
     settings =
@@ -128,14 +129,14 @@
                 10_000,
                 new ConnectionBudget(100),
                 policy.listing()));
-    driver.start(null, news(true, 1, first, EndpointState.SERVING, 0));
+    driver.start(null, update(true, 1, first, EndpointState.SERVING, 0));
   }
 
-  private void take(String id) {
-    take(id, 0, new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/quote/" + id));
+  private void accept(String id) {
+    accept(id, 0, new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/quote/" + id));
   }
 
-  private void take(String id, int type, HttpRequest head) {
+  private void accept(String id, int type, HttpRequest head) {
     driver.accept(
         new RequestReceived(
             id, settings.requestClasses().get(type), "basic", 1, 1, 1, clock.now() + 4_000),
@@ -144,7 +145,7 @@
         new ResponseListener() {
           @Override
           public boolean isDisconnected() {
-            return left;
+            return disconnected;
           }
 
           @Override
@@ -193,12 +194,13 @@
     }
   }
 
+  /** A client disconnects while the connection for its request is coming up: nothing is written. */
   @Test
-  void aClientLeavesBeforeTheConnectionForItsRequestIsUp() throws Exception {
+  void requestOfADisconnectedClientIsNotWritten() throws Exception {
     loop.submit(
             () -> {
               start();
-              take("r1");
+              accept("r1");
               driver.disconnectClient("r1");
               return null;
             })
@@ -206,26 +208,33 @@
     assertEquals("", heard(first));
   }
 
-  /** The close is there, and is not read before the connection for the request is up. */
+  /**
+   * A client's close has reached the kernel, and the loop reads it only after the connection for
+   * the request is up. Nothing is written all the same: the close is looked for before the write.
+   */
   @Test
-  void aClientLeavesUnheardBeforeTheConnectionForItsRequestIsUp() throws Exception {
+  void requestOfAClientWhoseCloseWasNotReadYetIsNotWritten() throws Exception {
     loop.submit(
             () -> {
               start();
-              take("r1");
-              left = true;
+              accept("r1");
+              disconnected = true;
               return null;
             })
         .sync();
     assertEquals("", heard(first));
   }
 
+  /**
+   * The shutdown fails all open requests while the connection for one is coming up. The client has
+   * its final response by then: nothing is written.
+   */
   @Test
-  void theLastCallComesBeforeTheConnectionForARequestIsUp() throws Exception {
+  void requestThatTheShutdownFailedIsNotWritten() throws Exception {
     loop.submit(
             () -> {
               start();
-              take("r1");
+              accept("r1");
               driver.failAll();
               return null;
             })
@@ -234,19 +243,23 @@
     assertEquals("failed", Peers.next(answers));
   }
 
+  /**
+   * Discovery reports that a backend is draining after the policy chose it and before the
+   * connection to it is up: the request goes to another.
+   */
   @Test
-  void aBackendDrainsBetweenTheChoiceAndItsConnection() throws Exception {
+  void backendThatDrainsWhileItsConnectionComesUpGetsNoRequest() throws Exception {
     loop.submit(
             () -> {
               start();
-              take("r1");
+              accept("r1");
               driver.onEndpointUpdate(
                   new EndpointUpdate(
                       2,
                       false,
                       List.of(
                           new Endpoint(1, "a", 0, EndpointState.DRAINING, 1, 0),
-                          new Endpoint(2, "a", 0, EndpointState.SERVING, 1, 0, at(second)))));
+                          new Endpoint(2, "a", 0, EndpointState.SERVING, 1, 0, address(second)))));
               return null;
             })
         .sync();
@@ -254,14 +267,17 @@
     assertEquals("GET /quote/r1 HTTP/1.1", heard(second));
   }
 
-  /** Another backend may live where this one did by the time that the connection is up. */
+  /**
+   * Discovery reports another address of a backend before the connection to it is up. By then
+   * another backend may live at the old one: the request goes to the new one.
+   */
   @Test
-  void aBackendMovesBetweenTheChoiceAndItsConnection() throws Exception {
+  void backendThatMovesWhileItsConnectionComesUpGetsTheRequestAtItsNewAddress() throws Exception {
     loop.submit(
             () -> {
               start();
-              take("r1");
-              driver.onEndpointUpdate(news(false, 1, second, EndpointState.SERVING, 0));
+              accept("r1");
+              driver.onEndpointUpdate(update(false, 1, second, EndpointState.SERVING, 0));
               return null;
             })
         .sync();
@@ -270,14 +286,15 @@
   }
 
   /**
-   * The loop writes on a kept connection of which the kernel, but not the loop, has seen the end.
+   * A backend closes an idle connection; the kernel has seen it, the loop has not, and writes the
+   * next request on it. The request is retried on a new connection, and has one response.
    */
   @Test
-  void aBackendClosesAnIdleConnectionUnderTheNextRequest() throws Exception {
+  void requestWrittenOnAClosedIdleConnectionIsRetriedOnANewOne() throws Exception {
     loop.submit(
             () -> {
               start();
-              take("r1");
+              accept("r1");
               return null;
             })
         .sync();
@@ -287,7 +304,7 @@
     loop.submit(
             () -> {
               kept.close();
-              take("r2");
+              accept("r2");
               return null;
             })
         .sync();
@@ -305,16 +322,16 @@
   }
 
   /**
-   * The window of repeats ends between the module's decision and the write, as each step takes 40
-   * ms.
+   * The loop is short of CPU: each step takes 40 ms, and the deduplication window ends between the
+   * policy's decision to retry and the write. Written then, the request would be executed twice.
    */
   @Test
-  void aRepeatIsNotWrittenBehindItsWindowWhereTheLoopIsSlow() throws Exception {
+  void retryIsNotWrittenAfterItsDeduplicationWindowWhereTheLoopIsSlow() throws Exception {
     loop.submit(
             () -> {
               start();
-              take("r1");
-              take("r2");
+              accept("r1");
+              accept("r2");
               return null;
             })
         .sync();
@@ -322,12 +339,12 @@
     Socket two = first.accept();
     answerAny(one);
     answerAny(two);
-    HttpRequest keyed = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/buy/r3");
-    keyed.headers().set(ProtocolHeaders.IDEMPOTENCY_KEY, "key").set("Content-Length", 0);
+    HttpRequest withKey = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/buy/r3");
+    withKey.headers().set(ProtocolHeaders.IDEMPOTENCY_KEY, "key").set("Content-Length", 0);
     loop.submit(
             () -> {
               offsetNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(20));
-              take("r3", 1, keyed);
+              accept("r3", 1, withKey);
             })
         .sync();
     Socket used = waitForRequest(one, two);
@@ -365,11 +382,13 @@
     }
   }
 
-  /** At the last call what is half read is refused, and so is what waits behind a request. */
+  /**
+   * The shutdown closes what is left while half of a request has come: its client gets an error.
+   */
   @Test
-  void theEndComesBeforeTheRestOfARequest() throws Exception {
+  void halfReadRequestIsRejectedAtTheEndOfTheShutdown() throws Exception {
     peers.answer = (request, out) -> true;
-    GatewayServer door =
+    GatewayServer gateway =
         peers.start(
             peers
                 .config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
@@ -379,7 +398,7 @@
     half.send(Peers.get("h1", 1000).substring(0, 60));
     Client kept = peers.client();
     assertEquals(200, kept.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
-    Thread end = new Thread(door::shutDownGracefully);
+    Thread end = new Thread(gateway::shutDownGracefully);
     end.start();
     assertTrue(kept.ended());
     assertEquals(503, half.receive().status());
@@ -388,18 +407,23 @@
     assertTrue(!end.isAlive());
   }
 
+  /**
+   * The shutdown closes what is left while a pipelined request waits behind another. The open one
+   * fails, the waiting one is rejected, and the connection ends.
+   */
   @Test
-  void theEndComesBeforeTheTurnOfWhatWaitsBehindARequest() throws Exception {
-    GatewayServer door = peers.start();
+  void pipelinedRequestIsRejectedAtTheEndOfTheShutdown() throws Exception {
+    GatewayServer gateway = peers.start();
     peers.answer = (request, out) -> true;
     Client client = peers.client();
     client.send(Peers.get("r1", 4000) + Peers.get("r2", 4000));
     Peers.next(peers.atBackend);
-    door.loop
+    gateway
+        .loop
         .submit(
             () -> {
-              door.lifecycle().end();
-              door.clients().shutDown();
+              gateway.lifecycle().end();
+              gateway.clients().shutDown();
             })
         .sync();
     assertNotEquals(200, client.receive().status());
--- a/src/test/java/quotagateway/server/AdminServerTest.java
+++ b/src/test/java/quotagateway/server/AdminServerTest.java
@@ -13,7 +13,7 @@
 import quotagateway.testing.Peers;
 import quotagateway.testing.Peers.Client;
 
-/** What operators are told, whatever clients and other callers do; and what their calls change. */
+/** What operators get, whatever clients and other callers do; and what their calls change. */
 @Timeout(30)
 class AdminServerTest {
 
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void drainsAndTakesBackWithoutARestart() throws Exception {
+  void drainAndUndrainTakeEffectWithoutARestart() throws Exception {
     peers.start();
     assertEquals(200, peers.operator("GET /ready"));
     Client kept = peers.client();
@@ -57,9 +57,9 @@
         };
   }
 
-  /** A drain ends with the answer that a request waits for, not before. */
+  /** An operator drains while a request is open: its connection ends with its response. */
   @Test
-  void whatWasTakenIsAnsweredWhileDraining() throws Exception {
+  void openRequestGetsItsResponseWhileDraining() throws Exception {
     peers.start();
     CountDownLatch drained = new CountDownLatch(1);
     answerAfter(drained);
@@ -75,9 +75,12 @@
     assertTrue(busy.ended());
   }
 
-  /** A request behind another has been taken with it: only the last answer ends the connection. */
+  /**
+   * An operator drains while a client has three pipelined requests. All were accepted, so only the
+   * last response ends the connection.
+   */
   @Test
-  void whatCameBehindAnotherIsAnsweredToo() throws Exception {
+  void pipelinedRequestsGetTheirResponsesWhileDraining() throws Exception {
     peers.start();
     CountDownLatch drained = new CountDownLatch(1);
     answerAfter(drained);
@@ -92,11 +95,12 @@
     assertTrue(busy.ended());
   }
 
+  /** Clients' load has stopped their event loop: operators must still be able to drain. */
   @Test
-  void answersWhileTheClientsLoopStandsStill() throws Exception {
-    GatewayServer door = peers.start();
+  void callsAreAnsweredWhileTheEventLoopOfClientsIsBlocked() throws Exception {
+    GatewayServer gateway = peers.start();
     CountDownLatch go = new CountDownLatch(1);
-    door.loop.execute(
+    gateway.loop.execute(
         () -> {
           try {
             go.await();
@@ -110,8 +114,9 @@
     assertEquals(503, peers.client().ask(UP).status());
   }
 
+  /** Fifty callers send half a call each: they are closed, and none keeps an operator out. */
   @Test
-  void callersThatNeverCallKeepNobodyOutAndAreEnded() throws Exception {
+  void incompleteCallsAreClosedAndKeepNobodyOut() throws Exception {
     peers.start();
     List<Client> silent = new ArrayList<>();
     for (int i = 0; i < 50; i++) {
@@ -127,7 +132,7 @@
   }
 
   @Test
-  void refusesWhatIsNoCall() throws Exception {
+  void unknownPathsAndMethodsAreRejected() throws Exception {
     peers.start();
     assertEquals(404, peers.operator("GET /up"));
     assertEquals(405, peers.operator("GET /drain"));
@@ -136,9 +141,9 @@
     assertEquals(200, peers.client().ask(UP).status());
   }
 
-  /** Clients cannot drain the door: the calls are none of the clients' address. */
+  /** A client sends an operator's call to the clients' address; it must not drain the gateway. */
   @Test
-  void clientsCannotCall() throws Exception {
+  void clientsCannotDrain() throws Exception {
     peers.start();
     peers.client().ask("POST /drain HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
     assertEquals(200, peers.operator("GET /ready"));
--- a/src/test/java/quotagateway/server/DiscoveryTest.java
+++ b/src/test/java/quotagateway/server/DiscoveryTest.java
@@ -9,18 +9,15 @@
 import java.nio.channels.SocketChannel;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import java.util.logging.Handler;
 import java.util.logging.Level;
-import java.util.logging.LogRecord;
-import java.util.logging.Logger;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import quotagateway.discovery.DiscoveryClient;
+import quotagateway.testing.LogCapture;
 import quotagateway.testing.Peers;
 import quotagateway.testing.Peers.Client;
 
@@ -130,38 +127,19 @@
   /** A list that nobody can take is asked for again and again, and told to those on call once. */
   @Test
   void aListThatCannotBeTakenIsLoggedOnce() throws Exception {
-    List<String> warnings = new CopyOnWriteArrayList<>();
-    Logger log = Logger.getLogger(DiscoveryClient.class.getName());
-    Handler handler =
-        new Handler() {
-          @Override
-          public void publish(LogRecord line) {
-            if (line.getLevel().intValue() >= Level.WARNING.intValue()) {
-              warnings.add(line.getMessage());
-            }
-          }
-
-          @Override
-          public void flush() {}
-
-          @Override
-          public void close() {}
-        };
-    log.addHandler(handler);
-    try {
+    try (LogCapture log = new LogCapture(DiscoveryClient.class, Level.WARNING)) {
       peers.start();
       for (int i = 0; i < 4; i++) {
         assertTrue(Peers.next(peers.watches).contains("index=7 "));
         peers.tell("{\"version\":10,\"servers\":[{\"id\":}]}\n");
       }
       Peers.next(peers.watches);
+      List<String> warnings = log.lines();
       assertEquals(1, warnings.size(), () -> warnings + "");
       assertTrue(
           warnings.get(0).startsWith("endpoint list rejected version_in_use=7 reason="),
           warnings.get(0));
       assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
-    } finally {
-      log.removeHandler(handler);
     }
   }
 
--- a/src/test/java/quotagateway/server/GatewayServerTest.java
+++ b/src/test/java/quotagateway/server/GatewayServerTest.java
@@ -18,17 +18,16 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import java.util.logging.Handler;
-import java.util.logging.LogRecord;
-import java.util.logging.Logger;
+import java.util.logging.Level;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import quotagateway.testing.LogCapture;
 import quotagateway.testing.Peers;
 import quotagateway.testing.Peers.Client;
 import quotagateway.testing.Peers.Message;
 
-/** The real front door between small peers on loopback. */
+/** The gateway between small peers on loopback: what clients get, and what backends are sent. */
 @Timeout(30)
 class GatewayServerTest {
 
@@ -40,7 +39,7 @@
   }
 
   @Test
-  void passesRequestAndAnswerOnUnchanged() throws Exception {
+  void requestAndResponseAreForwardedUnchanged() throws Exception {
     peers.start();
     String body = "x".repeat(60_000) + "\u00e9\0\r\n";
     peers.answer =
@@ -63,7 +62,7 @@
   }
 
   @Test
-  void keepsClientAndBackendConnections() throws Exception {
+  void connectionsOfClientsAndToBackendsAreReused() throws Exception {
     AtomicInteger connections = new AtomicInteger();
     int port =
         peers
@@ -89,7 +88,7 @@
   }
 
   @Test
-  void answersRequestsWrittenBehindEachOtherInTheirOrder() throws Exception {
+  void pipelinedRequestsGetTheirResponsesInOrder() throws Exception {
     peers.start();
     peers.answer =
         (request, out) ->
@@ -102,8 +101,9 @@
     }
   }
 
+  /** A backend that rejects has executed nothing: the gateway may retry what is not idempotent. */
   @Test
-  void aRejectionHasNotRunAndIsTriedAgain() throws Exception {
+  void rejectedAttemptIsRetried() throws Exception {
     peers.start();
     AtomicInteger asked = new AtomicInteger();
     peers.answer =
@@ -113,9 +113,12 @@
     assertEquals(2, asked.get());
   }
 
-  /** A repeat of what may have run carries the same id and key; nothing but the module sends it. */
+  /**
+   * A connection that breaks behind the request leaves open whether it was executed. The retry must
+   * carry the same idempotency key, or the backend would execute it twice.
+   */
   @Test
-  void aBrokenConnectionAfterTheRequestIsAResetAndTheModuleRepeatsIt() throws Exception {
+  void attemptWhoseConnectionBreaksIsRetriedWithTheSameIdempotencyKey() throws Exception {
     peers.start();
     AtomicInteger asked = new AtomicInteger();
     peers.answer = (request, out) -> asked.incrementAndGet() > 1 && Peers.write(out, Peers.OK);
@@ -124,8 +127,9 @@
     assertEquals("key-r1", Peers.next(peers.atBackend).header("Idempotency-Key"));
   }
 
+  /** A backend that dies in the middle of a response must not look like a success. */
   @Test
-  void aCutAnswerIsNotServed() throws Exception {
+  void truncatedResponseIsNotPassedOnAsSuccess() throws Exception {
     peers.start();
     peers.answer =
         (request, out) -> {
@@ -135,8 +139,9 @@
     assertNotEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
   }
 
+  /** A backend that speaks no HTTP costs its connection, not the requests. */
   @Test
-  void junkFromABackendEndsItsConnectionAndServingGoesOn() throws Exception {
+  void malformedResponseIsRetriedAndLaterRequestsAreServed() throws Exception {
     peers.start();
     AtomicInteger asked = new AtomicInteger();
     peers.answer =
@@ -146,16 +151,20 @@
     assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
   }
 
+  /** No backend listens: nothing was executed, and the client may repeat its request harmlessly. */
   @Test
-  void aRefusedConnectionMeansARefusalThatIsHarmlessToRepeat() throws Exception {
+  void requestIsRejectedWhereNoConnectionComesUp() throws Exception {
     peers.backend.close();
     peers.start();
     assertEquals(503, peers.client().ask(Peers.post("r1", "b")).status());
   }
 
-  /** Vanished hosts are silent: a connect has its own limit, far below the client's time. */
+  /**
+   * A host that has vanished answers no connect. The connect has a timeout of its own, far below
+   * the client's deadline.
+   */
   @Test
-  void aConnectThatNeverComesUpEndsByItsOwnLimit() throws Exception {
+  void connectWithoutReplyEndsByTheConnectTimeout() throws Exception {
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       List<SocketChannel> fill = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
@@ -174,8 +183,12 @@
     }
   }
 
+  /**
+   * A backend takes a request and never responds. Its connection is closed, as a late response on
+   * it would be taken for the next one's, and the client gets an error before its deadline.
+   */
   @Test
-  void aSilentBackendCostsTheAttemptItsConnectionAndTheClientHearsInTime() throws Exception {
+  void attemptWithoutResponseEndsInTimeAndItsConnectionIsClosed() throws Exception {
     CountDownLatch closed = new CountDownLatch(1);
     int port =
         peers
@@ -196,7 +209,7 @@
   }
 
   @Test
-  void refusesBrokenRequestsWithoutAskingABackend() throws Exception {
+  void invalidRequestsAreRejectedWithoutAnAttempt() throws Exception {
     peers.start();
     Client client = peers.client();
     String good = Peers.get("r1", 3000);
@@ -221,7 +234,7 @@
   }
 
   @Test
-  void endsTheConnectionOverMalformedAndOversizedMessages() throws Exception {
+  void malformedAndOversizedRequestsEndTheirConnections() throws Exception {
     peers.start();
     Client malformed = peers.client();
     assertEquals(400, malformed.ask("GET /quote HTTP/1.1\r\nbroken header\r\n\r\n").status());
@@ -238,15 +251,16 @@
   }
 
   @Test
-  void tellsWhetherItCanServe() throws Exception {
+  void readinessIsReportedToGetOnly() throws Exception {
     peers.start();
     String up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
     assertEquals(200, peers.client().ask(up).status());
     assertEquals(405, peers.client().ask(up.replace("GET", "PUT")).status());
   }
 
+  /** A gateway that starts while discovery is away knows no backend, and could only reject. */
   @Test
-  void withoutBackendsItIsNotUpUntilDiscoveryNamesOne() throws Exception {
+  void withoutBackendsItIsNotReadyUntilDiscoveryReportsOne() throws Exception {
     peers.start(peers.config());
     String up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
     Client client = peers.client();
@@ -260,10 +274,11 @@
   }
 
   /**
-   * A client that has gone gets nothing; its attempt still ends at the module, and serving goes on.
+   * A client disconnects while its attempt is in flight. It gets nothing; the policy still gets the
+   * attempt's outcome, and later requests are served.
    */
   @Test
-  void aClientThatLeavesIsForgotten() throws Exception {
+  void disconnectOfAClientInTheMiddleHarmsNobodyElse() throws Exception {
     peers.start();
     CountDownLatch left = new CountDownLatch(1);
     peers.answer =
@@ -279,24 +294,27 @@
     assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
   }
 
-  /** A planned end: what was taken is answered, and the answer ends the connection. */
+  /**
+   * A restart is planned while a request is open. It gets its response, which announces the end of
+   * its connection; idle connections are closed, and the shutdown returns.
+   */
   @Test
-  void drainsWithoutLosingARequest() throws Exception {
-    GatewayServer door = peers.start();
-    CountDownLatch told = new CountDownLatch(1);
+  void gracefulShutdownLosesNoRequest() throws Exception {
+    GatewayServer gateway = peers.start();
+    CountDownLatch shuttingDown = new CountDownLatch(1);
     peers.answer =
         (request, out) -> {
-          await(told);
+          await(shuttingDown);
           return Peers.write(out, Peers.OK);
         };
     Client idle = peers.client();
     Client busy = peers.client();
     busy.send(Peers.get("r1", 3000));
     Peers.next(peers.atBackend);
-    Thread end = new Thread(door::shutDownGracefully);
+    Thread end = new Thread(gateway::shutDownGracefully);
     end.start();
     assertTrue(idle.ended());
-    told.countDown();
+    shuttingDown.countDown();
     Message answer = busy.receive();
     assertEquals(200, answer.status());
     assertEquals("close", answer.header("Connection"));
@@ -314,38 +332,22 @@
   }
 
   /**
-   * Setting logging up takes long on a share of a core, and holds up every request that is there by
-   * then.
+   * Setting logging up takes long on a share of a core. A first log line behind the start of
+   * listening would hold up every request that is there by then.
    */
   @Test
-  void itsFirstLogLineIsWrittenBeforeItTakesClients() throws Exception {
+  void firstLogLineIsWrittenBeforeClientsAreAccepted() throws Exception {
     int port;
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       port = free.getLocalPort();
     }
     List<Boolean> listeningAtLine = new CopyOnWriteArrayList<>();
-    Logger log = Logger.getLogger(GatewayServer.class.getName());
-    Handler handler =
-        new Handler() {
-          @Override
-          public void publish(LogRecord line) {
-            listeningAtLine.add(connects(port));
-          }
-
-          @Override
-          public void flush() {}
-
-          @Override
-          public void close() {}
-        };
-    log.addHandler(handler);
-    try {
+    try (LogCapture log = new LogCapture(GatewayServer.class, Level.ALL)) {
+      log.onLine(line -> listeningAtLine.add(connects(port)));
       peers.start(
           peers
               .config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
               .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + port + "\""));
-    } finally {
-      log.removeHandler(handler);
     }
     assertEquals(List.of(false), listeningAtLine);
     assertTrue(connects(port));
--- a/src/test/java/quotagateway/server/InheritedSignalTest.java
+++ b/src/test/java/quotagateway/server/InheritedSignalTest.java
@@ -20,7 +20,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import quotagateway.testing.Peers;
 
-/** The real program, started by a shell that ignores SIGHUP as nohup and some supervisors do. */
+/**
+ * The program is started by a shell that ignores SIGHUP, as nohup and some supervisors do. A
+ * process inherits that, and the JVM then never handles the signal: a reload would be ignored in
+ * silence.
+ */
 @Timeout(60)
 class InheritedSignalTest {
 
@@ -46,7 +50,7 @@
   }
 
   @Test
-  void reloadsWhereSighupWasIgnoredAtTheStart() throws Exception {
+  void sighupReloadsThoughItWasIgnoredAtTheStart() throws Exception {
     start(launcher());
     awaitServing();
     Peers.next(before.watches);
--- a/src/test/java/quotagateway/server/ReloadTest.java
+++ b/src/test/java/quotagateway/server/ReloadTest.java
@@ -14,7 +14,7 @@
 import quotagateway.testing.Peers;
 import quotagateway.testing.Peers.Client;
 
-/** A replaced configuration moves discovery and the counter under load. */
+/** A replaced configuration, applied by SIGHUP while clients are served. */
 @Timeout(30)
 class ReloadTest {
 
@@ -22,12 +22,12 @@
   private final Peers before = new Peers();
   private final Peers after = new Peers();
   private Path file;
-  private GatewayServer door;
+  private GatewayServer gateway;
 
   @BeforeEach
   void start() throws Exception {
     file = folder.resolve("config.json");
-    door = before.start();
+    gateway = before.start();
     Peers.next(before.watches);
   }
 
@@ -39,11 +39,15 @@
 
   private void reload(String config) throws Exception {
     Files.writeString(file, config);
-    door.reload(file);
+    gateway.reload(file);
   }
 
+  /**
+   * Discovery and the counter move to other addresses, and the old ones close 1.5 s later. No
+   * request fails meanwhile, and the watch goes on from the version that it had.
+   */
   @Test
-  void movesToTheNewAddressesAndLosesNothing() throws Exception {
+  void reloadMovesDiscoveryAndCounterWithoutLosingARequest() throws Exception {
     Client client = before.client();
     assertEquals(200, client.ask(Peers.get("r1", 3000)).status());
     Peers.next(before.atCounter);
@@ -61,12 +65,13 @@
     assertTrue(before.watches.isEmpty());
   }
 
+  /** The file is cut, names no address, or is gone: the addresses in use stay. */
   @Test
-  void aBrokenFileLeavesTheOldAddressesInUse() throws Exception {
+  void rejectedFileLeavesTheAddressesInUse() throws Exception {
     reload("{\"discovery\":");
     reload(after.config().replace("\"discovery\":\"127.0.0.1", "\"discovery\":\"nowhere"));
     Files.delete(file);
-    door.reload(file);
+    gateway.reload(file);
     Client client = before.client();
     assertEquals(200, client.ask(Peers.get("r1", 3000)).status());
     Peers.next(before.atCounter);
@@ -92,7 +97,7 @@
   }
 
   @Test
-  void aClassIsAddedAndAnotherDropped() throws Exception {
+  void classIsAddedAtOnceAndADroppedOneServedForALittleLonger() throws Exception {
     Client client = before.client();
     String extra = Peers.get("r1", 3000).replace("quote", "extra");
     assertEquals(400, client.ask(extra).status());
@@ -111,24 +116,25 @@
     assertEquals(200, client.ask(extra).status());
   }
 
-  /** Clients ask by the old method until they have heard; both ways are served meanwhile. */
+  /** Clients use the old method until they have heard; both ways are served meanwhile. */
   @Test
-  void aClassWhoseEffectChangesIsServedInBothWays() throws Exception {
+  void classWhoseIdempotencyChangesIsServedInBothWays() throws Exception {
     Client client = before.client();
-    String keyed = Peers.post("p1", "b").replace("buy", "quote");
-    assertEquals(400, client.ask(keyed).status());
+    String withKey = Peers.post("p1", "b").replace("buy", "quote");
+    assertEquals(400, client.ask(withKey).status());
     reload(own().replace("\"quote\",\"Repeat\":\"pure\"", "\"quote\",\"Repeat\":\"token\""));
-    while (client.ask(keyed).status() != 200) {
+    while (client.ask(withKey).status() != 200) {
       Thread.onSpinWait();
     }
     assertEquals(200, client.ask(Peers.get("r1", 3000)).status());
   }
 
   /**
-   * What is read by the settings before is decided by them, also where it comes after the new ones.
+   * A request of a class that only earlier settings name is read by them, though it comes after the
+   * new ones. It must have the number of attempts that those allow, not that of the new ones.
    */
   @Test
-  void whatIsReadByTheSettingsBeforeHasTheirAttempts() throws Exception {
+  void requestReadByEarlierSettingsHasTheirNumberOfAttempts() throws Exception {
     Client client = before.client();
     reload(withClass(own(), "extra", "pure").replace("\"MaxAttempts\":6", "\"MaxAttempts\":1"));
     while (client.ask(Peers.get("e1", 3000).replace("quote", "extra")).status() == 400) {
@@ -144,8 +150,12 @@
     assertEquals(1, before.atBackend.size());
   }
 
+  /**
+   * A file with one fault, beside a new class and a new address, is rejected whole: neither is in
+   * use. The same file without the fault then brings both.
+   */
   @Test
-  void nothingIsTakenFromABrokenFile() throws Exception {
+  void nothingIsAppliedOfARejectedFile() throws Exception {
     String good =
         withClass(own(), "extra", "pure")
             .replace(
--- a/src/test/java/quotagateway/server/ResourceLimitsTest.java
+++ b/src/test/java/quotagateway/server/ResourceLimitsTest.java
@@ -33,11 +33,11 @@
 import quotagateway.testing.Peers.Client;
 import quotagateway.transport.ConnectionBudget;
 
-/** A front door in a process of its own, with the memory of the deploy file and few descriptors. */
+/** A gateway in a process of its own, with the memory of the deploy file and few descriptors. */
 @Timeout(90)
 class ResourceLimitsTest {
 
-  private static final int MANY_SERVERS = 1_500;
+  private static final int MANY_BACKENDS = 1_500;
   private static final int MEMORY_MB = 192;
   private static final long AT_ONCE_NANOS = TimeUnit.SECONDS.toNanos(3);
 
@@ -70,7 +70,7 @@
     peers.close();
   }
 
-  private int backendThatSays(String name) {
+  private int backendThatResponds(String name) {
     return peers
         .listen(
             50,
@@ -170,8 +170,8 @@
     return Integer.toHexString(list.length()) + "\r\n" + list + "\r\n";
   }
 
-  /** Discovery that takes no watch while it is away, and tells this list as soon as it is back. */
-  private int discoveryThatTells(String list, AtomicInteger watches) {
+  /** Discovery that accepts no watch while it is away, and reports this list once it is back. */
+  private int discoveryThatReports(String list, AtomicInteger watches) {
     return peers
         .listen(
             50,
@@ -203,16 +203,20 @@
         .getLocalPort();
   }
 
-  /** What clients may hold leaves descriptors for all that the front door itself connects to. */
+  /**
+   * A crowd of clients connects while discovery and the counter are away. Its connections leave
+   * descriptors for all that the gateway itself connects to, so that it recovers at once when they
+   * are back.
+   */
   @ParameterizedTest
   @ValueSource(ints = {80, Peers.FEW_SOCKETS})
-  void aCrowdLeavesDescriptorsForDiscoveryCounterAndBackends(int sockets) throws Exception {
-    int first = backendThatSays("1");
-    int second = backendThatSays("2");
+  void crowdOfClientsLeavesDescriptorsForDiscoveryCounterAndBackends(int sockets) throws Exception {
+    int first = backendThatResponds("1");
+    int second = backendThatResponds("2");
     away.set(true);
     AtomicInteger watches = new AtomicInteger();
     int discovery =
-        discoveryThatTells(Peers.list(8, true, Peers.entry("s-2", second, "active")), watches);
+        discoveryThatReports(Peers.list(8, true, Peers.entry("s-2", second, "active")), watches);
     start(
         peers
             .config(Peers.entry("s-1", first, "active"))
@@ -263,26 +267,29 @@
             .toArray(String[]::new));
   }
 
-  /** The largest fleet asked for: its lists are taken within the memory of the deploy file. */
+  /**
+   * Discovery reports the largest fleet asked for, again and again. Its lists are applied within
+   * the memory of the deploy file, or the process would be killed.
+   */
   @Test
-  void takesListsOfManyServersAndSettingsOfManyGateways() throws Exception {
-    int first = backendThatSays("1");
-    int second = backendThatSays("2");
-    int third = backendThatSays("3");
+  void listsOfManyBackendsFitIntoTheMemory() throws Exception {
+    int first = backendThatResponds("1");
+    int second = backendThatResponds("2");
+    int third = backendThatResponds("3");
     start(
         peers
             .config()
             .replace(
                 "\"known\":" + Peers.list(7, true),
-                "\"known\":" + servers(7, true, 0, MANY_SERVERS, first, "active"))
+                "\"known\":" + servers(7, true, 0, MANY_BACKENDS, first, "active"))
             .replace("\"Balancers\":2,\"SelfIndex\":0", "\"Balancers\":120,\"SelfIndex\":119"),
         1024);
     Peers.next(peers.watches);
-    tell(servers(8, true, MANY_SERVERS, 2 * MANY_SERVERS, second, "active"));
+    report(servers(8, true, MANY_BACKENDS, 2 * MANY_BACKENDS, second, "active"));
     askUntil("2", TimeUnit.SECONDS.toNanos(20));
-    tell(servers(9, false, MANY_SERVERS, 2 * MANY_SERVERS, second, "leaving"));
+    report(servers(9, false, MANY_BACKENDS, 2 * MANY_BACKENDS, second, "leaving"));
     for (int v = 10; v < 40; v++) {
-      tell(servers(v, true, v * MANY_SERVERS, (v + 1) * MANY_SERVERS, third, "active"));
+      report(servers(v, true, v * MANY_BACKENDS, (v + 1) * MANY_BACKENDS, third, "active"));
     }
     askUntil("3", TimeUnit.SECONDS.toNanos(20));
     try (Client client = new Client(address)) {
@@ -300,7 +307,7 @@
     assertTrue(peers.watches.isEmpty(), "none of the lists ended the watch");
   }
 
-  private void tell(String list) throws IOException {
+  private void report(String list) throws IOException {
     OutputStream out = peers.watchers.get(peers.watchers.size() - 1);
     Peers.write(out, whole(list));
   }
--- a/src/test/java/quotagateway/server/StartTest.java
+++ b/src/test/java/quotagateway/server/StartTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import quotagateway.testing.Peers;
 
-/** What the program loads as it starts by the deploy file: all CPU for it is waited for. */
+/** What the program does at a start by the deploy file: a restarted gateway is missed meanwhile. */
 @Timeout(60)
 class StartTest {
 
@@ -40,7 +40,7 @@
    * core.
    */
   @Test
-  void registersNoEventsOfAFlightRecorder() throws Exception {
+  void startRegistersNoFlightRecorderEvents() throws Exception {
     Path log = folder.resolve("classes.log");
     start("-Xlog:class+load:file=" + log);
     List<String> loaded = Files.readAllLines(log);
@@ -57,9 +57,12 @@
             .toList());
   }
 
-  /** Each text put together with + would otherwise have code made for it when it is first met. */
+  /**
+   * By default the compiler leaves string concatenation to code that is generated at run time, for
+   * each place when it is first reached.
+   */
   @Test
-  void textsArePutTogetherWithoutCodeMadeAtRunTime() throws Exception {
+  void stringConcatenationNeedsNoCodeGeneratedAtRunTime() throws Exception {
     try (InputStream code = WarmUp.class.getResourceAsStream("WarmUp.class")) {
       String text = new String(code.readAllBytes(), StandardCharsets.ISO_8859_1);
       assertTrue(text.contains("StringBuilder"), "it does put texts together");
@@ -68,17 +71,18 @@
   }
 
   /**
-   * A warm-up that ends before the compiler has counted far enough leaves the compiling to service.
+   * A warm-up that ends before the compiler has counted far enough leaves the compiling to the
+   * first clients.
    */
   @Test
-  void compilesEarlyInTheWarmUp() throws Exception {
+  void warmUpIsLongEnoughForTheCompilerThreshold() throws Exception {
     String option =
         options().stream().filter(o -> o.startsWith(THRESHOLD)).findFirst().orElse(THRESHOLD + 200);
     int calls = Integer.parseInt(option.substring(THRESHOLD.length()));
     assertTrue(10 * calls <= WarmUp.REQUESTS, calls + " calls of " + WarmUp.REQUESTS);
   }
 
-  /** Its address is taken, so that the program ends by itself where it would begin to listen. */
+  /** Starts the program at an address in use, so that it ends by itself instead of listening. */
   private void start(String option) throws IOException, InterruptedException {
     Path config = folder.resolve("config.json");
     try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
@@ -102,7 +106,7 @@
     }
   }
 
-  /** Those of the run command that settle what is loaded and compiled. */
+  /** The options of the run command that decide what is loaded and compiled. */
   private static List<String> options() throws IOException {
     return Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
         .filter(l -> l.startsWith("run ="))
--- a/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
+++ b/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
@@ -17,7 +17,7 @@
 import quotagateway.testing.Peers.Client;
 import quotagateway.transport.ConnectionBudget;
 
-/** A second process beside the old one, which then ends. */
+/** An upgrade: a second process starts beside the old one, which then shuts down. */
 @Timeout(30)
 class UpgradeCoordinatorTest {
 
@@ -33,11 +33,11 @@
   }
 
   /**
-   * All that connected before the old one's end is answered, and nobody is told that the door is
-   * down.
+   * Clients are connected to the old process when it gets SIGTERM, and others connect afterwards.
+   * All get their responses, and the balancer in front never sees a gateway that is not ready.
    */
   @Test
-  void theOldOneEndsWithoutTurningAnybodyAway() throws Exception {
+  void oldProcessShutsDownWithoutRejectingAnybody() throws Exception {
     GatewayServer old = peers.start();
     peers.startBeside();
     assertEquals(200, peers.operator("GET /ready"));
@@ -59,22 +59,27 @@
   }
 
   /**
-   * With nobody beside it, the one address goes on taking connections until the front has noticed.
+   * SIGTERM without a second process: connections are accepted until the balancer in front has
+   * noticed, or they would be refused.
    */
   @Test
-  void aLastOneGoesOnAccepting() throws Exception {
-    GatewayServer door = peers.start();
-    Thread end = new Thread(door::shutDownGracefully);
+  void onlyProcessGoesOnAcceptingAfterTheShutdownHasBegun() throws Exception {
+    GatewayServer gateway = peers.start();
+    Thread end = new Thread(gateway::shutDownGracefully);
     end.start();
-    while (door.lifecycle().serving()) {
+    while (gateway.lifecycle().serving()) {
       Thread.onSpinWait();
     }
     assertEquals(503, peers.client().ask(UP).status());
     end.join(10_000);
   }
 
+  /**
+   * A process was killed and its lock files stay. Taken for a process that runs, they would have
+   * the next shutdown refuse connections that nobody else accepts.
+   */
   @Test
-  void whatOthersLeftBehindIsNoProcess() throws Exception {
+  void filesOfAKilledProcessAreNoProcess() throws Exception {
     Files.writeString(folder.resolve("serving-0"), "junk of one that was kil");
     Files.createDirectory(folder.resolve("started-0"));
     UpgradeCoordinator barred = new UpgradeCoordinator(folder, "started");
@@ -91,10 +96,11 @@
   }
 
   /**
-   * Both together are held to the limits of one, and the one that stays has them to itself again.
+   * Both processes together are held to the limits of one. The one that stays gets all descriptors
+   * back.
    */
   @Test
-  void twoProcessesShareTheDescriptors() {
+  void twoProcessesShareTheDescriptorsOfOne() {
     ResourceLimits limits = ResourceLimits.of(384, 144, 0.3);
     ConnectionBudget places = new ConnectionBudget(limits.connections());
     int alone = places.maxClientConnections();
--- a/src/test/java/quotagateway/server/WarmUpTest.java
+++ b/src/test/java/quotagateway/server/WarmUpTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Timeout;
 import quotagateway.testing.Peers;
 
-/** The made-up requests before service. */
+/** The made-up requests before clients are accepted. */
 @Timeout(30)
 class WarmUpTest {
 
@@ -20,11 +20,10 @@
   }
 
   /**
-   * On a third of a core the same work takes three times as long; cut off, it would be done in
-   * service.
+   * On a part of a core the same work takes longer; cut off, it would be left to the first clients.
    */
   @Test
-  void getsTheSameCpuFromASmallPartOfACore() throws Exception {
+  void timeLimitGrowsAsThePartOfACoreShrinks() throws Exception {
     String whole = peers.smallConfig();
     String part = whole.replace("\"cores\":1", "\"cores\":0.25");
     assertEquals(
@@ -34,10 +33,11 @@
   }
 
   /**
-   * They go the whole way, or they would warm nothing; and nobody outside sees anything of them.
+   * Requests that were rejected early would warm up nothing, and ones that reached a peer would
+   * charge customers.
    */
   @Test
-  void goesTheWholeWayAndTouchesNoSocket() throws Exception {
+  void requestsAreServedWithoutASocket() throws Exception {
     String config = peers.config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"));
     int served = new WarmUp(Peers.parse(config)).run(20_000);
     assertTrue(served > WarmUp.REQUESTS / 2, served + " served");
--- a/src/test/java/quotagateway/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/quotagateway/simulator/SimulatorAdapterTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Plays short scripts of the wire and checks the exact replies. */
+/** Plays short scripts of the simulator and checks the exact replies. */
 class SimulatorAdapterTest {
 
   private static final String ATTACH =
@@ -61,20 +61,20 @@
   }
 
   @Test
-  void answersEachBatchExactlyAndTheSameTwice() throws IOException {
+  void batchesGetExactlyTheseRepliesEachTime() throws IOException {
     assertEquals(REPLIES, play(ATTACH + SERVED));
     assertEquals(play(ATTACH + SERVED), play(ATTACH + SERVED));
   }
 
   @Test
-  void malformedInputEndsWithAnError() {
+  void malformedInputIsAnError() {
     assertThrows(IOException.class, () -> play("{\"m\":\"Mark\",\"ClockMs\":"));
     assertThrows(IOException.class, () -> play("{\"m\":\"Mark\"]"));
     assertThrows(IOException.class, () -> play("[1]"));
   }
 
   @Test
-  void endOfInputEndsQuietly() throws IOException {
+  void emptyInputGetsNoReplies() throws IOException {
     assertTrue(play("").isEmpty());
   }
 }
