--- a/src/test/java/quotagateway/server/AdminServerTest.java
+++ b/src/test/java/quotagateway/server/AdminServerTest.java
@@ -10,8 +10,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import quotagateway.testing.Peers;
-import quotagateway.testing.Peers.Client;
+import quotagateway.testing.FakeBackend;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.TestClient;
+import quotagateway.testing.TestQueues;
+import quotagateway.testing.TestRequests;
+import quotagateway.testing.TextStreams;
 
 /** What operators get, whatever clients and other callers do; and what their calls change. */
 @Timeout(30)
@@ -19,56 +23,57 @@
 
   private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
 
   @AfterEach
   void close() throws Exception {
-    peers.close();
+    fixture.close();
   }
 
   @Test
   void drainAndUndrainTakeEffectWithoutARestart() throws Exception {
-    peers.start();
-    assertEquals(200, peers.operator("GET /ready"));
-    Client kept = peers.client();
-    assertEquals(200, kept.ask(Peers.get("r1", 3000)).status());
-    assertEquals(200, peers.operator("POST /drain"));
-    assertEquals(503, peers.client().ask(UP).status());
-    assertEquals(503, peers.operator("GET /ready"));
+    fixture.start();
+    assertEquals(200, fixture.operator("GET /ready"));
+    TestClient kept = fixture.client();
+    assertEquals(200, kept.ask(TestRequests.get("r1", 3000)).status());
+    assertEquals(200, fixture.operator("POST /drain"));
+    assertEquals(503, fixture.client().ask(UP).status());
+    assertEquals(503, fixture.operator("GET /ready"));
     assertTrue(kept.ended(), "a connection with no request on it is not kept");
-    assertEquals("close", peers.client().ask(Peers.get("late", 3000)).header("Connection"));
-    assertEquals(200, peers.operator("POST /drain"), "a second call asks for nothing more");
-    assertEquals(200, peers.operator("POST /undrain"));
-    Client back = peers.client();
+    assertEquals(
+        "close", fixture.client().ask(TestRequests.get("late", 3000)).header("Connection"));
+    assertEquals(200, fixture.operator("POST /drain"), "a second call asks for nothing more");
+    assertEquals(200, fixture.operator("POST /undrain"));
+    TestClient back = fixture.client();
     assertEquals(200, back.ask(UP).status());
-    assertEquals(200, back.ask(Peers.get("r2", 3000)).status());
-    assertEquals(200, back.ask(Peers.get("r3", 3000)).status());
+    assertEquals(200, back.ask(TestRequests.get("r2", 3000)).status());
+    assertEquals(200, back.ask(TestRequests.get("r3", 3000)).status());
   }
 
   private void answerAfter(CountDownLatch drained) {
-    peers.answer =
+    fixture.backend.responder =
         (request, out) -> {
           try {
             drained.await();
           } catch (InterruptedException e) {
             return false;
           }
-          return Peers.write(out, Peers.OK);
+          return TextStreams.write(out, FakeBackend.OK_RESPONSE);
         };
   }
 
   /** An operator drains while a request is open: its connection ends with its response. */
   @Test
   void openRequestGetsItsResponseWhileDraining() throws Exception {
-    peers.start();
+    fixture.start();
     CountDownLatch drained = new CountDownLatch(1);
     answerAfter(drained);
-    Client busy = peers.client();
-    busy.send(Peers.get("r1", 4000));
-    Peers.next(peers.atBackend);
-    Client idle = peers.client();
+    TestClient busy = fixture.client();
+    busy.send(TestRequests.get("r1", 4000));
+    TestQueues.next(fixture.backend.received);
+    TestClient idle = fixture.client();
     idle.ask(UP);
-    assertEquals(200, peers.operator("POST /drain"));
+    assertEquals(200, fixture.operator("POST /drain"));
     assertTrue(idle.ended());
     drained.countDown();
     assertEquals(200, busy.receive().status());
@@ -81,13 +86,14 @@
    */
   @Test
   void pipelinedRequestsGetTheirResponsesWhileDraining() throws Exception {
-    peers.start();
+    fixture.start();
     CountDownLatch drained = new CountDownLatch(1);
     answerAfter(drained);
-    Client busy = peers.client();
-    busy.send(Peers.get("r1", 4000) + Peers.get("r2", 4000) + Peers.get("r3", 4000));
-    Peers.next(peers.atBackend);
-    assertEquals(200, peers.operator("POST /drain"));
+    TestClient busy = fixture.client();
+    busy.send(
+        TestRequests.get("r1", 4000) + TestRequests.get("r2", 4000) + TestRequests.get("r3", 4000));
+    TestQueues.next(fixture.backend.received);
+    assertEquals(200, fixture.operator("POST /drain"));
     drained.countDown();
     assertNull(busy.receive().header("Connection"));
     assertNull(busy.receive().header("Connection"));
@@ -98,7 +104,7 @@
   /** Clients' load has stopped their event loop: operators must still be able to drain. */
   @Test
   void callsAreAnsweredWhileTheEventLoopOfClientsIsBlocked() throws Exception {
-    GatewayServer gateway = peers.start();
+    GatewayServer gateway = fixture.start();
     CountDownLatch go = new CountDownLatch(1);
     gateway.loop.execute(
         () -> {
@@ -108,44 +114,44 @@
             Thread.currentThread().interrupt();
           }
         });
-    assertEquals(200, peers.operator("GET /ready"));
-    assertEquals(200, peers.operator("POST /drain"));
+    assertEquals(200, fixture.operator("GET /ready"));
+    assertEquals(200, fixture.operator("POST /drain"));
     go.countDown();
-    assertEquals(503, peers.client().ask(UP).status());
+    assertEquals(503, fixture.client().ask(UP).status());
   }
 
   /** Fifty callers send half a call each: they are closed, and none keeps an operator out. */
   @Test
   void incompleteCallsAreClosedAndKeepNobodyOut() throws Exception {
-    peers.start();
-    List<Client> silent = new ArrayList<>();
+    fixture.start();
+    List<TestClient> silent = new ArrayList<>();
     for (int i = 0; i < 50; i++) {
-      Client caller = peers.operator();
+      TestClient caller = fixture.operator();
       caller.send("POST /dra");
       silent.add(caller);
     }
-    assertEquals(200, peers.operator("GET /ready"));
-    for (Client caller : silent) {
+    assertEquals(200, fixture.operator("GET /ready"));
+    for (TestClient caller : silent) {
       assertTrue(caller.ended());
     }
-    assertEquals(200, peers.client().ask(UP).status(), "half a call moves nothing");
+    assertEquals(200, fixture.client().ask(UP).status(), "half a call moves nothing");
   }
 
   @Test
   void unknownPathsAndMethodsAreRejected() throws Exception {
-    peers.start();
-    assertEquals(404, peers.operator("GET /up"));
-    assertEquals(405, peers.operator("GET /drain"));
-    assertEquals(405, peers.operator("POST /ready"));
-    assertEquals(200, peers.operator("POST http://127.0.0.1/undrain"), "it serves already");
-    assertEquals(200, peers.client().ask(UP).status());
+    fixture.start();
+    assertEquals(404, fixture.operator("GET /up"));
+    assertEquals(405, fixture.operator("GET /drain"));
+    assertEquals(405, fixture.operator("POST /ready"));
+    assertEquals(200, fixture.operator("POST http://127.0.0.1/undrain"), "it serves already");
+    assertEquals(200, fixture.client().ask(UP).status());
   }
 
   /** A client sends an operator's call to the clients' address; it must not drain the gateway. */
   @Test
   void clientsCannotDrain() throws Exception {
-    peers.start();
-    peers.client().ask("POST /drain HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
-    assertEquals(200, peers.operator("GET /ready"));
+    fixture.start();
+    fixture.client().ask("POST /drain HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
+    assertEquals(200, fixture.operator("GET /ready"));
   }
 }
--- a/src/test/java/quotagateway/testing/LogCapture.java
+++ b/src/test/java/quotagateway/testing/LogCapture.java
@@ -8,48 +8,55 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** The log lines of one class, from a level up, until it is closed. */
-public final class LogCapture extends Handler implements AutoCloseable {
-
-  private final Logger log;
-  private final List<String> lines = new CopyOnWriteArrayList<>();
-  private volatile Consumer<String> listener = line -> {};
-
-  /**
-   * Starts to capture.
-   *
-   * @param source whose lines they are
-   * @param lowest level of the lines
-   */
+/** Keeps what a class logs, from a level up, from its creation until it is closed. */
+public final class LogCapture implements AutoCloseable {
+
+  private final List<String> messages = new CopyOnWriteArrayList<>();
+  private final Logger logger;
+  private final Handler handler = new KeepingHandler();
+  private volatile Consumer<String> listener = message -> {};
+
+  /** Keeps warnings and errors. */
+  public LogCapture(Class<?> source) {
+    this(source, Level.WARNING);
+  }
+
+  /** Keeps messages of the lowest level and above. */
   public LogCapture(Class<?> source, Level lowest) {
-    log = Logger.getLogger(source.getName());
-    setLevel(lowest);
-    log.addHandler(this);
+    handler.setLevel(lowest);
+    logger = Logger.getLogger(source.getName());
+    logger.addHandler(handler);
   }
 
-  /** The lines up to now. */
-  public List<String> lines() {
-    return List.copyOf(lines);
+  /** What was logged so far. */
+  public List<String> messages() {
+    return List.copyOf(messages);
   }
 
-  /** Has the listener get each line as it is logged, on the thread that logs it. */
-  public void onLine(Consumer<String> newListener) {
+  /** Has the listener get each message as it is logged, on the thread that logs it. */
+  public void onMessage(Consumer<String> newListener) {
     listener = newListener;
   }
 
   @Override
-  public void publish(LogRecord line) {
-    if (isLoggable(line)) {
-      lines.add(line.getMessage());
-      listener.accept(line.getMessage());
-    }
+  public void close() {
+    logger.removeHandler(handler);
   }
 
-  @Override
-  public void flush() {}
+  private final class KeepingHandler extends Handler {
 
-  @Override
-  public void close() {
-    log.removeHandler(this);
+    @Override
+    public void publish(LogRecord line) {
+      if (isLoggable(line)) {
+        messages.add(line.getMessage());
+        listener.accept(line.getMessage());
+      }
+    }
+
+    @Override
+    public void flush() {}
+
+    @Override
+    public void close() {}
   }
 }
