--- a/src/test/java/quotagateway/counter/CounterClientTest.java
+++ b/src/test/java/quotagateway/counter/CounterClientTest.java
@@ -5,7 +5,11 @@
 
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.OutputStream;
 import java.net.InetSocketAddress;
+import java.net.Socket;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -15,18 +19,20 @@
 import org.junit.jupiter.api.Timeout;
 import quotagateway.policy.event.CounterReplied;
 import quotagateway.policy.event.Status;
-import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.FakeCounter;
+import quotagateway.testing.ScriptedServer;
+import quotagateway.testing.TestLatches;
 import quotagateway.testing.TestQueues;
 import quotagateway.testing.TextStreams;
 import quotagateway.transport.Dialer;
 import quotagateway.transport.MonotonicClock;
 import quotagateway.transport.SocketTransport;
 
-/** The counter's client against a scripted counter. */
+/** The client of the counter over sockets, against a stand-in for the counter. */
 @Timeout(30)
 class CounterClientTest {
 
-  private final GatewayFixture fixture = new GatewayFixture();
+  private final FakeCounter counter = new FakeCounter();
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
   private final BlockingQueue<CounterReplied> ends = new LinkedBlockingQueue<>();
@@ -35,7 +41,7 @@
   @AfterEach
   void close() throws Exception {
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
-    fixture.close();
+    counter.close();
   }
 
   /** Calls until one gets through, as the connections come up on their own. */
@@ -45,14 +51,18 @@
             group.next(),
             new MonotonicClock(),
             Dialer.sockets(group.next(), 250),
-            new InetSocketAddress("127.0.0.1", fixture.counter.port()),
+            counter.address(),
             limitMs,
             ends::add);
     group.next().submit(client::start).sync();
     do {
       add("up", 0);
     } while (TestQueues.next(ends).status() == Status.CONNECT_FAILED);
-    fixture.counter.calls.clear();
+    counter.calls.clear();
+  }
+
+  private void changeAddress(InetSocketAddress address) throws InterruptedException {
+    group.next().submit(() -> client.changeAddress(address)).sync();
   }
 
   private void add(String name, double amount) {
@@ -60,29 +70,29 @@
   }
 
   @Test
-  void writesPlainNumbersAndReadsTotals() throws Exception {
+  void reportsTotalsAndRejections() throws Exception {
     start(5_000);
     add("a", 2);
-    assertEquals("incr a 2 4000", TestQueues.next(fixture.counter.calls));
+    assertEquals("incr a 2 4000", TestQueues.next(counter.calls));
     assertEquals(new CounterReplied("a", Status.OK, 2, 0).total(), TestQueues.next(ends).total());
     add("a", -0.0000125);
-    assertEquals("incr a -0.000013 4000", TestQueues.next(fixture.counter.calls));
+    assertEquals("incr a -0.000013 4000", TestQueues.next(counter.calls));
     TestQueues.next(ends);
-    fixture.counter.replies = line -> "busy";
+    counter.replies = line -> "busy";
     add("a", 1);
     assertEquals(Status.REJECTED, TestQueues.next(ends).status());
   }
 
-  /** A call that its part holds up delays no call for another name. */
+  /** A part of the counter is slow. Calls for other names go over connections that owe nothing. */
   @Test
-  void oneSlowNameDoesNotHoldUpOthers() throws Exception {
+  void aSlowReplyDoesNotDelayACallForAnotherName() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
-    fixture.counter.replies =
+    counter.replies =
         line -> {
           if (line.contains("slow")) {
-            await(go);
+            TestLatches.await(go);
           }
-          return fixture.counter.count(line);
+          return counter.count(line);
         };
     start(5_000);
     add("slow", 1);
@@ -92,17 +102,17 @@
     assertEquals("slow", TestQueues.next(ends).counterName());
   }
 
-  /** The late answer to a call that was given up is not taken for that of the call behind it. */
+  /** Replies come in the order of the calls: one that timed out is still to be replied to first. */
   @Test
-  void aCallGivenUpKeepsItsPlace() throws Exception {
+  void theLateReplyToACallThatTimedOutIsNotTakenForThatOfAnother() throws Exception {
     start(1_500);
     CountDownLatch go = new CountDownLatch(1);
-    fixture.counter.replies =
+    counter.replies =
         line -> {
           if (line.contains(" 5 ")) {
-            await(go);
+            TestLatches.await(go);
           }
-          return fixture.counter.count(line);
+          return counter.count(line);
         };
     for (int i = 0; i < 12; i++) {
       add("n" + i, 5);
@@ -118,110 +128,97 @@
   }
 
   @Test
-  void junkEndsTheConnectionAndMayHaveBeenAdded() throws Exception {
+  void aMalformedReplyEndsItsCallAndTheConnection() throws Exception {
     start(5_000);
-    fixture.counter.replies = line -> "what?";
+    counter.replies = line -> "what?";
     add("a", 1);
     assertEquals(Status.MALFORMED_RESPONSE, TestQueues.next(ends).status());
-    fixture.counter.replies = fixture.counter::count;
+    counter.replies = counter::count;
     add("b", 1);
     assertEquals(Status.OK, TestQueues.next(ends).status());
   }
 
   /**
-   * A silent connection is replaced: calls get through again though no old one was ever answered.
+   * The counter's machine vanishes, and resets nothing. Its connections are replaced for their
+   * silence: calls succeed again though none of the old ones was ever replied to.
    */
   @Test
-  void silentConnectionsAreReplaced() throws Exception {
+  void replacesSilentConnections() throws Exception {
     start(50);
-    fixture.counter.replies = line -> null;
+    counter.replies = line -> null;
     for (int i = 0; i < 24; i++) {
       add("n" + i, 1);
       assertNotEquals(Status.OK, TestQueues.next(ends).status());
     }
-    fixture.counter.replies = fixture.counter::count;
+    counter.replies = counter::count;
     do {
       add("back", 0);
     } while (TestQueues.next(ends).status() != Status.OK);
   }
 
-  private static void await(CountDownLatch latch) {
-    try {
-      latch.await(10, TimeUnit.SECONDS);
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
-    }
-  }
-
-  /** A new configuration's counter is used once it is up; what the old one owes is still heard. */
+  /**
+   * The counter moves. The new one is used once it is up; replies that the old one owes still
+   * count.
+   */
   @Test
-  void whatTheOldAddressOwesIsHeardAfterAMove() throws Exception {
+  void reportsRepliesOfTheOldAddressAfterAChangeOfAddress() throws Exception {
     start(5_000);
     CountDownLatch moved = new CountDownLatch(1);
-    fixture.counter.replies =
+    counter.replies =
         line -> {
-          try {
-            moved.await(10, TimeUnit.SECONDS);
-          } catch (InterruptedException e) {
-            return null;
-          }
+          TestLatches.await(moved);
           return "ok 77";
         };
     add("a", 2);
-    TestQueues.next(fixture.counter.calls);
-    try (GatewayFixture other = new GatewayFixture()) {
-      group
-          .next()
-          .submit(
-              () -> client.changeAddress(new InetSocketAddress("127.0.0.1", other.counter.port())))
-          .sync();
+    TestQueues.next(counter.calls);
+    try (FakeCounter other = new FakeCounter()) {
+      changeAddress(other.address());
       moved.countDown();
       assertEquals(77, TestQueues.next(ends).total());
       do {
         add("b", 1);
         assertEquals(Status.OK, TestQueues.next(ends).status());
-      } while (other.counter.calls.isEmpty());
+      } while (other.calls.isEmpty());
     }
   }
 
-  /** Noise, with or without a line's end, spoils one answer; calls go on over other connections. */
+  /**
+   * Noise, with or without a line end, makes a reply malformed; calls go on over other connections.
+   */
   @Test
-  void noiseSpoilsOneAnswerAlone() throws Exception {
+  void noiseCostsOneReplyPerConnection() throws Exception {
     start(5_000);
-    int port =
-        fixture
-            .listen(
-                50,
-                (in, out, socket) -> {
-                  in.read();
-                  TextStreams.write(out, "no line's end");
-                })
-            .port();
-    group
-        .next()
-        .submit(() -> client.changeAddress(new InetSocketAddress("127.0.0.1", port)))
-        .sync();
+    try (ScriptedServer noisy = new ScriptedServer(50, CounterClientTest::replyWithoutLineEnd)) {
+      changeAddress(noisy.address());
+      assertEquals(Status.MALFORMED_RESPONSE, firstStatusThatIsNotOk());
+      counter.replies = line -> "total?";
+      changeAddress(counter.address());
+      counter.calls.clear();
+      Status status = Status.OK;
+      while (counter.calls.isEmpty()) {
+        add("b", 1);
+        status = TestQueues.next(ends).status();
+      }
+      assertEquals(Status.MALFORMED_RESPONSE, status);
+      counter.replies = counter::count;
+      do {
+        add("c", 1);
+      } while (TestQueues.next(ends).status() != Status.OK);
+    }
+  }
+
+  private static void replyWithoutLineEnd(InputStream in, OutputStream out, Socket socket)
+      throws IOException {
+    in.read();
+    TextStreams.write(out, "no line's end");
+  }
+
+  private Status firstStatusThatIsNotOk() throws InterruptedException {
     Status status;
     do {
       add("a", 1);
       status = TestQueues.next(ends).status();
     } while (status == Status.OK);
-    assertEquals(Status.MALFORMED_RESPONSE, status);
-    fixture.counter.replies = line -> "total?";
-    group
-        .next()
-        .submit(
-            () -> client.changeAddress(new InetSocketAddress("127.0.0.1", fixture.counter.port())))
-        .sync();
-    fixture.counter.calls.clear();
-    while (fixture.counter.calls.isEmpty()) {
-      add("b", 1);
-      status = TestQueues.next(ends).status();
-    }
-    assertEquals(Status.MALFORMED_RESPONSE, status);
-    fixture.counter.replies = fixture.counter::count;
-    do {
-      add("c", 1);
-    } while (TestQueues.next(ends).status() != Status.OK);
+    return status;
   }
 }
--- a/src/test/java/quotagateway/discovery/DiscoveryFailureTest.java
+++ b/src/test/java/quotagateway/discovery/DiscoveryFailureTest.java
@@ -29,30 +29,31 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import quotagateway.testing.EndpointListJson;
-import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.FakeDiscovery;
 import quotagateway.testing.HttpMessage;
+import quotagateway.testing.ScriptedServer;
 import quotagateway.testing.TextStreams;
 import quotagateway.transport.Dialer;
 import quotagateway.transport.MonotonicClock;
 import quotagateway.transport.SocketTransport;
 
 /**
- * A change counts as told 6 s after discovery had it and could be reached, whatever becomes of
- * calls. Here a watch falls silent, which shows after 2.5 s, and the calls that follow it fail, as
- * many of each kind as the sum of their longest times leaves room for.
+ * A change counts as notified 6 s after discovery had it and could be reached, even if watches fail
+ * meanwhile. Here a watch falls silent, which is noticed after 2.5 s, and the watches that follow
+ * it fail: as many of each kind of failure as its longest duration leaves room for.
  */
 @Timeout(40)
 class DiscoveryFailureTest {
 
-  private static final long TOLD_MS = 6_000;
+  private static final long NOTIFICATION_LIMIT_MS = 6_000;
   private static final long SILENT_MS = 2_500;
 
   /** Left over for a machine that is late. */
   private static final long MARGIN_MS = 900;
 
-  private static final String HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+  private static final String HEAD = FakeDiscovery.RESPONSE_HEAD;
 
-  /** How a call fails, and for how long at most the next one is put off by it. */
+  /** How a watch fails, and for how long at most that delays the next one. */
   enum Failure {
     NO_DESCRIPTOR(300),
     REFUSED(300),
@@ -63,17 +64,17 @@
     HEAD_ONLY(2_500),
     LIST_CUT(600),
     CHUNK_CUT(2_500),
-    ENDS_UNTOLD(300),
+    ENDS_WITHOUT_DATA(300),
     ERROR(300);
 
-    final int times;
+    final int watches;
 
     Failure(long longestMs) {
-      times = (int) ((TOLD_MS - SILENT_MS - MARGIN_MS) / longestMs);
+      watches = (int) ((NOTIFICATION_LIMIT_MS - SILENT_MS - MARGIN_MS) / longestMs);
     }
   }
 
-  private final GatewayFixture fixture = new GatewayFixture();
+  private final List<ScriptedServer> agents = new ArrayList<>();
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
   private final EventLoop loop = group.next();
@@ -88,11 +89,13 @@
       channel.close();
     }
     full.close();
-    fixture.close();
+    for (ScriptedServer agent : agents) {
+      agent.close();
+    }
   }
 
   @Test
-  void whatIsMissedIsHeardInTimeWhateverBecomesOfTheNextCalls() throws Exception {
+  void receivesInTimeWhatASilentWatchMissedHoweverTheNextOnesFail() throws Exception {
     full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     for (int i = 0; i < 8; i++) {
       filling.add(SocketChannel.open());
@@ -102,49 +105,49 @@
     try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       refusing = (InetSocketAddress) closed.getLocalSocketAddress();
     }
-    Map<Failure, CompletableFuture<Long>> told = new EnumMap<>(Failure.class);
+    Map<Failure, CompletableFuture<Long>> received = new EnumMap<>(Failure.class);
     for (Failure failure : Failure.values()) {
-      told.put(failure, watchThrough(failure));
+      received.put(failure, watchThrough(failure));
     }
     assertAll(
-        told.entrySet().stream()
+        received.entrySet().stream()
             .map(
                 t ->
                     () -> {
                       long ms = t.getValue().get(20, TimeUnit.SECONDS);
                       assertTrue(
-                          ms < TOLD_MS,
-                          t.getKey() + ": told " + ms + " ms after the watch fell silent");
+                          ms < NOTIFICATION_LIMIT_MS,
+                          t.getKey() + ": received " + ms + " ms after the watch fell silent");
                     }));
   }
 
-  /** How many milliseconds after the first watch fell silent the change is told. */
+  /** How many milliseconds after the first watch fell silent the change is received. */
   private CompletableFuture<Long> watchThrough(Failure failure) {
-    CompletableFuture<Long> told = new CompletableFuture<>();
-    AtomicInteger calls = new AtomicInteger();
+    CompletableFuture<Long> received = new CompletableFuture<>();
+    AtomicInteger watches = new AtomicInteger();
     AtomicLong silentSince = new AtomicLong();
     Dialer sockets = DiscoveryClient.dialer(loop);
-    InetSocketAddress agent =
-        fixture
-            .listen(
-                50,
-                (in, out, socket) -> {
-                  HttpMessage.read(in);
-                  int call = calls.get();
-                  if (call == 1) {
-                    TextStreams.write(out, HEAD + "1\r\n\n\r\n");
-                    silentSince.set(System.nanoTime());
-                  } else if (call > 1 + failure.times) {
-                    TextStreams.write(out, HEAD + chunk(EndpointListJson.list(8, true) + "\n"));
-                  } else {
-                    fail(failure, in, out, socket);
-                  }
-                })
-            .address();
+    ScriptedServer agent =
+        new ScriptedServer(
+            50,
+            (in, out, socket) -> {
+              HttpMessage.read(in);
+              int number = watches.get();
+              if (number == 1) {
+                TextStreams.write(out, HEAD + "1\r\n\n\r\n");
+                silentSince.set(System.nanoTime());
+              } else if (number > 1 + failure.watches) {
+                TextStreams.write(
+                    out, HEAD + FakeDiscovery.chunk(EndpointListJson.list(8, true) + "\n"));
+              } else {
+                fail(failure, in, out, socket);
+              }
+            });
+    agents.add(agent);
     Dialer dialer =
         (address, handler) -> {
-          int call = calls.incrementAndGet();
-          boolean fails = call > 1 && call <= 1 + failure.times;
+          int number = watches.incrementAndGet();
+          boolean fails = number > 1 && number <= 1 + failure.watches;
           if (fails && failure == Failure.NO_DESCRIPTOR) {
             return new Bootstrap()
                 .group(loop)
@@ -169,18 +172,14 @@
                     loop,
                     new MonotonicClock(),
                     dialer,
-                    agent,
+                    agent.address(),
                     7,
                     1_000,
-                    news ->
-                        told.complete(
+                    update ->
+                        received.complete(
                             TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - silentSince.get())))
                 .start());
-    return told;
-  }
-
-  private static String chunk(String text) {
-    return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
+    return received;
   }
 
   private static void fail(Failure failure, InputStream in, OutputStream out, Socket socket)
@@ -190,9 +189,10 @@
       case HEAD_TRICKLES -> trickle(HEAD, in, out, socket);
       case HEAD_ONLY -> TextStreams.write(out, HEAD);
       case LIST_CUT ->
-          TextStreams.write(out, HEAD + chunk(EndpointListJson.list(8, true).substring(0, 20)));
+          TextStreams.write(
+              out, HEAD + FakeDiscovery.chunk(EndpointListJson.list(8, true).substring(0, 20)));
       case CHUNK_CUT -> TextStreams.write(out, HEAD + "1f");
-      case ENDS_UNTOLD -> TextStreams.write(out, HEAD + "0\r\n\r\n");
+      case ENDS_WITHOUT_DATA -> TextStreams.write(out, HEAD + "0\r\n\r\n");
       case ERROR -> TextStreams.write(out, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
       default -> {}
     }
--- a/src/test/java/quotagateway/server/DiscoveryTest.java
+++ b/src/test/java/quotagateway/server/DiscoveryTest.java
@@ -24,11 +24,12 @@
 import quotagateway.testing.LogCapture;
 import quotagateway.testing.ScriptedServer;
 import quotagateway.testing.TestClient;
+import quotagateway.testing.TestLatches;
 import quotagateway.testing.TestQueues;
 import quotagateway.testing.TestRequests;
 import quotagateway.testing.TextStreams;
 
-/** The list of backends: how changes arrive, and what follows from them. */
+/** Changes of the endpoint list: how they arrive over the wire, and which backends get requests. */
 @Timeout(40)
 class DiscoveryTest {
 
@@ -50,7 +51,7 @@
         });
   }
 
-  private void askUntil(String name) throws IOException {
+  private void requestUntilServedBy(String name) throws IOException {
     TestClient client = fixture.client();
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
     int n = 0;
@@ -60,14 +61,14 @@
   }
 
   @Test
-  void takesChangesThatAreSplitAcrossChunks() throws Exception {
+  void acceptsAMessageThatIsSplitAcrossChunks() throws Exception {
     int first = namedBackend("1").port();
     int second = namedBackend("2").port();
     fixture.start(fixture.config(EndpointListJson.entry("s-1", first, "active")));
     assertEquals(
         "GET /discovery/hosts?stream=1&index=7 HTTP/1.1",
         TestQueues.next(fixture.discovery.watches));
-    askUntil("1");
+    requestUntilServedBy("1");
     String line =
         EndpointListJson.list(
                 8,
@@ -78,7 +79,7 @@
     fixture.discovery.send("\n" + line.substring(0, 30));
     fixture.discovery.send(line.substring(30, 90));
     fixture.discovery.send(line.substring(90) + "\n");
-    askUntil("2");
+    requestUntilServedBy("2");
     TestClient client = fixture.client();
     for (int i = 0; i < 20; i++) {
       assertEquals("2", client.ask(TestRequests.get("r" + i, 3000)).text());
@@ -86,10 +87,11 @@
   }
 
   /**
-   * An attempt whose connection is still coming up when its backend drains is not written any more.
+   * A backend's connection is still coming up when its endpoint begins to drain: the attempt must
+   * not be written to it any more.
    */
   @Test
-  void whatWaitsForAConnectionIsNotWrittenToADrainedBackend() throws Exception {
+  void anAttemptThatWaitsForItsConnectionIsNotWrittenToADrainingBackend() throws Exception {
     List<SocketChannel> filling = new ArrayList<>();
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       for (int i = 0; i < 8; i++) {
@@ -128,7 +130,7 @@
   }
 
   @Test
-  void junkEndsTheWatchAndTheNextGoesOnFromTheLastVersion() throws Exception {
+  void anInvalidListEndsTheWatchAndTheNextGoesOnFromTheLastVersion() throws Exception {
     fixture.start();
     TestQueues.next(fixture.discovery.watches);
     fixture.discovery.send(EndpointListJson.list(9, false) + "\n");
@@ -137,9 +139,9 @@
     assertEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
   }
 
-  /** A list that nobody can take is asked for again and again, and told to those on call once. */
+  /** An invalid list is requested again and again; those on call get a single warning of it. */
   @Test
-  void aListThatCannotBeTakenIsLoggedOnce() throws Exception {
+  void logsOneWarningForInvalidListsInARow() throws Exception {
     try (LogCapture warnings = new LogCapture(DiscoveryClient.class)) {
       fixture.start();
       for (int i = 0; i < 4; i++) {
@@ -156,11 +158,11 @@
   }
 
   /**
-   * Junk in one entry, or a list that is none, neither hides the other entries nor empties the
+   * Junk in one entry must not hide the others, and a message without a list must not empty the
    * list.
    */
   @Test
-  void whatCannotBeUsedInAListIsPassedOver() throws Exception {
+  void skipsEntriesThatCannotBeUsed() throws Exception {
     int second = namedBackend("2").port();
     fixture.start();
     TestQueues.next(fixture.discovery.watches);
@@ -173,25 +175,27 @@
                 EndpointListJson.entry("s-1", fixture.backend.port(), "leaving"),
                 EndpointListJson.entry("s-2", second, "active"))
             + "\n");
-    askUntil("2");
+    requestUntilServedBy("2");
     fixture.discovery.send("{\"version\":-4,\"full\":true}\n");
     assertTrue(TestQueues.next(fixture.discovery.watches).contains("index=9 "));
-    askUntil("2");
+    requestUntilServedBy("2");
   }
 
-  /** A machine that vanished resets nothing: the watch is replaced for its silence alone. */
+  /**
+   * Discovery's machine vanishes, and resets nothing: the watch is replaced for its silence alone.
+   */
   @Test
-  void aSilentWatchIsReplaced() throws Exception {
+  void replacesASilentWatch() throws Exception {
     fixture.start();
     TestQueues.next(fixture.discovery.watches);
     assertTrue(TestQueues.next(fixture.discovery.watches).contains("index=7 "));
   }
 
   /**
-   * What a silent watch misses counts as told after 6 s, also where the next watches do not begin.
+   * What a silent watch misses counts as notified after 6 s, even if the next watches do not begin.
    */
   @Test
-  void whatASilentWatchMissesIsHeardInTimeThoughTheNextOnesDoNotBegin() throws Exception {
+  void receivesInTimeWhatASilentWatchMissedThoughTheNextOnesDoNotBegin() throws Exception {
     int second = namedBackend("2").port();
     AtomicInteger watches = new AtomicInteger();
     AtomicLong silentSince = new AtomicLong();
@@ -203,19 +207,13 @@
                   HttpMessage.read(in);
                   int number = watches.incrementAndGet();
                   if (number == 1) {
-                    TextStreams.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                    TextStreams.write(out, FakeDiscovery.RESPONSE_HEAD);
                     silentSince.set(System.nanoTime());
                   } else if (number > 3) {
                     String list =
                         EndpointListJson.list(
                             8, true, EndpointListJson.entry("s-2", second, "active"));
-                    TextStreams.write(
-                        out,
-                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                            + Integer.toHexString(list.length())
-                            + "\r\n"
-                            + list
-                            + "\r\n");
+                    TextStreams.write(out, FakeDiscovery.RESPONSE_HEAD + FakeDiscovery.chunk(list));
                   }
                 })
             .port();
@@ -224,13 +222,13 @@
         config.replace(
             "\"discovery\":\"127.0.0.1:" + fixture.discovery.port(),
             "\"discovery\":\"127.0.0.1:" + agent));
-    askUntil("2");
+    requestUntilServedBy("2");
     assertTrue(System.nanoTime() - silentSince.get() < TimeUnit.SECONDS.toNanos(6));
   }
 
-  /** However many watches fail while an agent is away, the next is never long in coming. */
+  /** However many watches fail while discovery's agent is away, the next follows soon. */
   @Test
-  void aReturningAgentIsAskedWithinTheSecondThatADrainLeaves() throws Exception {
+  void watchesAReturningAgentWithinTheSecondThatADrainingEndpointHas() throws Exception {
     int second = namedBackend("2").port();
     AtomicInteger watches = new AtomicInteger();
     int agent =
@@ -246,13 +244,7 @@
                   String list =
                       EndpointListJson.list(
                           8, true, EndpointListJson.entry("s-2", second, "active"));
-                  TextStreams.write(
-                      out,
-                      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                          + Integer.toHexString(list.length())
-                          + "\r\n"
-                          + list
-                          + "\r\n");
+                  TextStreams.write(out, FakeDiscovery.RESPONSE_HEAD + FakeDiscovery.chunk(list));
                 })
             .port();
     String config = fixture.config(EndpointListJson.entry("s-1", fixture.backend.port(), "active"));
@@ -261,7 +253,7 @@
             "\"discovery\":\"127.0.0.1:" + fixture.discovery.port(),
             "\"discovery\":\"127.0.0.1:" + agent));
     long from = System.nanoTime();
-    askUntil("2");
+    requestUntilServedBy("2");
     assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(14 * 500));
   }
 
@@ -280,7 +272,7 @@
       FakeDiscovery.Watch watch = fixture.discovery.newestWatch();
       String lists = indentedListsOneBehindAnother(first, second);
       watch.send(lists.substring(0, 50), lists.substring(50));
-      askUntil("2");
+      requestUntilServedBy("2");
       assertTrue(watch.isOpen(), "none of it was junk");
       assertEquals(List.of(), warnings.messages(), "none of it was junk");
     }
@@ -298,7 +290,7 @@
     fixture.discovery.beforeResponse =
         () -> {
           twoWatches.countDown();
-          await(twoWatches);
+          TestLatches.await(twoWatches);
         };
     try (LogCapture warnings = new LogCapture(DiscoveryClient.class)) {
       fixture.start();
@@ -307,7 +299,7 @@
       FakeDiscovery.Watch watch = fixture.discovery.newestWatch();
       String lists = indentedListsOneBehindAnother(first, second);
       watch.send(lists.substring(0, 50), lists.substring(50));
-      askUntil("2");
+      requestUntilServedBy("2");
       assertTrue(watch.isOpen(), "none of it was junk");
       assertEquals(List.of(), warnings.messages(), "none of it was junk");
     }
@@ -320,12 +312,4 @@
         + "\n\n"
         + EndpointListJson.list(9, false, EndpointListJson.entry("s-2", second, "active"));
   }
-
-  private static void await(CountDownLatch latch) {
-    try {
-      latch.await(10, TimeUnit.SECONDS);
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
-    }
-  }
 }
--- a/src/test/java/quotagateway/server/StaleEventTest.java
+++ b/src/test/java/quotagateway/server/StaleEventTest.java
@@ -29,13 +29,15 @@
 import quotagateway.testing.HttpMessage;
 import quotagateway.testing.ScriptedServer;
 import quotagateway.testing.TestClient;
+import quotagateway.testing.TestLatches;
 import quotagateway.testing.TestQueues;
 import quotagateway.testing.TestRequests;
 import quotagateway.testing.TextStreams;
 
 /**
- * An event of a closed connection, told to the one that took its descriptor's number in the same
- * turn.
+ * The kernel reports a hang-up by descriptor number. Where one event of a batch has connections
+ * closed and the next has one opened, which gets a number of theirs, the hang-ups that are still in
+ * the batch must not reach the new connection.
  */
 @Timeout(60)
 class StaleEventTest {
@@ -60,7 +62,7 @@
   private final CountDownLatch go = new CountDownLatch(1);
   private final List<EpollSocketChannel> closed = new ArrayList<>();
   private final List<EpollSocketChannel> spare = new ArrayList<>();
-  private GatewayServer door;
+  private GatewayServer gateway;
 
   @BeforeEach
   void start() throws Exception {
@@ -71,12 +73,12 @@
                 50,
                 (in, out, socket) -> {
                   in.read();
-                  await(bodyIsRead);
+                  TestLatches.await(bodyIsRead);
                   HttpMessage.read(in);
                   TextStreams.write(out, FakeBackend.OK_RESPONSE);
                 })
             .port();
-    door = fixture.start(fixture.config(EndpointListJson.entry("s-1", backend, "active")));
+    gateway = fixture.start(fixture.config(EndpointListJson.entry("s-1", backend, "active")));
   }
 
   @AfterEach
@@ -92,7 +94,7 @@
    * closes others, a client that gets the number of one of these, and the hang-ups of these.
    */
   @Test
-  void theHangUpOfOneConnectionIsNotToldToAnother() throws Exception {
+  void aHangUpOfAClosedConnectionDoesNotReachAnOpenOne() throws Exception {
     EpollSocketChannel closing =
         dial(
             new ChannelInboundHandlerAdapter() {
@@ -115,7 +117,7 @@
     client.send(
         TestRequests.post("r1", "").replace("Length: 0", "Length: " + 2 * HALF) + "x".repeat(HALF));
     for (int turn = 0; turn < TURNS; turn++) {
-      door.loop.submit(() -> {}).sync();
+      gateway.loop.submit(() -> {}).sync();
     }
     bodyIsRead.countDown();
     client.send("x".repeat(HALF));
@@ -125,7 +127,7 @@
 
   /** Otherwise the attempt on it would end as though nothing lived there. */
   @Test
-  void theHangUpOfOneConnectionDoesNotEndOneThatIsBeingOpened() throws Exception {
+  void aHangUpOfAClosedConnectionDoesNotEndOneThatIsBeingOpened() throws Exception {
     CompletableFuture<ChannelFuture> dialed = new CompletableFuture<>();
     EpollSocketChannel closing =
         dial(
@@ -147,7 +149,7 @@
     go.countDown();
     ChannelFuture connected = dialed.get(10, TimeUnit.SECONDS);
     connected.sync();
-    door.loop.submit(() -> {}).sync();
+    gateway.loop.submit(() -> {}).sync();
     assertTrue(connected.channel().isActive());
     connected.channel().close();
     closing.close();
@@ -172,10 +174,10 @@
 
   private void standStill() throws InterruptedException {
     CountDownLatch standing = new CountDownLatch(1);
-    door.loop.execute(
+    gateway.loop.execute(
         () -> {
           standing.countDown();
-          await(go);
+          TestLatches.await(go);
         });
     standing.await();
   }
@@ -187,17 +189,9 @@
 
   private ChannelFuture begin(ChannelInboundHandlerAdapter handler) {
     return new Bootstrap()
-        .group(door.loop)
+        .group(gateway.loop)
         .channel(EpollSocketChannel.class)
         .handler(handler)
         .connect(other.address());
   }
-
-  private static void await(CountDownLatch latch) {
-    try {
-      latch.await(20, TimeUnit.SECONDS);
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
-    }
-  }
 }
