--- a/src/test/java/quotagateway/server/GatewayServerTest.java
+++ b/src/test/java/quotagateway/server/GatewayServerTest.java
@@ -18,41 +18,45 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import java.util.logging.Handler;
-import java.util.logging.LogRecord;
-import java.util.logging.Logger;
+import java.util.logging.Level;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import quotagateway.testing.Peers;
-import quotagateway.testing.Peers.Client;
-import quotagateway.testing.Peers.Message;
+import quotagateway.testing.EndpointListJson;
+import quotagateway.testing.FakeBackend;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.HttpMessage;
+import quotagateway.testing.LogCapture;
+import quotagateway.testing.TestClient;
+import quotagateway.testing.TestQueues;
+import quotagateway.testing.TestRequests;
+import quotagateway.testing.TextStreams;
 
-/** The real front door between small peers on loopback. */
+/** The gateway between small peers on loopback: what clients get, and what backends are sent. */
 @Timeout(30)
 class GatewayServerTest {
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
 
   @AfterEach
   void close() throws Exception {
-    peers.close();
+    fixture.close();
   }
 
   @Test
-  void passesRequestAndAnswerOnUnchanged() throws Exception {
-    peers.start();
+  void requestAndResponseAreForwardedUnchanged() throws Exception {
+    fixture.start();
     String body = "x".repeat(60_000) + "\u00e9\0\r\n";
-    peers.answer =
+    fixture.backend.responder =
         (request, out) ->
-            Peers.write(
+            TextStreams.write(
                 out,
                 "HTTP/1.1 200 OK\r\nContent-Length: "
                     + request.body().length
                     + "\r\n\r\n"
                     + request.text());
-    Message answer = peers.client().ask(Peers.post("r1", body));
-    Message sent = Peers.next(peers.atBackend);
+    HttpMessage answer = fixture.client().ask(TestRequests.post("r1", body));
+    HttpMessage sent = TestQueues.next(fixture.backend.received);
     assertEquals("POST /buy/9 HTTP/1.1", sent.firstLine());
     assertEquals("r1", sent.header("Request-Id"));
     assertEquals("key-r1", sent.header("Idempotency-Key"));
@@ -63,25 +67,26 @@
   }
 
   @Test
-  void keepsClientAndBackendConnections() throws Exception {
+  void connectionsOfClientsAndToBackendsAreReused() throws Exception {
     AtomicInteger connections = new AtomicInteger();
     int port =
-        peers
+        fixture
             .listen(
                 50,
                 (in, out, socket) -> {
                   connections.incrementAndGet();
                   while (true) {
-                    peers.atBackend.add(Peers.read(in));
-                    Peers.write(out, Peers.OK);
+                    fixture.backend.received.add(HttpMessage.read(in));
+                    TextStreams.write(out, FakeBackend.OK_RESPONSE);
                   }
                 })
-            .getLocalPort();
-    peers.start(peers.config(Peers.entry("s-1", port, "active")));
-    Client client = peers.client();
+            .port();
+    fixture.start(fixture.config(EndpointListJson.entry("s-1", port, "active")));
+    TestClient client = fixture.client();
     for (int i = 0; i < 5; i++) {
-      assertEquals("fine", client.ask(Peers.get("r" + i, 3000)).text());
-      assertEquals("GET /quote/17?a=%20b&c HTTP/1.1", Peers.next(peers.atBackend).firstLine());
+      assertEquals("fine", client.ask(TestRequests.get("r" + i, 3000)).text());
+      assertEquals(
+          "GET /quote/17?a=%20b&c HTTP/1.1", TestQueues.next(fixture.backend.received).firstLine());
       // A connection is used again only once it is seen that nothing follows the answer.
       TimeUnit.MILLISECONDS.sleep(30);
     }
@@ -89,73 +94,92 @@
   }
 
   @Test
-  void answersRequestsWrittenBehindEachOtherInTheirOrder() throws Exception {
-    peers.start();
-    peers.answer =
+  void pipelinedRequestsGetTheirResponsesInOrder() throws Exception {
+    fixture.start();
+    fixture.backend.responder =
         (request, out) ->
-            Peers.write(
+            TextStreams.write(
                 out, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n" + request.header("Request-Id"));
-    Client client = peers.client();
-    client.send(Peers.get("r1", 3000) + Peers.get("r2", 3000) + Peers.get("r3", 3000));
+    TestClient client = fixture.client();
+    client.send(
+        TestRequests.get("r1", 3000) + TestRequests.get("r2", 3000) + TestRequests.get("r3", 3000));
     for (String id : new String[] {"r1", "r2", "r3"}) {
       assertEquals(id, client.receive().text());
     }
   }
 
+  /** A backend that rejects has executed nothing: the gateway may retry what is not idempotent. */
   @Test
-  void aRejectionHasNotRunAndIsTriedAgain() throws Exception {
-    peers.start();
+  void rejectedAttemptIsRetried() throws Exception {
+    fixture.start();
     AtomicInteger asked = new AtomicInteger();
-    peers.answer =
+    fixture.backend.responder =
         (request, out) ->
-            Peers.write(out, asked.incrementAndGet() == 1 ? Peers.NOT_STARTED : Peers.OK);
-    assertEquals(200, peers.client().ask(Peers.post("r1", "b")).status());
+            TextStreams.write(
+                out,
+                asked.incrementAndGet() == 1
+                    ? FakeBackend.NOT_STARTED_RESPONSE
+                    : FakeBackend.OK_RESPONSE);
+    assertEquals(200, fixture.client().ask(TestRequests.post("r1", "b")).status());
     assertEquals(2, asked.get());
   }
 
-  /** A repeat of what may have run carries the same id and key; nothing but the module sends it. */
+  /**
+   * A connection that breaks behind the request leaves open whether it was executed. The retry must
+   * carry the same idempotency key, or the backend would execute it twice.
+   */
   @Test
-  void aBrokenConnectionAfterTheRequestIsAResetAndTheModuleRepeatsIt() throws Exception {
-    peers.start();
+  void attemptWhoseConnectionBreaksIsRetriedWithTheSameIdempotencyKey() throws Exception {
+    fixture.start();
     AtomicInteger asked = new AtomicInteger();
-    peers.answer = (request, out) -> asked.incrementAndGet() > 1 && Peers.write(out, Peers.OK);
-    assertEquals(200, peers.client().ask(Peers.post("r1", "b")).status());
-    assertEquals("key-r1", Peers.next(peers.atBackend).header("Idempotency-Key"));
-    assertEquals("key-r1", Peers.next(peers.atBackend).header("Idempotency-Key"));
+    fixture.backend.responder =
+        (request, out) ->
+            asked.incrementAndGet() > 1 && TextStreams.write(out, FakeBackend.OK_RESPONSE);
+    assertEquals(200, fixture.client().ask(TestRequests.post("r1", "b")).status());
+    assertEquals("key-r1", TestQueues.next(fixture.backend.received).header("Idempotency-Key"));
+    assertEquals("key-r1", TestQueues.next(fixture.backend.received).header("Idempotency-Key"));
   }
 
+  /** A backend that dies in the middle of a response must not look like a success. */
   @Test
-  void aCutAnswerIsNotServed() throws Exception {
-    peers.start();
-    peers.answer =
+  void truncatedResponseIsNotPassedOnAsSuccess() throws Exception {
+    fixture.start();
+    fixture.backend.responder =
         (request, out) -> {
-          Peers.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part");
+          TextStreams.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part");
           return false;
         };
-    assertNotEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
+    assertNotEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
   }
 
+  /** A backend that speaks no HTTP costs its connection, not the requests. */
   @Test
-  void junkFromABackendEndsItsConnectionAndServingGoesOn() throws Exception {
-    peers.start();
+  void malformedResponseIsRetriedAndLaterRequestsAreServed() throws Exception {
+    fixture.start();
     AtomicInteger asked = new AtomicInteger();
-    peers.answer =
+    fixture.backend.responder =
         (request, out) ->
-            Peers.write(out, asked.incrementAndGet() == 1 ? "no http at all\r\n\r\n" : Peers.OK);
-    assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
-    assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
+            TextStreams.write(
+                out,
+                asked.incrementAndGet() == 1 ? "no http at all\r\n\r\n" : FakeBackend.OK_RESPONSE);
+    assertEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
+    assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
   }
 
+  /** No backend listens: nothing was executed, and the client may repeat its request harmlessly. */
   @Test
-  void aRefusedConnectionMeansARefusalThatIsHarmlessToRepeat() throws Exception {
-    peers.backend.close();
-    peers.start();
-    assertEquals(503, peers.client().ask(Peers.post("r1", "b")).status());
+  void requestIsRejectedWhereNoConnectionComesUp() throws Exception {
+    fixture.backend.stopListening();
+    fixture.start();
+    assertEquals(503, fixture.client().ask(TestRequests.post("r1", "b")).status());
   }
 
-  /** Vanished hosts are silent: a connect has its own limit, far below the client's time. */
+  /**
+   * A host that has vanished answers no connect. The connect has a timeout of its own, far below
+   * the client's deadline.
+   */
   @Test
-  void aConnectThatNeverComesUpEndsByItsOwnLimit() throws Exception {
+  void connectWithoutReplyEndsByTheConnectTimeout() throws Exception {
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       List<SocketChannel> fill = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
@@ -164,9 +188,9 @@
         c.connect(full.getLocalSocketAddress());
         fill.add(c);
       }
-      peers.start(peers.config(Peers.entry("s-1", full.getLocalPort(), "active")));
+      fixture.start(fixture.config(EndpointListJson.entry("s-1", full.getLocalPort(), "active")));
       long from = System.nanoTime();
-      assertEquals(503, peers.client().ask(Peers.post("r1", "b")).status());
+      assertEquals(503, fixture.client().ask(TestRequests.post("r1", "b")).status());
       assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(2_900));
       for (SocketChannel c : fill) {
         c.close();
@@ -174,32 +198,36 @@
     }
   }
 
+  /**
+   * A backend takes a request and never responds. Its connection is closed, as a late response on
+   * it would be taken for the next one's, and the client gets an error before its deadline.
+   */
   @Test
-  void aSilentBackendCostsTheAttemptItsConnectionAndTheClientHearsInTime() throws Exception {
+  void attemptWithoutResponseEndsInTimeAndItsConnectionIsClosed() throws Exception {
     CountDownLatch closed = new CountDownLatch(1);
     int port =
-        peers
+        fixture
             .listen(
                 50,
                 (in, out, socket) -> {
-                  Peers.read(in);
+                  HttpMessage.read(in);
                   if (in.read() < 0) {
                     closed.countDown();
                   }
                 })
-            .getLocalPort();
-    peers.start(peers.config(Peers.entry("s-1", port, "active")));
+            .port();
+    fixture.start(fixture.config(EndpointListJson.entry("s-1", port, "active")));
     long from = System.nanoTime();
-    assertNotEquals(200, peers.client().ask(Peers.get("r1", 900)).status());
+    assertNotEquals(200, fixture.client().ask(TestRequests.get("r1", 900)).status());
     assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(950));
     assertTrue(closed.await(10, TimeUnit.SECONDS));
   }
 
   @Test
-  void refusesBrokenRequestsWithoutAskingABackend() throws Exception {
-    peers.start();
-    Client client = peers.client();
-    String good = Peers.get("r1", 3000);
+  void invalidRequestsAreRejectedWithoutAnAttempt() throws Exception {
+    fixture.start();
+    TestClient client = fixture.client();
+    String good = TestRequests.get("r1", 3000);
     for (String bad :
         new String[] {
           good.replace("quote", "other"),
@@ -210,94 +238,103 @@
           good.replace("00000000b4d65521", "-1"),
           good.replace("3000", "0"),
           good.replace("GET", "POST"),
-          Peers.post("r1", "").replace("Idempotency-Key: key-r1\r\n", ""),
+          TestRequests.post("r1", "").replace("Idempotency-Key: key-r1\r\n", ""),
           good.replace("/quote/17", "/\u00fcquote")
         }) {
       assertEquals(400, client.ask(bad).status(), bad);
     }
     assertEquals(200, client.ask(good).status());
-    Peers.next(peers.atBackend);
-    assertNull(peers.atBackend.poll());
+    TestQueues.next(fixture.backend.received);
+    assertNull(fixture.backend.received.poll());
   }
 
   @Test
-  void endsTheConnectionOverMalformedAndOversizedMessages() throws Exception {
-    peers.start();
-    Client malformed = peers.client();
+  void malformedAndOversizedRequestsEndTheirConnections() throws Exception {
+    fixture.start();
+    TestClient malformed = fixture.client();
     assertEquals(400, malformed.ask("GET /quote HTTP/1.1\r\nbroken header\r\n\r\n").status());
     assertTrue(malformed.ended());
-    Client large = peers.client();
+    TestClient large = fixture.client();
     assertEquals(
         413,
         large
-            .ask(Peers.post("r1", "").replace("Content-Length: 0", "Content-Length: 40000000"))
+            .ask(
+                TestRequests.post("r1", "")
+                    .replace("Content-Length: 0", "Content-Length: 40000000"))
             .status());
     large.socket.shutdownOutput();
     assertTrue(large.ended());
-    assertEquals(200, peers.client().ask(Peers.get("r1", 3000)).status());
+    assertEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
   }
 
   @Test
-  void tellsWhetherItCanServe() throws Exception {
-    peers.start();
+  void readinessIsReportedToGetOnly() throws Exception {
+    fixture.start();
     String up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
-    assertEquals(200, peers.client().ask(up).status());
-    assertEquals(405, peers.client().ask(up.replace("GET", "PUT")).status());
+    assertEquals(200, fixture.client().ask(up).status());
+    assertEquals(405, fixture.client().ask(up.replace("GET", "PUT")).status());
   }
 
+  /** A gateway that starts while discovery is away knows no backend, and could only reject. */
   @Test
-  void withoutBackendsItIsNotUpUntilDiscoveryNamesOne() throws Exception {
-    peers.start(peers.config());
+  void withoutBackendsItIsNotReadyUntilDiscoveryReportsOne() throws Exception {
+    fixture.start(fixture.config());
     String up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
-    Client client = peers.client();
+    TestClient client = fixture.client();
     assertEquals(503, client.ask(up).status());
-    Peers.next(peers.watches);
-    peers.tell(
-        Peers.list(8, true, Peers.entry("s-1", peers.backend.getLocalPort(), "active")) + "\n");
+    TestQueues.next(fixture.discovery.watches);
+    fixture.discovery.send(
+        EndpointListJson.list(
+                8, true, EndpointListJson.entry("s-1", fixture.backend.port(), "active"))
+            + "\n");
     while (client.ask(up).status() != 200) {
       Thread.onSpinWait();
     }
   }
 
   /**
-   * A client that has gone gets nothing; its attempt still ends at the module, and serving goes on.
+   * A client disconnects while its attempt is in flight. It gets nothing; the policy still gets the
+   * attempt's outcome, and later requests are served.
    */
   @Test
-  void aClientThatLeavesIsForgotten() throws Exception {
-    peers.start();
+  void disconnectOfAClientInTheMiddleHarmsNobodyElse() throws Exception {
+    fixture.start();
     CountDownLatch left = new CountDownLatch(1);
-    peers.answer =
+    fixture.backend.responder =
         (request, out) -> {
           await(left);
-          return Peers.write(out, Peers.OK);
+          return TextStreams.write(out, FakeBackend.OK_RESPONSE);
         };
-    Client client = peers.client();
-    client.send(Peers.get("r1", 3000));
-    Peers.next(peers.atBackend);
+    TestClient client = fixture.client();
+    client.send(TestRequests.get("r1", 3000));
+    TestQueues.next(fixture.backend.received);
     client.close();
     left.countDown();
-    assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
+    assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
   }
 
-  /** A planned end: what was taken is answered, and the answer ends the connection. */
+  /**
+   * A restart is planned while a request is open. It gets its response, which announces the end of
+   * its connection; idle connections are closed, and the shutdown returns.
+   */
   @Test
-  void drainsWithoutLosingARequest() throws Exception {
-    GatewayServer door = peers.start();
-    CountDownLatch told = new CountDownLatch(1);
-    peers.answer =
+  void gracefulShutdownLosesNoRequest() throws Exception {
+    GatewayServer gateway = fixture.start();
+    CountDownLatch shuttingDown = new CountDownLatch(1);
+    fixture.backend.responder =
         (request, out) -> {
-          await(told);
-          return Peers.write(out, Peers.OK);
+          await(shuttingDown);
+          return TextStreams.write(out, FakeBackend.OK_RESPONSE);
         };
-    Client idle = peers.client();
-    Client busy = peers.client();
-    busy.send(Peers.get("r1", 3000));
-    Peers.next(peers.atBackend);
-    Thread end = new Thread(door::shutDownGracefully);
+    TestClient idle = fixture.client();
+    TestClient busy = fixture.client();
+    busy.send(TestRequests.get("r1", 3000));
+    TestQueues.next(fixture.backend.received);
+    Thread end = new Thread(gateway::shutDownGracefully);
     end.start();
     assertTrue(idle.ended());
-    told.countDown();
-    Message answer = busy.receive();
+    shuttingDown.countDown();
+    HttpMessage answer = busy.receive();
     assertEquals(200, answer.status());
     assertEquals("close", answer.header("Connection"));
     assertTrue(busy.ended());
@@ -314,38 +351,22 @@
   }
 
   /**
-   * Setting logging up takes long on a share of a core, and holds up every request that is there by
-   * then.
+   * Setting logging up takes long on a share of a core. A first log line behind the start of
+   * listening would hold up every request that is there by then.
    */
   @Test
-  void itsFirstLogLineIsWrittenBeforeItTakesClients() throws Exception {
+  void firstLogLineIsWrittenBeforeClientsAreAccepted() throws Exception {
     int port;
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       port = free.getLocalPort();
     }
     List<Boolean> listeningAtLine = new CopyOnWriteArrayList<>();
-    Logger log = Logger.getLogger(GatewayServer.class.getName());
-    Handler handler =
-        new Handler() {
-          @Override
-          public void publish(LogRecord line) {
-            listeningAtLine.add(connects(port));
-          }
-
-          @Override
-          public void flush() {}
-
-          @Override
-          public void close() {}
-        };
-    log.addHandler(handler);
-    try {
-      peers.start(
-          peers
-              .config(Peers.entry("s-1", peers.backend.getLocalPort(), "active"))
+    try (LogCapture log = new LogCapture(GatewayServer.class, Level.ALL)) {
+      log.onMessage(line -> listeningAtLine.add(connects(port)));
+      fixture.start(
+          fixture
+              .config(EndpointListJson.entry("s-1", fixture.backend.port(), "active"))
               .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + port + "\""));
-    } finally {
-      log.removeHandler(handler);
     }
     assertEquals(List.of(false), listeningAtLine);
     assertTrue(connects(port));
--- a/src/test/java/quotagateway/server/StaleEventTest.java
+++ b/src/test/java/quotagateway/server/StaleEventTest.java
@@ -11,8 +11,6 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.epoll.Epoll;
 import io.netty.channel.epoll.EpollSocketChannel;
-import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
@@ -25,12 +23,21 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import quotagateway.testing.Peers;
-import quotagateway.testing.Peers.Client;
+import quotagateway.testing.EndpointListJson;
+import quotagateway.testing.FakeBackend;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.HttpMessage;
+import quotagateway.testing.ScriptedServer;
+import quotagateway.testing.TestClient;
+import quotagateway.testing.TestLatches;
+import quotagateway.testing.TestQueues;
+import quotagateway.testing.TestRequests;
+import quotagateway.testing.TextStreams;
 
 /**
- * An event of a closed connection, told to the one that took its descriptor's number in the same
- * turn.
+ * The kernel reports a hang-up by descriptor number. Where one event of a batch has connections
+ * closed and the next has one opened, which gets a number of theirs, the hang-ups that are still in
+ * the batch must not reach the new connection.
  */
 @Timeout(60)
 class StaleEventTest {
@@ -47,30 +54,31 @@
   /** The loop needs fewer to read what there is of it. */
   private static final int TURNS = 100;
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
   private final BlockingQueue<Socket> accepted = new LinkedBlockingQueue<>();
-  private final ServerSocket other = peers.listen(50, (in, out, socket) -> accepted.add(socket));
+  private final ScriptedServer other =
+      fixture.listen(50, (in, out, socket) -> accepted.add(socket));
   private final CountDownLatch bodyIsRead = new CountDownLatch(1);
   private final CountDownLatch go = new CountDownLatch(1);
   private final List<EpollSocketChannel> closed = new ArrayList<>();
   private final List<EpollSocketChannel> spare = new ArrayList<>();
-  private GatewayServer door;
+  private GatewayServer gateway;
 
   @BeforeEach
   void start() throws Exception {
     assumeTrue(Epoll.isAvailable(), "only there connections go by their descriptors' numbers");
     int backend =
-        peers
+        fixture
             .listen(
                 50,
                 (in, out, socket) -> {
                   in.read();
-                  await(bodyIsRead);
-                  Peers.read(in);
-                  Peers.write(out, Peers.OK);
+                  TestLatches.await(bodyIsRead);
+                  HttpMessage.read(in);
+                  TextStreams.write(out, FakeBackend.OK_RESPONSE);
                 })
-            .getLocalPort();
-    door = peers.start(peers.config(Peers.entry("s-1", backend, "active")));
+            .port();
+    gateway = fixture.start(fixture.config(EndpointListJson.entry("s-1", backend, "active")));
   }
 
   @AfterEach
@@ -78,7 +86,7 @@
     for (EpollSocketChannel unused : spare) {
       unused.fd().close();
     }
-    peers.close();
+    fixture.close();
   }
 
   /**
@@ -86,7 +94,7 @@
    * closes others, a client that gets the number of one of these, and the hang-ups of these.
    */
   @Test
-  void theHangUpOfOneConnectionIsNotToldToAnother() throws Exception {
+  void aHangUpOfAClosedConnectionDoesNotReachAnOpenOne() throws Exception {
     EpollSocketChannel closing =
         dial(
             new ChannelInboundHandlerAdapter() {
@@ -96,20 +104,20 @@
                 closed.forEach(Channel::close);
               }
             });
-    Socket closingPeer = Peers.next(accepted);
+    Socket closingPeer = TestQueues.next(accepted);
     List<Socket> hangUps = openThoseToClose();
     standStill();
-    Peers.write(closingPeer.getOutputStream(), "x");
-    Client client = peers.client();
+    TextStreams.write(closingPeer.getOutputStream(), "x");
+    TestClient client = fixture.client();
     for (Socket hangUp : hangUps) {
       hangUp.close();
     }
     go.countDown();
 
     client.send(
-        Peers.post("r1", "").replace("Length: 0", "Length: " + 2 * HALF) + "x".repeat(HALF));
+        TestRequests.post("r1", "").replace("Length: 0", "Length: " + 2 * HALF) + "x".repeat(HALF));
     for (int turn = 0; turn < TURNS; turn++) {
-      door.loop.submit(() -> {}).sync();
+      gateway.loop.submit(() -> {}).sync();
     }
     bodyIsRead.countDown();
     client.send("x".repeat(HALF));
@@ -119,7 +127,7 @@
 
   /** Otherwise the attempt on it would end as though nothing lived there. */
   @Test
-  void theHangUpOfOneConnectionDoesNotEndOneThatIsBeingOpened() throws Exception {
+  void aHangUpOfAClosedConnectionDoesNotEndOneThatIsBeingOpened() throws Exception {
     CompletableFuture<ChannelFuture> dialed = new CompletableFuture<>();
     EpollSocketChannel closing =
         dial(
@@ -131,17 +139,17 @@
                 dialed.complete(begin(new ChannelInboundHandlerAdapter()));
               }
             });
-    Socket closingPeer = Peers.next(accepted);
+    Socket closingPeer = TestQueues.next(accepted);
     List<Socket> hangUps = openThoseToClose();
     standStill();
-    Peers.write(closingPeer.getOutputStream(), "x");
+    TextStreams.write(closingPeer.getOutputStream(), "x");
     for (Socket hangUp : hangUps) {
       hangUp.close();
     }
     go.countDown();
     ChannelFuture connected = dialed.get(10, TimeUnit.SECONDS);
     connected.sync();
-    door.loop.submit(() -> {}).sync();
+    gateway.loop.submit(() -> {}).sync();
     assertTrue(connected.channel().isActive());
     connected.channel().close();
     closing.close();
@@ -151,7 +159,7 @@
     List<Socket> peersOfThose = new ArrayList<>();
     for (int i = 0; i < CLOSED; i++) {
       closed.add(dial(new ChannelInboundHandlerAdapter()));
-      peersOfThose.add(Peers.next(accepted));
+      peersOfThose.add(TestQueues.next(accepted));
     }
     return peersOfThose;
   }
@@ -166,10 +174,10 @@
 
   private void standStill() throws InterruptedException {
     CountDownLatch standing = new CountDownLatch(1);
-    door.loop.execute(
+    gateway.loop.execute(
         () -> {
           standing.countDown();
-          await(go);
+          TestLatches.await(go);
         });
     standing.await();
   }
@@ -181,17 +189,9 @@
 
   private ChannelFuture begin(ChannelInboundHandlerAdapter handler) {
     return new Bootstrap()
-        .group(door.loop)
+        .group(gateway.loop)
         .channel(EpollSocketChannel.class)
         .handler(handler)
-        .connect((InetSocketAddress) other.getLocalSocketAddress());
-  }
-
-  private static void await(CountDownLatch latch) {
-    try {
-      latch.await(20, TimeUnit.SECONDS);
-    } catch (InterruptedException e) {
-      Thread.currentThread().interrupt();
-    }
+        .connect(other.address());
   }
 }
--- a/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
+++ b/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
@@ -13,68 +13,74 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import quotagateway.config.ResourceLimits;
-import quotagateway.testing.Peers;
-import quotagateway.testing.Peers.Client;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.TestClient;
+import quotagateway.testing.TestRequests;
 import quotagateway.transport.ConnectionBudget;
 
-/** A second process beside the old one, which then ends. */
+/** An upgrade: a second process starts beside the old one, which then shuts down. */
 @Timeout(30)
 class UpgradeCoordinatorTest {
 
   private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
 
   @TempDir Path folder;
 
   @AfterEach
   void close() throws Exception {
-    peers.close();
+    fixture.close();
   }
 
   /**
-   * All that connected before the old one's end is answered, and nobody is told that the door is
-   * down.
+   * Clients are connected to the old process when it gets SIGTERM, and others connect afterwards.
+   * All get their responses, and the balancer in front never sees a gateway that is not ready.
    */
   @Test
-  void theOldOneEndsWithoutTurningAnybodyAway() throws Exception {
-    GatewayServer old = peers.start();
-    peers.startBeside();
-    assertEquals(200, peers.operator("GET /ready"));
-    List<Client> before = new ArrayList<>();
+  void oldProcessShutsDownWithoutRejectingAnybody() throws Exception {
+    GatewayServer old = fixture.start();
+    fixture.startBeside();
+    assertEquals(200, fixture.operator("GET /ready"));
+    List<TestClient> before = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      before.add(peers.client());
+      before.add(fixture.client());
     }
     Thread end = new Thread(old::shutDownGracefully);
     end.start();
     for (int i = 0; i < 20; i++) {
-      assertEquals(200, before.get(i).ask(Peers.get("r" + i, 3000)).status());
+      assertEquals(200, before.get(i).ask(TestRequests.get("r" + i, 3000)).status());
     }
     end.join(10_000);
     assertFalse(end.isAlive());
     for (int i = 0; i < 20; i++) {
-      assertEquals(200, peers.client().ask(UP).status());
-      assertEquals(200, peers.client().ask(Peers.get("s" + i, 3000)).status());
+      assertEquals(200, fixture.client().ask(UP).status());
+      assertEquals(200, fixture.client().ask(TestRequests.get("s" + i, 3000)).status());
     }
   }
 
   /**
-   * With nobody beside it, the one address goes on taking connections until the front has noticed.
+   * SIGTERM without a second process: connections are accepted until the balancer in front has
+   * noticed, or they would be refused.
    */
   @Test
-  void aLastOneGoesOnAccepting() throws Exception {
-    GatewayServer door = peers.start();
-    Thread end = new Thread(door::shutDownGracefully);
+  void onlyProcessGoesOnAcceptingAfterTheShutdownHasBegun() throws Exception {
+    GatewayServer gateway = fixture.start();
+    Thread end = new Thread(gateway::shutDownGracefully);
     end.start();
-    while (door.lifecycle().serving()) {
+    while (gateway.lifecycle().serving()) {
       Thread.onSpinWait();
     }
-    assertEquals(503, peers.client().ask(UP).status());
+    assertEquals(503, fixture.client().ask(UP).status());
     end.join(10_000);
   }
 
+  /**
+   * A process was killed and its lock files stay. Taken for a process that runs, they would have
+   * the next shutdown refuse connections that nobody else accepts.
+   */
   @Test
-  void whatOthersLeftBehindIsNoProcess() throws Exception {
+  void filesOfAKilledProcessAreNoProcess() throws Exception {
     Files.writeString(folder.resolve("serving-0"), "junk of one that was kil");
     Files.createDirectory(folder.resolve("started-0"));
     UpgradeCoordinator barred = new UpgradeCoordinator(folder, "started");
@@ -91,10 +97,11 @@
   }
 
   /**
-   * Both together are held to the limits of one, and the one that stays has them to itself again.
+   * Both processes together are held to the limits of one. The one that stays gets all descriptors
+   * back.
    */
   @Test
-  void twoProcessesShareTheDescriptors() {
+  void twoProcessesShareTheDescriptorsOfOne() {
     ResourceLimits limits = ResourceLimits.of(384, 144, 0.3);
     ConnectionBudget places = new ConnectionBudget(limits.connections());
     int alone = places.maxClientConnections();
