--- a/src/test/java/quotagateway/policy/GatewayFleetTest.java
+++ b/src/test/java/quotagateway/policy/GatewayFleetTest.java
@@ -94,8 +94,9 @@
     hand(f, world);
   }
 
-  // Guards against every gateway trying a silent counter at its own pace: hundreds of calls a
-  // second.
+  // The counter falls silent. If every gateway probed it for itself, that would be hundreds of
+  // calls
+  // a second, and it could not come back.
   @Test
   void callsToASilentCounterAreBoundedForTheFleetAndComeBack() {
     fleet(300, 12);
@@ -127,10 +128,11 @@
     assertTrue(calls[0] > 2 * 200, "calls are back within 3 s: " + calls[0] + " in 2 s");
   }
 
-  // Guards against the first token of a cold backend at every gateway: hundreds of first requests
-  // at once.
+  // A backend restarts. If every gateway sent it one first request, hundreds would come at once
+  // while
+  // it warms up.
   @Test
-  void aColdBackendIsNotPushedOverByTheFleet() {
+  void aBackendThatIsWarmingUpIsNotOverloadedByTheFleet() {
     fleet(300, 60);
     int[] cold = new int[1];
     BiConsumer<PolicyFixture, Action> world =
@@ -155,12 +157,15 @@
     run(2, 600, "free", world);
     double share = 0.2 + 0.8 * 2 / 10;
     assertTrue(
-        cold[0] <= 1.5 * share * warm / 5, cold[0] + " sent to a cold backend, warm " + warm / 5);
+        cold[0] <= 1.5 * share * warm / 5,
+        cold[0] + " sent to a backend that is warming up, before that " + warm / 5);
   }
 
-  // Guards against saved retries that are few for a gateway and thousands for the fleet.
+  // All backends fail after a quiet time. Retries that each gateway has saved up are few for one,
+  // but
+  // thousands for the fleet.
   @Test
-  void furtherAttemptsAreBoundedForTheFleet() {
+  void retriesAreBoundedForTheFleet() {
     fleet(300, 60);
     int[] sent = new int[2];
     Map<String, Integer> attempts = new HashMap<>();
@@ -179,12 +184,13 @@
           }
         };
     run(10, 600, "free", world);
-    assertTrue(sent[1] < 300 + 0.2 * sent[0], sent[1] + " further attempts for " + sent[0]);
+    assertTrue(sent[1] < 300 + 0.2 * sent[0], sent[1] + " retries for " + sent[0]);
     assertTrue(sent[1] > 0);
   }
 
-  // Guards against sends that nobody counted, each harmless alone, adding up to far more than the
-  // quota.
+  // The counter is away. Requests that each gateway admits by itself must not add up to far more
+  // than
+  // the quota.
   @Test
   void withoutACounterTheFleetKeepsToTheQuota() {
     fleet(100, 12);
@@ -211,25 +217,24 @@
         units[0] > 20 * PolicyFixture.BROAD.unitsPerSecond() * 0.4, units[0] + " units in 20 s");
   }
 
-  // Guards a cap on open requests that is less than one for each gateway: all together must keep to
-  // it.
+  // A concurrency limit is less than one for each gateway: all together must keep to it.
   @Test
-  void openRequestsOfTheFleetKeepToTheirPlaces() {
+  void openRequestsOfTheFleetKeepToTheConcurrencyLimit() {
     assertTrue(mostOpen(Status.OK) <= 2, "by the shared count");
-    assertTrue(sent > 60, sent + " sent in 20 s of places for 160");
+    assertTrue(sent > 60, sent + " forwarded in 20 s, with permits for 160");
   }
 
-  // Guards the same cap while the counter is away: what follows each other in the places is split
-  // evenly.
+  // The same while the counter is away: the rate at which requests can follow each other within the
+  // limit is split evenly.
   @Test
-  void withoutACounterOpenRequestsFollowEachOtherAtTheCapsPace() {
+  void withoutACounterOpenRequestsKeepToTheRateOfTheConcurrencyLimit() {
     mostOpen(Status.REJECTED);
-    assertTrue(sent > 60 && sent < 240, sent + " sent in 20 s of places for 160");
+    assertTrue(sent > 60 && sent < 240, sent + " forwarded in 20 s, with permits for 160");
   }
 
   private int sent;
 
-  /** Ten gateways with a customer whose requests take 250 ms each; how many were open at once. */
+  /** Ten gateways with a customer whose requests take 250 ms each: how many were open at once. */
   private int mostOpen(Status counter) {
     fleet(10, 12);
     Map<String, Double> counts = new HashMap<>();
@@ -273,7 +278,7 @@
   }
 
   @Test
-  void theCeilingHoldsThroughManyGatewaysAndThroughFew() {
+  void theHardLimitHoldsThroughManyGatewaysAndThroughFew() {
     assertTrue(lowestOfCeiling(200) >= -PolicyFixture.WIDE.hardLimitSlackUnits());
     fleet.clear();
     assertTrue(lowestOfCeiling(3) >= -PolicyFixture.WIDE.hardLimitSlackUnits());
@@ -315,10 +320,9 @@
     return store[2];
   }
 
-  // Guards against work and connections that grow with the fleet: of a thousand backends few are
-  // used.
+  // Work and connections must not grow with the fleet: of a thousand backends few are used.
   @Test
-  void aGatewayKeepsToFewOfManyBackendsAndToAllOfFew() {
+  void aGatewayUsesASubsetOfManyBackendsAndAllOfFew() {
     assertTrue(used(300, 1000) <= 40, "of a thousand: " + used(300, 1000));
     assertEquals(10, used(3, 10));
   }
@@ -337,17 +341,17 @@
     return seen.size();
   }
 
-  // Guards against booking this gateway's own stand-still to the fleet, and acting before all was
-  // read.
+  // The gateway itself stands still for a while. That is no latency of the backends, and responses
+  // that came meanwhile are read before anything is cancelled or rejected.
   @Test
-  void aGatewayThatStoodStillReadsFirstAndRefusesNobodyForIt() {
+  void aStalledGatewayReadsFirstAndRejectsNobodyForIt() {
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(12);
     for (int round = 0; round < 10; round++) {
       f.run(25).request("safe", "free", 1);
       StartAttempt s = f.only(StartAttempt.class);
       f.run(25);
       f.pass(2000).on(new TimerFired(Timer.REQUEST_CHECK));
-      assertFalse(f.did(CancelAttempt.class), "its answer may lie unread");
+      assertFalse(f.did(CancelAttempt.class), "its response may lie unread");
       f.on(new AttemptEnded(s.requestId(), 0, s.endpointId(), Status.OK, 2020, true, 0, null));
       f.pass(1).on(new TimerFired(Timer.REQUEST_CHECK));
     }
@@ -355,10 +359,11 @@
     assertTrue(f.did(StartAttempt.class));
   }
 
-  // Guards against taking lost answers for a full fleet. A few slow backends look the same and stay
-  // unseen.
+  // Responses get lost on their way while others come: that is no overload. A few slow backends
+  // look
+  // the same and stay unseen.
   @Test
-  void lostAnswersAreNoFullFleet() {
+  void lostResponsesAreNoOverload() {
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(12);
     for (int i = 0; i < 30; i++) {
       f.run(100).request("unsafe", "free", 1);
@@ -373,9 +378,10 @@
     assertTrue(f.did(StartAttempt.class));
   }
 
-  // Guards against settings and events that make no sense: one final answer each, and no exception.
+  // Settings and events make no sense: each request still gets one final response, and nothing is
+  // thrown.
   @Test
-  void senselessInputIsStillAnsweredOnce() {
+  void senselessSettingsAndEventsStillGetOneFinalResponse() {
     for (int gateways : new int[] {0, 1, 400}) {
       for (int entryPoints : new int[] {-1, 0, 1, 1000}) {
         PolicyFixture f =
@@ -406,15 +412,17 @@
               f.on(new CounterReplied("never asked", Status.OK, 3, 1));
               f.on(new AttemptEnded("never sent", 3, 1, Status.OK, 1, true, 0, null));
             });
-        assertEquals(1, answers[0], gateways + " gateways, " + entryPoints + " entry points");
+        assertEquals(
+            1, answers[0], gateways + " gateways, " + entryPoints + " gateways of the customer");
       }
     }
   }
 
-  // Guards a restarted backend of which the roster does not know yet: refused connections mean a
-  // cold start.
+  // A backend restarts, and the endpoint list does not know of it yet: refused connections mean
+  // that
+  // it is warming up.
   @Test
-  void aBackendThatTookNoConnectionIsTakenToBeCold() {
+  void aBackendThatRefusesConnectionsIsTakenToBeWarmingUp() {
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(1);
     f.request("safe", "free", 1);
     f.outcome(f.only(StartAttempt.class), 0, Status.CONNECT_FAILED, false);
@@ -427,13 +435,14 @@
         f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
       }
     }
-    assertTrue(sent < 20, sent + " of 40 sent at once");
+    assertTrue(sent < 20, sent + " of 40 started at once");
   }
 
-  // Guards against failed connections of other causes, of which a few would leave the whole fleet
-  // cold.
+  // Connections fail for another cause: a few of them must not have the whole fleet taken for
+  // warming
+  // up.
   @Test
-  void aBackendThatAnswersWhatItHadBeforeHasNotRestarted() {
+  void aBackendThatAnswersEarlierAttemptsHasNotRestarted() {
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 2, false)).backends(1);
     f.request("safe", "free", 1);
     StartAttempt before = f.only(StartAttempt.class);
@@ -448,10 +457,10 @@
     }
   }
 
-  // Guards against meeting each dead backend of a lost zone by oneself: its failures count for all
-  // of them.
+  // A zone is lost. Failures there count for all of its backends, so that not each one has to be
+  // found out by itself.
   @Test
-  void aLostZoneIsLeftAfterAFewFailures() {
+  void anUnreachableZoneIsAvoidedAfterAFewFailures() {
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
     int near = 0;
     int all = 0;
@@ -466,9 +475,9 @@
     assertTrue(near > 0.85 * all, near + " of " + all + " to the zone that answers");
   }
 
-  // Guards against leaving a whole zone for one sick backend, which a gateway of many seldom meets.
+  // One backend of a zone fails: a gateway must not avoid the whole zone for it.
   @Test
-  void anAnsweredErrorTellsNothingOfTheZone() {
+  void anErrorResponseShowsNothingOfTheZone() {
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
     int near = 0;
     for (int i = 0; i < 60; i++) {
@@ -483,9 +492,9 @@
     assertTrue(near > 15, near + " of 60 to the zone of the sick backend");
   }
 
-  // Guards against taking a slow request for a lost zone while others there are answered.
+  // A request is slow while others in its zone are answered: the zone is not lost.
   @Test
-  void aSilentAttemptTellsNothingOfAZoneThatAnswered() {
+  void aTimeOutShowsNothingOfAZoneThatAnswered() {
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
     int near = 0;
     for (int i = 0; i < 60; i++) {
@@ -504,10 +513,9 @@
     assertTrue(near > 22, near + " of 60 to the zone of the slow request");
   }
 
-  // Guards against learning late that a zone is back: a few of its backends' answers tell it for
-  // all.
+  // A zone comes back: responses of a few of its backends show it for all of them.
   @Test
-  void aZoneThatIsBackIsUsedSoon() {
+  void aZoneThatIsReachableAgainIsUsedSoon() {
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
     int near = 0;
     int all = 0;
@@ -524,9 +532,9 @@
         near > 0.48 * all, near + " of " + all + " to the zone that is back for 1.5 s and more");
   }
 
-  // Guards a customer's quota when its gateway restarts, or when it comes through another one.
+  // A customer's gateway restarts, or it comes through another one: what it has used stays used.
   @Test
-  void aRestartedGatewayKnowsTheQuotaFromTheCount() {
+  void aRestartedGatewayLearnsTheUsedQuotaFromTheCount() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("safe", "rated", 4);
     f.total(4);
@@ -539,7 +547,7 @@
   }
 
   @Test
-  void withoutBackendsEachRequestIsAnsweredOnceInTime() {
+  void withoutBackendsEachRequestGetsOneFinalResponseInTime() {
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(0);
     f.request("safe", "free", 1);
     assertFalse(f.did(StartAttempt.class));
--- a/src/test/java/quotagateway/policy/GatewayPolicyTest.java
+++ b/src/test/java/quotagateway/policy/GatewayPolicyTest.java
@@ -37,10 +37,10 @@
 
 class GatewayPolicyTest {
 
-  // The ordinary path
+  // Quota, with a counter that replies
 
   @Test
-  void addsTheEstimateThenSends() {
+  void addsTheEstimateThenForwards() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("safe", "rated", 3);
     assertEquals(3, f.only(IncrementCounter.class).amount());
@@ -50,18 +50,18 @@
   }
 
   @Test
-  void refusesWhatWouldPassTheQuotaAndOwesItBack() {
+  void rejectsWhatIsOverQuotaAndTakesItsUnitsOffTheCount() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("safe", "rated", 3);
     f.total(200);
     assertTrue(f.did(RejectRequest.class));
     f.pass(500).request("safe", "rated", 1);
     assertEquals(
-        -3, f.only(IncrementCounter.class).amount(), "only reads, and takes the refused 3 off");
+        -3, f.only(IncrementCounter.class).amount(), "only reads, and takes the rejected 3 off");
   }
 
   @Test
-  void settlesTheTrueUnitsWithTheNextAdd() {
+  void settlesTheChargedUnitsWithTheNextCall() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("safe", "rated", 2);
     StartAttempt s = f.total(2).only(StartAttempt.class);
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void aSpentCustomerIsRefusedWithoutACall() {
+  void anExhaustedCustomerIsRejectedWithoutACall() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("safe", "rated", 3);
     f.total(200);
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void twoBurstsDoNotPassAtTheEdgeOfAWindow() {
+  void twoBurstsAreNotAdmittedAtTheEdgeOfAWindow() {
     PolicyFixture f = PolicyFixture.counted();
     String first = null;
     int sent = 0;
@@ -107,9 +107,9 @@
     throw new AssertionError("no window edge met, sent " + sent);
   }
 
-  /** A connection that dies says nothing of the counter, which still answers over another. */
+  /** A connection that breaks shows nothing of the counter, which still replies over another. */
   @Test
-  void aCallCutOffByItsConnectionIsReadAgain() {
+  void aCallThatBrokeWithItsConnectionIsReadAgain() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("safe", "rated", 3);
     f.callFails(Status.RESET);
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void whatACutOffCallHadAddedIsNotOwed() {
+  void whatABrokenCallHadAddedIsNotAddedAgain() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("safe", "rated", 3);
     f.callFails(Status.RESET).total(3);
@@ -136,30 +136,31 @@
   }
 
   /**
-   * Calling less would not help against connections that die, and leaves customers to the replica.
+   * Calling less would not help against connections that break, and leaves customers to the
+   * replica.
    */
   @Test
-  void cutOffCallsDoNotMakeRequestsGoUnasked() {
+  void brokenConnectionsDoNotReduceTheCallsToTheCounter() {
     PolicyFixture f = PolicyFixture.counted();
     for (int i = 0; i < 20; i++) {
       f.pass(100).request("safe", "broad", 1);
-      assertTrue(f.did(IncrementCounter.class), "request " + i + " asks");
+      assertTrue(f.did(IncrementCounter.class), "request " + i + " calls the counter");
       f.callFails(Status.RESET).total(i);
       f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
     }
   }
 
   /**
-   * The backend works, but this one answer will not come: one sent long after it has been answered.
+   * The backend works, but this response will not come: an attempt sent long after it has ended.
    */
   @Test
-  void takesBackWhatWasOvertakenAtAWorkingBackend() {
+  void cancelsAnAttemptThatWasOvertakenAtAWorkingBackend() {
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 2, false)).backends(1);
     String lost = f.request("safe", "free", 1);
     f.run(500);
     f.request("safe", "free", 1);
     f.outcome(f.only(StartAttempt.class), 0, Status.OK, true).run(200);
-    assertFalse(f.did(CancelAttempt.class), "sent too soon after it to tell");
+    assertFalse(f.did(CancelAttempt.class), "sent too soon after it to show anything");
     f.request("safe", "free", 1);
     f.outcome(f.only(StartAttempt.class), 0, Status.OK, true).run(25);
     assertEquals(lost, f.only(CancelAttempt.class).requestId());
@@ -174,65 +175,66 @@
   }
 
   @Test
-  void openLimitIsSplitAmongTheGateways() {
+  void concurrencyLimitIsSplitAmongTheGateways() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("safe", "narrow", 1);
     assertTrue(f.did(StartAttempt.class));
     f.request("safe", "narrow", 1);
     assertTrue(
         f.only(RejectRequest.class).retryAfterMs() > 0,
-        "told to come back when one may have ended");
+        "advised to come back when one may have ended");
   }
 
   /**
-   * Through more gateways than places: a place is counted as open, and given back with each kind of
-   * end.
+   * A customer comes through more gateways than it has permits: each one is acquired in a shared
+   * count, and released however the request ends.
    */
   @Test
-  void aPlaceAmongTheOpenRequestsIsGivenBackHoweverARequestEnds() {
+  void aConcurrencyPermitIsReleasedHoweverARequestEnds() {
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 5, false)).backends(4);
-    placed(f, "safe");
+    requestWithPermit(f, "safe");
     f.total(2);
     f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
     assertEquals(-1, f.only(IncrementCounter.class).amount(), "served");
     f.total(0);
-    placed(f, "unsafe");
+    requestWithPermit(f, "unsafe");
     f.total(1);
     f.outcome(f.only(StartAttempt.class), 0, Status.ERROR, false);
     assertTrue(f.did(FailRequest.class));
     assertEquals(-1, f.only(IncrementCounter.class).amount(), "failed");
     f.total(0);
-    placed(f, "safe");
+    requestWithPermit(f, "safe");
     f.total(3);
     assertTrue(f.did(RejectRequest.class));
-    assertEquals(-1, f.only(IncrementCounter.class).amount(), "refused, as others have all places");
+    assertEquals(
+        -1, f.only(IncrementCounter.class).amount(), "rejected, as others have all permits");
     f.total(0);
-    String left = placed(f, "safe");
+    String left = requestWithPermit(f, "safe");
     f.on(new ClientDisconnected(left));
     assertFalse(f.did(IncrementCounter.class), "it is not known yet whether it was added");
     f.total(1);
-    assertEquals(-1, f.only(IncrementCounter.class).amount(), "left by its client");
+    assertEquals(-1, f.only(IncrementCounter.class).amount(), "its client has disconnected");
     assertFalse(f.did(StartAttempt.class));
     f.total(0);
-    String gone = placed(f, "safe");
+    String gone = requestWithPermit(f, "safe");
     f.on(new ClientDisconnected(gone)).callFails(Status.REJECTED);
     assertFalse(f.did(IncrementCounter.class), "nothing was added");
   }
 
-  /** With many gateways nearly every request is a customer's first at this one for long. */
+  /** With many gateways, nearly every request is a customer's first one here for a long time. */
   @Test
-  void aCustomerMetWhileTheCounterIsAwayFindsAPlace() {
+  void aFirstRequestWhileTheCounterIsAwayGetsAPermit() {
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 5, false)).backends(4);
-    placed(f, "safe");
+    requestWithPermit(f, "safe");
     f.callFails(Status.REJECTED);
     assertTrue(f.did(StartAttempt.class));
-    placed(f, "safe");
+    requestWithPermit(f, "safe");
     f.callFails(Status.REJECTED);
-    assertTrue(f.did(RejectRequest.class), "its part of the cap is in use");
+    assertTrue(f.did(RejectRequest.class), "this gateway's part of the limit is in use");
   }
 
-  private static String placed(PolicyFixture f, String className) {
-    String id = "placed at " + f.now;
+  private static String requestWithPermit(PolicyFixture f, String className) {
+    String id = "with permit at " + f.now;
     f.pass(1)
         .on(
             new RequestReceived(
@@ -252,20 +254,20 @@
   }
 
   @Test
-  void unknownPlanAndClassAreStillAnsweredOnce() {
+  void anUnknownPlanAndClassGetOneFinalResponse() {
     PolicyFixture f = PolicyFixture.counted();
     f.on(
         new RequestReceived(
             "x", PolicyFixture.type("no such class"), "no such plan", 9, 2, 1, f.now + 4000));
     StartAttempt s = f.total(1).only(StartAttempt.class);
     f.outcome(s, 0, Status.ERROR, false);
-    assertTrue(f.did(FailRequest.class), "an unknown class may not run twice");
+    assertTrue(f.did(FailRequest.class), "an unknown class may not execute twice");
   }
 
-  // Counter trouble
+  // Quota, with a counter that fails
 
   @Test
-  void anUnansweredCallIsDecidedByTheReplica() {
+  void aCallWithoutReplyIsDecidedByTheReplica() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("safe", "rated", 3);
     f.callFails(Status.TIMED_OUT);
@@ -273,7 +275,7 @@
   }
 
   @Test
-  void aSilentCounterDoesNotHoldARequestPastItsBound() {
+  void aSilentCounterDelaysARequestNoLongerThanItsBound() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("safe", "rated", 3);
     f.run(100);
@@ -281,7 +283,7 @@
   }
 
   @Test
-  void anAbsentCounterIsTriedRarelyAndComesBackAtOnce() {
+  void anAbsentCounterIsProbedRarelyAndUsedAgainSoon() {
     PolicyFixture f = PolicyFixture.counted();
     int calls = 0;
     for (int i = 0; i < 200; i++) {
@@ -310,7 +312,7 @@
   }
 
   @Test
-  void aFailedCallThatAddedNothingLeavesAnAdmittedRequestOwed() {
+  void theUnitsOfAFailedCallThatAddedNothingGoWithTheNextCall() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("safe", "rated", 3);
     f.callFails(Status.REJECTED);
@@ -320,7 +322,7 @@
   }
 
   @Test
-  void anAnswerTellsWhetherAnUnansweredCallWasAdded() {
+  void theNextTotalShowsWhetherACallWithoutReplyWasAdded() {
     PolicyFixture added = PolicyFixture.counted();
     added.request("safe", "rated", 1);
     added.total(1);
@@ -353,7 +355,7 @@
   }
 
   @Test
-  void aRequestThatLeftWhileWaitingIsNotSent() {
+  void aRequestWhoseClientDisconnectsWhileItWaitsIsNotForwarded() {
     PolicyFixture f = PolicyFixture.counted();
     String id = f.request("safe", "rated", 1);
     f.on(new ClientDisconnected(id));
@@ -366,7 +368,7 @@
   // Attempts
 
   @Test
-  void anUnsafeRequestThatMayHaveRunFails() {
+  void aNonIdempotentRequestThatMayHaveExecutedFails() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("unsafe", "free", 1);
     StartAttempt s = f.only(StartAttempt.class);
@@ -376,7 +378,7 @@
   }
 
   @Test
-  void anUnsafeRequestThatNeverRanIsSentAgainElsewhere() {
+  void aNonIdempotentRequestThatDidNotExecuteIsRetriedElsewhere() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("unsafe", "free", 1);
     StartAttempt s = f.only(StartAttempt.class);
@@ -385,14 +387,15 @@
   }
 
   @Test
-  void aRepeatOfWhatMayHaveRunHasToBeWrittenWithinItsWindow() {
+  void aRetryOfWhatMayHaveExecutedHasToBeWrittenWithinItsWindow() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("zone", "free", 1);
     StartAttempt first = f.only(StartAttempt.class);
     assertEquals(Double.POSITIVE_INFINITY, first.maxStartDelayMs());
     f.pass(500).outcome(first, 0, Status.CONNECT_FAILED, false);
     StartAttempt second = f.only(StartAttempt.class);
-    assertEquals(Double.POSITIVE_INFINITY, second.maxStartDelayMs(), "nothing has run by now");
+    assertEquals(
+        Double.POSITIVE_INFINITY, second.maxStartDelayMs(), "nothing can have executed by now");
     f.pass(2000).outcome(second, 1, Status.ERROR, false);
     double left = 3000 - 2000;
     assertTrue(
@@ -401,7 +404,7 @@
   }
 
   @Test
-  void aKeyedRequestThatMayHaveRunStaysInItsGroupAndWindow() {
+  void aRequestWithAnIdempotencyKeyIsRetriedWithinItsScopeAndWindow() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("cell", "free", 1);
     StartAttempt s = f.only(StartAttempt.class);
@@ -418,12 +421,12 @@
     assertEquals(z.endpointId() % 2, f.only(StartAttempt.class).endpointId() % 2);
     StartAttempt again = f.only(StartAttempt.class);
     f.pass(3500).outcome(again, 1, Status.ERROR, false);
-    assertFalse(f.did(StartAttempt.class), "its repeats are no longer dropped");
-    assertTrue(f.did(FailRequest.class), "and a refusal would promise too much");
+    assertFalse(f.did(StartAttempt.class), "its retries are no longer deduplicated");
+    assertTrue(f.did(FailRequest.class), "and a rejection would promise too much");
   }
 
   @Test
-  void everyRequestIsAnsweredBeforeItsClientLeaves() {
+  void everyRequestGetsAFinalResponseBeforeItsDeadline() {
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 2, false));
     f.request("safe", "free", 1);
     assertFalse(f.did(StartAttempt.class), "no backend is known");
@@ -434,14 +437,14 @@
   }
 
   @Test
-  void anAttemptStopsBeforeTheClientLeaves() {
+  void anAttemptTimesOutBeforeTheDeadline() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("safe", "free", 1);
     assertTrue(f.only(StartAttempt.class).timeoutMs() < 4000);
   }
 
   @Test
-  void aBegunStreamIsLeftAlone() {
+  void aStreamedResponseInProgressIsLeftAlone() {
     PolicyFixture f = PolicyFixture.counted();
     String id = f.request("stream", "free", 1);
     f.on(new ResponseStarted(id, 0)).run(6000);
@@ -449,7 +452,7 @@
   }
 
   @Test
-  void aSilentBackendIsGivenUpOnWhereTheClassAllows() {
+  void anAttemptAtASilentBackendIsCancelledWhereTheClassAllows() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("safe", "free", 1);
     StartAttempt s = f.only(StartAttempt.class);
@@ -460,7 +463,7 @@
   }
 
   @Test
-  void answersForWhatIsOverAreIgnored() {
+  void eventsForWhatIsOverAreIgnored() {
     PolicyFixture f = PolicyFixture.counted();
     f.on(new AttemptEnded("nobody", 0, 1, Status.OK, 5, true, 0, null));
     f.on(new CounterReplied("nothing", Status.OK, 5, 1));
@@ -472,7 +475,7 @@
   // Backends
 
   @Test
-  void drainingAndGoneBackendsGetNothingNew() {
+  void drainingAndRemovedBackendsGetNothingNew() {
     PolicyFixture f = PolicyFixture.counted();
     f.on(
         new EndpointsUpdated(
@@ -491,7 +494,7 @@
   }
 
   @Test
-  void aColdBackendGetsLittle() {
+  void aBackendThatIsWarmingUpGetsLittle() {
     PolicyFixture f = PolicyFixture.counted();
     f.on(
         new EndpointsUpdated(
@@ -509,16 +512,17 @@
       }
     }
     assertTrue(cold > 0, "it is used at all");
-    assertTrue(cold < all / 8, "under half of a warm backend's quarter: " + cold + " of " + all);
+    assertTrue(
+        cold < all / 8, "under half of the quarter of one that is warm: " + cold + " of " + all);
   }
 
   @Test
-  void aBackendThatFailsFastRestsAndIsTriedAgain() {
+  void aBackendThatFailsFastIsEjectedAndProbedAgain() {
     PolicyFixture f = PolicyFixture.counted();
     int early = failsFast(f, 100);
-    assertTrue(early < 20, "sends to the failing backend: " + early);
+    assertTrue(early < 20, "attempts at the failing backend: " + early);
     for (int i = 0, met = 0; met == 0; i++) {
-      assertTrue(i < 2000, "never tried again");
+      assertTrue(i < 2000, "never probed");
       f.run(25).request("safe", "free", 1);
       StartAttempt s = f.only(StartAttempt.class);
       met += s.endpointId() == 0 ? 1 : 0;
@@ -545,9 +549,11 @@
     return failing;
   }
 
-  /** Guards incidents ifcb77b and i3b6be0: an old bad report must not shun a backend for good. */
+  /**
+   * Incidents ifcb77b and i3b6be0: after an old report of high load a backend was avoided for good.
+   */
   @Test
-  void anOldReportFades() {
+  void anOldLoadReportFades() {
     PolicyFixture f = PolicyFixture.counted();
     StartAttempt busy = null;
     for (int i = 0; i < 4; i++) {
@@ -567,7 +573,7 @@
   }
 
   @Test
-  void aFullFleetRefusesEarly() {
+  void overloadedBackendsHaveRequestsRejectedEarly() {
     PolicyFixture f = PolicyFixture.counted();
     for (int i = 0; i < 60; i++) {
       f.request("safe", "free", 1);
@@ -581,7 +587,7 @@
   }
 
   @Test
-  void aRosterThatMustBeAskedForIsFollowedAndAskedForAgain() {
+  void anEndpointListThatIsPolledIsWatchedAndAskedForAgain() {
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 2, true));
     assertTrue(f.did(WatchEndpoints.class));
     f.on(new EndpointsUpdated(EndpointListForm.FAILED, List.of()));
@@ -630,7 +636,7 @@
         s.rules());
   }
 
-  /** What is open goes by the rules it came under, what comes afterwards by the new ones. */
+  /** Open requests go by the settings that they came under, later ones by the new settings. */
   @Test
   void openRequestsKeepTheirClassWhenSettingsChange() {
     PolicyFixture f = PolicyFixture.counted();
@@ -640,7 +646,7 @@
         changed(PolicyFixture.settings(true, 2, false), Idempotency.NOT_IDEMPOTENT, 4);
     f.on(new SettingsChanged(unsafe));
     f.outcome(open, 0, Status.RESET, false);
-    assertTrue(f.did(StartAttempt.class), "it may run again");
+    assertTrue(f.did(StartAttempt.class), "it may execute again");
     f.on(
         new RequestReceived(
             "late", unsafe.requestClasses().get(0), "free", 42, 2, 1, f.now + 4000));
@@ -648,7 +654,7 @@
     assertTrue(f.did(FailRequest.class), "that may not");
   }
 
-  /** The fewer attempts of those allowed when it came and those allowed now break neither. */
+  /** The lower limit, of the one when the request came and the present one, breaks neither. */
   @Test
   void attemptsStayWithinBothSettings() {
     for (int changed : new int[] {1, 9}) {
@@ -666,9 +672,9 @@
     }
   }
 
-  /** A customer that has spent its quota has spent it under new settings too. */
+  /** A customer that has used its quota has used it under new settings, too. */
   @Test
-  void countsLiveOnWhenSettingsChange() {
+  void chargedUnitsSurviveNewSettings() {
     PolicyFixture f = PolicyFixture.counted();
     f.request("safe", "rated", 4);
     f.total(200);
@@ -677,14 +683,14 @@
         new SettingsChanged(
             changed(PolicyFixture.settings(true, 2, false), Idempotency.IDEMPOTENT, 3)));
     f.request("safe", "rated", 4);
-    assertTrue(f.did(RejectRequest.class), "without asking again");
+    assertTrue(f.did(RejectRequest.class), "without another call");
   }
 
   /**
-   * A body that is handed on takes its customer's place at a backend only once all of it is there.
+   * A request that is forwarded while its body comes uses a permit only once all of it is there.
    */
   @Test
-  void aRequestIsOutOnceItsBodyIsWhole() {
+  void aRequestIsInFlightOnceItsBodyIsComplete() {
     PolicyFixture f = PolicyFixture.counted();
     f.on(
         new RequestReceived(
@@ -694,15 +700,15 @@
     f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
     f.on(new RequestBodyComplete("large", f.now + 4000));
     f.request("safe", "narrow", 1);
-    assertTrue(f.did(RejectRequest.class), "one is out, which is this gateway's part");
+    assertTrue(f.did(RejectRequest.class), "one is in flight, which is this gateway's part");
     f.outcome(large, 0, Status.OK, true);
     f.request("safe", "narrow", 1);
     assertTrue(f.did(StartAttempt.class));
   }
 
-  /** What was handed on is gone; what never reached a backend can go to another. */
+  /** A body that was forwarded is gone; one that never reached a backend can go to another. */
   @Test
-  void aBodyThatWasHandedOnIsNotSentAgain() {
+  void aForwardedBodyIsNotSentAgain() {
     for (Status status : new Status[] {Status.CONNECT_FAILED, Status.WRITE_INCOMPLETE}) {
       PolicyFixture f = PolicyFixture.counted();
       f.on(
--- a/src/test/java/quotagateway/policy/HardLimitTest.java
+++ b/src/test/java/quotagateway/policy/HardLimitTest.java
@@ -30,7 +30,7 @@
     for (int seed = 0; seed < 40; seed++) {
       play(seed);
       assertTrue(
-          lowest >= -PolicyFixture.CEILED.hardLimitSlackUnits(),
+          lowest >= -PolicyFixture.HARD_LIMITED.hardLimitSlackUnits(),
           "seed " + seed + ": store at " + lowest);
       assertTrue(sent > 50, "seed " + seed + ": only " + sent + " sent");
     }
@@ -39,7 +39,7 @@
   private void play(int seed) {
     SplittableRandom random = new SplittableRandom(seed);
     counts.clear();
-    lowest = store = PolicyFixture.CEILED.hardLimitBurstUnits();
+    lowest = store = PolicyFixture.HARD_LIMITED.hardLimitBurstUnits();
     storeAt = 1_000_000;
     sent = 0;
     PolicyFixture[] gateways = new PolicyFixture[2];
@@ -80,8 +80,9 @@
   }
 
   private void take(double now, PolicyFixture gateway, StartAttempt s) {
-    double filled = store + PolicyFixture.CEILED.hardLimitUnitsPerSecond() * (now - storeAt) / 1000;
-    store = Math.min(PolicyFixture.CEILED.hardLimitBurstUnits(), filled);
+    double filled =
+        store + PolicyFixture.HARD_LIMITED.hardLimitUnitsPerSecond() * (now - storeAt) / 1000;
+    store = Math.min(PolicyFixture.HARD_LIMITED.hardLimitBurstUnits(), filled);
     storeAt = now;
     store -= units;
     lowest = Math.min(lowest, store);
--- a/src/test/java/quotagateway/policy/PolicyFixture.java
+++ b/src/test/java/quotagateway/policy/PolicyFixture.java
@@ -26,11 +26,11 @@
 import quotagateway.policy.settings.RequestClass;
 import quotagateway.policy.settings.ServiceRules;
 
-/** A gateway under test: its module, a clock, and all that the module asked for. */
+/** A policy under test, with a clock and all the actions that it gave. */
 public final class PolicyFixture {
 
   static final Plan RATED = new Plan("rated", 2, 10, 0, 1, 0, 1, 0, 0, 0);
-  static final Plan CEILED = new Plan("ceiled", 2, 10, 0, 1, 0, 1, 4, 20, 2);
+  static final Plan HARD_LIMITED = new Plan("ceiled", 2, 10, 0, 1, 0, 1, 4, 20, 2);
   static final Plan WIDE = new Plan("wide", 40, 100, 0, 1, 0, 1, 80, 200, 20);
   static final Plan BROAD = new Plan("broad", 40, 100, 0, 1, 0, 1, 0, 0, 0);
   static final Plan FREE = new Plan("free", 0, 0, 0, 1, 0, 1, 0, 0, 0);
@@ -109,7 +109,7 @@
         0,
         false,
         classes,
-        List.of(RATED, CEILED, FREE, NARROW, WIDE, BROAD),
+        List.of(RATED, HARD_LIMITED, FREE, NARROW, WIDE, BROAD),
         new Capabilities(counter, 30, true, false, 4, 1000, true, 2000, ask),
         new ServiceRules(8, 0.2, 10_000, 3, 2000));
   }
@@ -149,7 +149,7 @@
     return this;
   }
 
-  /** Lets time go by with the module's own timer running. */
+  /** Lets time go by, with the wake-ups of the policy. */
   PolicyFixture run(double ms) {
     List<Action> seen = new ArrayList<>();
     for (double end = now + ms; now < end; ) {
--- a/src/test/java/quotagateway/policy/RandomEvents.java
+++ b/src/test/java/quotagateway/policy/RandomEvents.java
@@ -32,9 +32,9 @@
 import quotagateway.policy.settings.ServiceRules;
 
 /**
- * A seeded stream of events for one module, in answer to its actions: requests, outcomes of every
- * status, counts, wake-ups, and rosters of every form whose backends come, move, drain, start again
- * and go.
+ * A seeded stream of events for one policy, in answer to its actions: requests, outcomes of every
+ * status, counter replies, wake-ups, and endpoint lists of every form whose backends come, move,
+ * drain, restart and go.
  */
 public final class RandomEvents {
 
@@ -81,7 +81,7 @@
   private long order;
   private int requests;
 
-  /** For a module that the maker makes of its settings. */
+  /** For a policy that the maker makes of its settings. */
   public RandomEvents(
       long seed,
       int gateways,
@@ -124,7 +124,7 @@
       now = next;
       double kind = random.nextDouble();
       if (kind < 0.05) {
-        deliver(roster());
+        deliver(endpointsUpdated());
       } else if (kind < 0.052) {
         settings = settings(settings.gatewayCount(), LEAST_COLD_MS + 5_000 * random.nextInt(4));
         deliver(new SettingsChanged(settings));
@@ -153,7 +153,7 @@
             now + 500 + random.nextInt(4000)));
   }
 
-  private EndpointsUpdated roster() {
+  private EndpointsUpdated endpointsUpdated() {
     double form = random.nextDouble();
     if (form < 0.1) {
       return new EndpointsUpdated(EndpointListForm.FAILED, List.of());
