--- a/src/main/java/quotagateway/Main.java
+++ b/src/main/java/quotagateway/Main.java
@@ -30,7 +30,7 @@
 
   private static void serve() throws InterruptedException {
     try {
-      ServeCommand.run();
+      ServeCommand.run(System.getenv());
     } catch (IOException | InvalidConfigurationException | RuntimeException e) {
       fail("cannot serve", e);
     }
--- a/src/main/java/quotagateway/client/ClientContext.java
+++ b/src/main/java/quotagateway/client/ClientContext.java
@@ -104,7 +104,7 @@
 
   /** Whether it takes clients' requests; asked by the admin server too, from its own thread. */
   boolean ready() {
-    return lifecycle.serving() && backends.knowsAny();
+    return lifecycle.isServing() && backends.knowsAny();
   }
 
   /** Whether connections are to end with their next response. */
--- a/src/main/java/quotagateway/lifecycle/Lifecycle.java
+++ b/src/main/java/quotagateway/lifecycle/Lifecycle.java
@@ -40,7 +40,7 @@
   }
 
   /** Whether it serves and is not draining. */
-  public boolean serving() {
+  public boolean isServing() {
     return state() == State.SERVING;
   }
 
@@ -52,7 +52,7 @@
   }
 
   /** Its start is over, unless it ends already. */
-  public void started() {
+  public void startServing() {
     transition(State.STARTING, State.SERVING);
   }
 
@@ -63,11 +63,11 @@
 
   /** True when it is serving now. */
   public boolean undrain() {
-    return transition(State.DRAINING, State.SERVING) || serving();
+    return transition(State.DRAINING, State.SERVING) || isServing();
   }
 
   /** The process is about to end: nothing leads back. */
-  public void end() {
+  public void shutDown() {
     phase.set(new Phase(State.ENDING, clock.now()));
   }
 
--- a/src/main/java/quotagateway/server/GatewayServer.java
+++ b/src/main/java/quotagateway/server/GatewayServer.java
@@ -93,7 +93,7 @@
     LOG.info("listening address=" + config.listenAddress());
     listen(config.listenAddress());
     serving.announce();
-    lifecycle.started();
+    lifecycle.startServing();
   }
 
   private void listen(InetSocketAddress address) throws IOException, InterruptedException {
--- a/src/main/java/quotagateway/server/GracefulShutdown.java
+++ b/src/main/java/quotagateway/server/GracefulShutdown.java
@@ -61,7 +61,7 @@
    * @param settings in use, whose longest deadline is waited for
    */
   void run(PolicySettings settings) {
-    lifecycle.end();
+    lifecycle.shutDown();
     stopAccepting();
     watchForIdle();
     try {
--- a/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
+++ b/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
@@ -428,7 +428,7 @@
         .loop
         .submit(
             () -> {
-              gateway.lifecycle().end();
+              gateway.lifecycle().shutDown();
               gateway.clients().shutDown();
             })
         .sync();
--- a/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
+++ b/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
@@ -68,7 +68,7 @@
     GatewayServer gateway = fixture.start();
     Thread end = new Thread(gateway::shutDownGracefully);
     end.start();
-    while (gateway.lifecycle().serving()) {
+    while (gateway.lifecycle().isServing()) {
       Thread.onSpinWait();
     }
     assertEquals(503, fixture.client().ask(UP).status());
