--- a/src/main/java/quotagateway/counter/CounterConnection.java
+++ b/src/main/java/quotagateway/counter/CounterConnection.java
@@ -90,7 +90,7 @@
     this.owner = owner;
   }
 
-  /** Opens a channel; where that fails, tries again after a backoff. */
+  /** Opens a channel; where that fails, does so again after a backoff. */
   void connect() {
     dialer.dial(address, this).addListener((ChannelFuture connected) -> onConnect(connected));
   }
--- a/src/main/java/quotagateway/discovery/DiscoveryClient.java
+++ b/src/main/java/quotagateway/discovery/DiscoveryClient.java
@@ -67,7 +67,7 @@
    * Creates a client that has yet to be started.
    *
    * @param loop runs the client
-   * @param clock tells how long a watch lasted
+   * @param clock measures how long a watch lasted
    * @param dialer opens connections; see {@link #dialer}
    * @param agent where discovery is watched
    * @param version the version of the list in use: the watch begins with what changed after it
--- a/src/main/java/quotagateway/discovery/DiscoveryWatch.java
+++ b/src/main/java/quotagateway/discovery/DiscoveryWatch.java
@@ -137,7 +137,7 @@
 
   /**
    * Prevents a watch that waits for ever for a machine that has vanished, which resets nothing: no
-   * change would be heard of again. Cost: a timer for each watch.
+   * change would be received again. Cost: a timer for each watch.
    */
   private void checkSilence() {
     if (!owner.isCurrent(this) || !channel.isActive()) {
--- a/src/main/java/quotagateway/discovery/WatchBackoff.java
+++ b/src/main/java/quotagateway/discovery/WatchBackoff.java
@@ -6,7 +6,7 @@
 /**
  * How long to wait before the next watch of the endpoint list. A watch that ended is opened again
  * soon, since every change counts as notified a few seconds after discovery had it. While list
- * after list is invalid the delays grow, since every gateway asks for the same list again. Not
+ * after list is invalid the delays grow, since every gateway requests the same list again. Not
  * thread-safe: belongs to the event loop of its client.
  */
 final class WatchBackoff {
--- a/src/test/java/quotagateway/discovery/EndpointListTiming.java
+++ b/src/test/java/quotagateway/discovery/EndpointListTiming.java
@@ -21,9 +21,9 @@
 import quotagateway.policy.settings.PolicySettings;
 
 /**
- * Prints how long a whole list, and a zone that goes at once, hold the loop, by the clock and by
- * the thread's own processor time, which leaves out collections and other programs; and the heap in
- * use after each.
+ * Prints for how long a snapshot, and the removal of a zone at once, occupy the event loop, by the
+ * clock and by the thread's own processor time, which leaves out garbage collections and other
+ * programs; and the heap in use after each.
  */
 final class EndpointListTiming {
 
@@ -39,38 +39,39 @@
   private final EndpointListReader reader;
   private final double[] micros = new double[LENGTH];
   private final double[] ownMicros = new double[LENGTH];
-  private final Queue<Runnable> turns = new ArrayDeque<>();
+  private final Queue<Runnable> tasks = new ArrayDeque<>();
   private int steps;
-  private boolean sweeps;
+  private boolean sweepPending;
 
   private EndpointListTiming(PolicySettings settings) {
     policy = new GatewayPolicy(settings, 1);
     policy.start(NOW_MS);
-    EndpointUpdateDispatcher feed =
+    EndpointUpdateDispatcher dispatcher =
         new EndpointUpdateDispatcher(
-            turns::add,
-            news -> take(policy.on(NOW_MS, new EndpointsUpdated(news.form(), news.endpoints()))));
-    reader = new EndpointListReader(Integer.MAX_VALUE, feed::dispatch);
+            tasks::add,
+            update ->
+                apply(policy.on(NOW_MS, new EndpointsUpdated(update.form(), update.endpoints()))));
+    reader = new EndpointListReader(Integer.MAX_VALUE, dispatcher::dispatch);
   }
 
   public static void main(String[] arguments) throws IOException {
     PolicySettings settings = SettingsParser.parse(Map.of("Balancers", 2_000));
     for (int round = 0; round < 2; round++) {
       EndpointListTiming timing = new EndpointListTiming(settings);
-      timing.tell("first list", true, "active", i -> true);
-      timing.tell("the same list again", true, "active", i -> true);
-      timing.tell("a zone told as left", false, "left", i -> i % ZONES == 0);
-      timing.tell("a whole list without another zone", true, "active", i -> i % ZONES > 1);
+      timing.send("first list", true, "active", i -> true);
+      timing.send("the same list again", true, "active", i -> true);
+      timing.send("a zone as removed", false, "left", i -> i % ZONES == 0);
+      timing.send("a snapshot without another zone", true, "active", i -> i % ZONES > 1);
     }
   }
 
-  private void take(List<Action> actions) {
-    sweeps =
+  private void apply(List<Action> actions) {
+    sweepPending =
         actions.stream()
             .anyMatch(a -> a instanceof ScheduleTimer wake && wake.timer() == Timer.ENDPOINT_SWEEP);
   }
 
-  private void tell(String name, boolean full, String state, IntPredicate which)
+  private void send(String name, boolean full, String state, IntPredicate which)
       throws IOException {
     steps = 0;
     StringBuilder text = new StringBuilder("{\"version\":7,\"full\":" + full + ",\"servers\":[");
@@ -85,11 +86,11 @@
       }
     }
     read(text.append("]}\n"));
-    while (!turns.isEmpty()) {
-      step(turns.poll()::run);
+    while (!tasks.isEmpty()) {
+      step(tasks.poll()::run);
     }
-    while (sweeps) {
-      step(() -> take(policy.on(NOW_MS, new TimerFired(Timer.ENDPOINT_SWEEP))));
+    while (sweepPending) {
+      step(() -> apply(policy.on(NOW_MS, new TimerFired(Timer.ENDPOINT_SWEEP))));
     }
     Arrays.sort(micros, 0, steps);
     Arrays.sort(ownMicros, 0, steps);
--- a/src/test/java/quotagateway/scale/BackendSweep.java
+++ b/src/test/java/quotagateway/scale/BackendSweep.java
@@ -99,7 +99,7 @@
       List<EndpointListModel.Change> part = all.subList(from, Math.min(all.size(), from + MESSAGE));
       byte[] message = model.changeMessage(part).getBytes(StandardCharsets.UTF_8);
       double cpu = Stopwatch.cpuMs();
-      entries.addAll(WireFormats.roster(message).endpoints());
+      entries.addAll(WireFormats.readEndpointList(message).endpoints());
       spent += Stopwatch.cpuMs() - cpu;
     }
     double cpu = Stopwatch.cpuMs();
@@ -126,7 +126,8 @@
       List<EndpointListModel.Change> part =
           changes.subList(from, Math.min(changes.size(), from + MESSAGE));
       String message = model.changeMessage(part);
-      entries.addAll(WireFormats.roster(message.getBytes(StandardCharsets.UTF_8)).endpoints());
+      entries.addAll(
+          WireFormats.readEndpointList(message.getBytes(StandardCharsets.UTF_8)).endpoints());
     }
     return new EndpointsUpdated(EndpointListForm.DELTA, entries);
   }
@@ -153,7 +154,7 @@
   private static double longestTurn(GatewayPolicy policy, EndpointsUpdated message) {
     double longest = 0;
     List<Action> actions = new ArrayList<>();
-    for (EndpointsUpdated piece : WireFormats.turns(message)) {
+    for (EndpointsUpdated piece : WireFormats.fragments(message)) {
       longest =
           Math.max(longest, Stopwatch.repeat(1, 0, () -> actions.addAll(policy.on(3, piece)))[0]);
     }
--- a/src/test/java/quotagateway/scale/ChangeSweep.java
+++ b/src/test/java/quotagateway/scale/ChangeSweep.java
@@ -89,7 +89,7 @@
 
   private static void take(GatewayPolicy policy, byte[] message) {
     try {
-      policy.on(2, WireFormats.roster(message));
+      policy.on(2, WireFormats.readEndpointList(message));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/src/test/java/quotagateway/scale/EndpointListModel.java
+++ b/src/test/java/quotagateway/scale/EndpointListModel.java
@@ -60,7 +60,7 @@
   private Endpoint read(Backend backend) {
     String text = message(false, List.of(new Change(backend, EndpointState.SERVING)));
     try {
-      return WireFormats.roster(text.getBytes(StandardCharsets.UTF_8)).endpoints().get(0);
+      return WireFormats.readEndpointList(text.getBytes(StandardCharsets.UTF_8)).endpoints().get(0);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/src/test/java/quotagateway/scale/HollowGateway.java
+++ b/src/test/java/quotagateway/scale/HollowGateway.java
@@ -109,7 +109,7 @@
   void endpointList(byte[] message) {
     if (up) {
       try {
-        deliver(WireFormats.roster(message));
+        deliver(WireFormats.readEndpointList(message));
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
@@ -166,7 +166,7 @@
 
   private void count(IncrementCounter add) {
     CounterCall call = new CounterCall(fleet, this, add);
-    call.write(WireFormats.counterCall(add));
+    call.write(WireFormats.encodeIncrement(add));
   }
 
   void counted(CounterReplied answer) {
--- a/src/test/java/quotagateway/scale/ScaleTest.java
+++ b/src/test/java/quotagateway/scale/ScaleTest.java
@@ -161,11 +161,11 @@
   @Test
   void theListIsReadByTheProgramAndItsChangesNameTheSameBackends() throws IOException {
     EndpointListModel model = new EndpointListModel(57, 7070, 3);
-    EndpointsUpdated whole = WireFormats.roster(bytes(model.wholeMessage()));
+    EndpointsUpdated whole = WireFormats.readEndpointList(bytes(model.wholeMessage()));
     assertEquals(EndpointListForm.SNAPSHOT, whole.form());
     assertEquals(model.entries(), whole.endpoints());
     List<EndpointListModel.Change> changes = model.replaceOne(5);
-    EndpointsUpdated told = WireFormats.roster(bytes(model.changeMessage(changes)));
+    EndpointsUpdated told = WireFormats.readEndpointList(bytes(model.changeMessage(changes)));
     assertEquals(EndpointListForm.DELTA, told.form());
     assertEquals(changes.stream().map(EndpointListModel::entry).toList(), told.endpoints());
     assertEquals(3, model.zone(1, EndpointState.REMOVED).size());
--- a/src/test/java/quotagateway/testing/WireFormats.java
+++ b/src/test/java/quotagateway/testing/WireFormats.java
@@ -27,33 +27,33 @@
    * @throws IOException where a watch would end: malformed, without a list, or beyond a limit of
    *     the reader
    */
-  public static EndpointsUpdated roster(byte[] message) throws IOException {
-    List<EndpointUpdate> heard = new ArrayList<>();
-    new EndpointListReader(Integer.MAX_VALUE, heard::add).read(message);
-    if (heard.size() != 1) {
-      throw new IOException("not one whole message");
+  public static EndpointsUpdated readEndpointList(byte[] message) throws IOException {
+    List<EndpointUpdate> received = new ArrayList<>();
+    new EndpointListReader(Integer.MAX_VALUE, received::add).read(message);
+    if (received.size() != 1) {
+      throw new IOException("not one complete message");
     }
-    return new EndpointsUpdated(heard.get(0).form(), heard.get(0).endpoints());
+    return new EndpointsUpdated(received.get(0).form(), received.get(0).endpoints());
   }
 
   /**
-   * What a message tells, in the pieces in which the program applies it, each in a turn of its
-   * loop.
+   * Parts a message into the fragments in which the program applies it, each in a task of its own.
    */
-  public static List<EndpointsUpdated> turns(EndpointsUpdated whole) {
-    Queue<Runnable> turns = new ArrayDeque<>();
-    List<EndpointsUpdated> pieces = new ArrayList<>();
+  public static List<EndpointsUpdated> fragments(EndpointsUpdated message) {
+    Queue<Runnable> tasks = new ArrayDeque<>();
+    List<EndpointsUpdated> fragments = new ArrayList<>();
     new EndpointUpdateDispatcher(
-            turns::add, piece -> pieces.add(new EndpointsUpdated(piece.form(), piece.endpoints())))
-        .dispatch(new EndpointUpdate(0, whole.form(), whole.endpoints()));
-    while (!turns.isEmpty()) {
-      turns.poll().run();
+            tasks::add,
+            fragment -> fragments.add(new EndpointsUpdated(fragment.form(), fragment.endpoints())))
+        .dispatch(new EndpointUpdate(0, message.form(), message.endpoints()));
+    while (!tasks.isEmpty()) {
+      tasks.poll().run();
     }
-    return pieces;
+    return fragments;
   }
 
-  /** The line of one call to the counter, its end included. */
-  public static String counterCall(IncrementCounter call) {
+  /** The line of one call to the counter, with its line end. */
+  public static String encodeIncrement(IncrementCounter call) {
     return CounterLineCodec.encodeIncrement(call.counterName(), call.amount(), call.ttlMs());
   }
 }
