--- a/src/main/java/quotagateway/discovery/EndpointBuilder.java
+++ b/src/main/java/quotagateway/discovery/EndpointBuilder.java
@@ -79,7 +79,7 @@
   private static long hash(String id) {
     long hash = FNV_1A_OFFSET_BASIS;
     for (byte b : id.getBytes(StandardCharsets.UTF_8)) {
-      hash = (hash ^ b & 0xff) * FNV_1A_PRIME;
+      hash = (hash ^ (b & 0xff)) * FNV_1A_PRIME;
     }
     return hash >>> 1;
   }
--- a/src/main/java/quotagateway/transport/BackendAddress.java
+++ b/src/main/java/quotagateway/transport/BackendAddress.java
@@ -28,9 +28,9 @@
     }
     long number = 0;
     for (byte b : ip.getAddress()) {
-      number = number << Byte.SIZE | b & 0xff;
+      number = (number << Byte.SIZE) | (b & 0xff);
     }
-    return number << PORT_BITS | address.getPort();
+    return (number << PORT_BITS) | address.getPort();
   }
 
   /** Decodes what {@link #encode} gave for an address. */
--- a/src/test/java/quotagateway/testing/FakeCounter.java
+++ b/src/test/java/quotagateway/testing/FakeCounter.java
@@ -47,7 +47,7 @@
 
   /** Adds as a call says, and gives the reply with the total. */
   public String count(String line) {
-    String[] parts = line.split(" ");
+    String[] parts = line.split(" ", -1);
     return "ok " + counts.merge(parts[1], Double.valueOf(parts[2]), Double::sum);
   }
 
--- a/src/test/java/quotagateway/testing/HttpMessage.java
+++ b/src/test/java/quotagateway/testing/HttpMessage.java
@@ -80,7 +80,7 @@
 
   /** The status of a response. */
   public int status() {
-    return Integer.parseInt(head.split(" ")[1]);
+    return Integer.parseInt(head.split(" ", 3)[1]);
   }
 
   /** The value of the first header of a name, or null. */
