--- a/src/main/java/quotagateway/backend/Attempt.java
+++ b/src/main/java/quotagateway/backend/Attempt.java
@@ -146,7 +146,7 @@
   }
 
   /**
-   * How it ends if its time is up: without a connection that tells nothing of its backend, and one
+   * How it ends if its time is up: without a connection that says nothing of its backend, and one
    * that was not written completely was not executed.
    */
   final Status statusIfTimedOut() {
--- a/src/main/java/quotagateway/backend/BackendConnection.java
+++ b/src/main/java/quotagateway/backend/BackendConnection.java
@@ -91,7 +91,7 @@
     idleBeforeUseMs = nowMs - idleSinceMs;
   }
 
-  /** Closes it while no attempt is on it; its end then tells nothing about idle connections. */
+  /** Closes it while no attempt is on it; its end then says nothing about idle connections. */
   void close() {
     reused = false;
     channel.close();
--- a/src/main/java/quotagateway/backend/BackendConnections.java
+++ b/src/main/java/quotagateway/backend/BackendConnections.java
@@ -20,7 +20,7 @@
   /**
    * A connection is used again only when it has been quiet for this long after a response. Prevents
    * a second copy of a response just behind the first from being taken for the next one's: nothing
-   * but the moment of its coming tells them apart.
+   * but the moment of its coming distinguishes them.
    */
   private static final double SETTLE_MS = 4;
 
--- a/src/main/java/quotagateway/backend/RequestBody.java
+++ b/src/main/java/quotagateway/backend/RequestBody.java
@@ -54,7 +54,7 @@
 
   /**
    * @param source asked for more, or to pause
-   * @param heldBytesChange told by how many bytes more, or less, are kept
+   * @param heldBytesChange notified by how many bytes more, or less, are kept
    */
   public RequestBody(Source source, IntConsumer heldBytesChange) {
     this.source = source;
--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -256,8 +256,8 @@
 
   /**
    * Whether the connection is kept after the response to an exchange. In a crowd a kept connection
-   * is a place that another client may not find. What has come completely behind this request was
-   * accepted from its client, and is answered first.
+   * is a place that another client may not find. Prevents the loss of pipelined requests behind an
+   * end: those that have come already are answered first, and the last of them ends the connection.
    */
   boolean keptAfter(Exchange answered) {
     boolean endWanted = context.draining() || connections.crowded() || assembler.overrun();
--- a/src/main/java/quotagateway/client/ClientConnections.java
+++ b/src/main/java/quotagateway/client/ClientConnections.java
@@ -13,8 +13,8 @@
 final class ClientConnections {
 
   /**
-   * This part of the connections may exceed the budget: those are still told so by a 503, further
-   * ones are closed at once.
+   * This part of the connections may exceed the budget: those still get a 503, further ones are
+   * closed at once.
    */
   private static final int MAX_EXCESS_DIVISOR = 16;
 
--- a/src/main/java/quotagateway/client/ConnectionCloser.java
+++ b/src/main/java/quotagateway/client/ConnectionCloser.java
@@ -59,9 +59,7 @@
     return closing;
   }
 
-  /**
-   * Closes the connection without regard to what is on it; the channel's end then does the rest.
-   */
+  /** Closes the connection without regard to what is on it; the channel's end then cleans up. */
   void closeAtOnce() {
     channel.close();
   }
--- a/src/main/java/quotagateway/client/RequestAssembler.java
+++ b/src/main/java/quotagateway/client/RequestAssembler.java
@@ -101,7 +101,9 @@
   }
 
   /**
-   * Called with the size of what has come, before it is decoded.
+   * Called with the size of what has come, before it is decoded. Prevents a request from being read
+   * after the connection has begun to close, as at a shutdown: what is read and then not answered
+   * is lost, while an unread request is sent again by its client.
    *
    * @return false when nothing more is wanted, and the bytes are to be dropped
    */
--- a/src/main/java/quotagateway/client/RequestLimits.java
+++ b/src/main/java/quotagateway/client/RequestLimits.java
@@ -9,7 +9,7 @@
   /** The largest body that is forwarded; a client that announces or sends more gets 413. */
   static final long MAX_BODY_BYTES = 32L << 20;
 
-  /** Requests kept behind the open one; a client that sends more gets no responses to the rest. */
+  /** Requests kept behind the open one; a client that sends more gets no responses beyond them. */
   static final int MAX_PIPELINED_REQUESTS = 16;
 
   /**
--- a/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
+++ b/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
@@ -74,11 +74,11 @@
             10_000,
             new ConnectionBudget(places),
             new SingleEndpoint(port));
-    pool.onEndpointsUpdated(news());
+    pool.onEndpointsUpdated(snapshot());
     return pool;
   }
 
-  private static EndpointUpdate news() {
+  private static EndpointUpdate snapshot() {
     return new EndpointUpdate(
         1, true, List.of(new Endpoint(1, "a", 0, EndpointState.SERVING, 1, 0)));
   }
@@ -97,15 +97,19 @@
   private Attempt attempt(DefaultHttpRequest head, RequestBody body, double timeoutMs) {
     return new Attempt(head, body, timeoutMs) {
       @Override
-      public void onEnd(Status status, FullHttpResponse answer) {
+      public void onEnd(Status status, FullHttpResponse response) {
         ends.add(status);
       }
     };
   }
 
-  /** The loop stands still until the backend has taken the connection and reset it. */
+  /**
+   * A backend, or something before it, takes a connection and resets it at once. That shows that
+   * something lives there; reported as a refused connection it would be taken for a restart. The
+   * loop stands still until the backend has done so.
+   */
   @Test
-  void aConnectionResetWhileItOpensIsNoRefusal() throws Exception {
+  void resetWhileConnectingIsNoConnectFailure() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       loop.submit(
               () -> {
@@ -125,7 +129,7 @@
   }
 
   @Test
-  void aRefusedConnectionIsUnreachable() throws Exception {
+  void refusedConnectionEndsAsConnectFailed() throws Exception {
     int port = freePort();
     loop.submit(() -> pool(100, port).start(1, attempt(5_000), FOREVER)).sync();
     assertEquals(Status.CONNECT_FAILED, Peers.next(ends));
@@ -151,7 +155,7 @@
             10_000,
             new ConnectionBudget(100),
             new SingleEndpoint(1));
-    pool.onEndpointsUpdated(news());
+    pool.onEndpointsUpdated(snapshot());
     return pool;
   }
 
@@ -161,10 +165,11 @@
   }
 
   /**
-   * What the connection took to come up is gone from the client's time, and so from what is told.
+   * A connection is long in coming up. That time is gone from the client's, so the backend is given
+   * less.
    */
   @Test
-  void anAttemptTellsTheTimeThatIsLeftWhenItIsWritten() {
+  void writtenRequestStatesTheTimeLeftAfterConnecting() {
     slowPool().start(1, attempt(1_000), FOREVER);
     connectAfter(240_500);
     ByteBuf written = dialled.readOutbound();
@@ -173,9 +178,12 @@
     written.release();
   }
 
-  /** The window of its repeats may be over by the time that the connection is up. */
+  /**
+   * A retry waits for its connection until the deduplication window may be over: written then, it
+   * would be executed a second time.
+   */
   @Test
-  void anAttemptWhoseConnectionComesTooLateIsNotWritten() {
+  void attemptIsNotWrittenWhenItsConnectionComesTooLate() {
     slowPool().start(1, attempt(1_000), 200);
     connectAfter(240_500);
     assertNull(dialled.readOutbound());
@@ -188,7 +196,7 @@
    * look.
    */
   @Test
-  void aConnectionThatIsUpAfterTheTimeToWriteCarriesNothing() throws Exception {
+  void connectionUpAfterTheWriteLimitIsClosedUnused() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       server.setSoTimeout(10_000);
       loop.submit(
@@ -201,7 +209,7 @@
                         10_000,
                         new ConnectionBudget(100),
                         new SingleEndpoint(server.getLocalPort()));
-                pool.onEndpointsUpdated(news());
+                pool.onEndpointsUpdated(snapshot());
                 pool.start(1, attempt(60_000), 20_000);
                 nanos.addAndGet(TimeUnit.SECONDS.toNanos(21));
               })
@@ -214,9 +222,12 @@
     }
   }
 
-  /** A backend that reads slowly must not get the last byte of a repeat behind its window. */
+  /**
+   * A backend reads slowly, so that the last byte of a retry would reach it behind the
+   * deduplication window. The attempt is given up before.
+   */
   @Test
-  void anAttemptThatIsNotWrittenWholeInTimeIsGivenUpUnwritten() throws Exception {
+  void attemptNotWrittenWholeInTimeIsAbandoned() throws Exception {
     int size = 60_000;
     try (ServerSocket server = new ServerSocket()) {
       server.setReceiveBufferSize(FEW_BYTES);
@@ -238,7 +249,7 @@
                         10_000,
                         new ConnectionBudget(100),
                         new SingleEndpoint(server.getLocalPort()));
-                pool.onEndpointsUpdated(news());
+                pool.onEndpointsUpdated(snapshot());
                 DefaultHttpRequest head =
                     new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/buy/1");
                 head.headers().set("Content-Length", size);
@@ -258,11 +269,11 @@
   }
 
   /**
-   * The module may send the next attempt as soon as one has ended: no copy may be left open by
-   * then.
+   * The policy may start the next attempt as soon as one has ended. No copy may be out on an open
+   * connection by then.
    */
   @Test
-  void anAbandonedAttemptEndsBehindItsConnection() {
+  void abandonedAttemptEndsAfterItsConnectionIsClosed() {
     List<Boolean> openAtEnd = new ArrayList<>();
     Attempt attempt =
         new Attempt(
@@ -270,7 +281,7 @@
             RequestBody.of(Unpooled.EMPTY_BUFFER),
             1_000) {
           @Override
-          public void onEnd(Status status, FullHttpResponse answer) {
+          public void onEnd(Status status, FullHttpResponse response) {
             openAtEnd.add(dialled.isOpen());
             ends.add(status);
           }
@@ -284,7 +295,7 @@
   }
 
   @Test
-  void anAttemptWhoseConnectionIsThereInTimeIsWritten() {
+  void attemptIsWrittenWhenItsConnectionComesInTime() {
     slowPool().start(1, attempt(1_000), 200);
     connectAfter(190_500);
     ByteBuf written = dialled.readOutbound();
@@ -294,11 +305,11 @@
   }
 
   /**
-   * No place here, a backend that has just left the list, no time left to connect: none is its
-   * fault.
+   * There is no place for a connection here, the backend has just left the list, or no time is left
+   * to connect. None of these is the backend's fault, and none may count against it.
    */
   @Test
-  void whatThisGatewayCouldNotSendTellsNothingOfTheBackend() throws Exception {
+  void attemptThatCannotBeSentEndsAsNotSent() throws Exception {
     int port = freePort();
     loop.submit(() -> pool(0, port).start(1, attempt(5_000), FOREVER)).sync();
     assertEquals(Status.NOT_SENT, Peers.next(ends));
@@ -314,11 +325,11 @@
   }
 
   /**
-   * Where descriptors have run out there is no channel, which could give its place back when it
-   * closes.
+   * Descriptors have run out: there is no channel that could return its place in the budget when it
+   * closes. Kept, such places would add up until no connection is allowed.
    */
   @Test
-  void anAttemptForWhichNoSocketIsToBeHadGivesItsPlaceBack() {
+  void failedSocketReturnsItsPlaceToTheBudget() {
     List<InetSocketAddress> dialledAddresses = new ArrayList<>();
     BackendConnectionPool pool =
         new BackendConnectionPool(
@@ -331,7 +342,7 @@
             10_000,
             new ConnectionBudget(1),
             new SingleEndpoint(1));
-    pool.onEndpointsUpdated(news());
+    pool.onEndpointsUpdated(snapshot());
     pool.start(1, attempt(5_000), FOREVER);
     pool.start(1, attempt(5_000), FOREVER);
     assertEquals(List.of(Status.NOT_SENT, Status.NOT_SENT), List.copyOf(ends));
@@ -339,11 +350,12 @@
   }
 
   /**
-   * A kept connection that turns out dead costs a request that can be repeated nothing, and others
-   * all.
+   * Something on the way forgets idle connections. A dead one costs a request that can be retried
+   * nothing, and one that must not be executed twice its response; such a one gets a new
+   * connection.
    */
   @Test
-  void whatMustNotRunTwiceGoesOnANewConnectionWhereKeptOnesDied() throws Exception {
+  void nonIdempotentAttemptAvoidsIdleConnectionsWhereTheyDie() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       server.setSoTimeout(10_000);
       BackendConnectionPool pool =
--- a/src/test/java/quotagateway/backend/IdleConnectionReuseTest.java
+++ b/src/test/java/quotagateway/backend/IdleConnectionReuseTest.java
@@ -11,19 +11,23 @@
   private final IdleConnectionReuse reuse = new IdleConnectionReuse();
 
   @Test
-  void trustsAnyWhileNoneWasFoundDead() {
+  void allowsAnyIdleTimeWhileNoConnectionWasDead() {
     assertTrue(reuse.allows(9_000));
   }
 
   @Test
-  void trustsHalfOfWhatWasFoundDead() {
+  void allowsHalfTheIdleTimeOfDeadConnections() {
     reuse.recordDead(200);
     assertTrue(reuse.allows(90));
     assertFalse(reuse.allows(110));
   }
 
+  /**
+   * Connections died early during a fault. When it is over, those that survive show it, and the
+   * allowed time grows again.
+   */
   @Test
-  void regainsTrustWhenTheTroubleIsOver() {
+  void allowsLongerIdleTimesAgainWhenConnectionsSurvive() {
     reuse.recordDead(200);
     for (int i = 0; i < 200; i++) {
       reuse.recordAlive(1_000);
--- a/src/test/java/quotagateway/backend/SingleEndpoint.java
+++ b/src/test/java/quotagateway/backend/SingleEndpoint.java
@@ -6,8 +6,8 @@
 import quotagateway.endpoint.ServingEndpoints;
 import quotagateway.transport.BackendAddress;
 
-/** A listing of one backend, number 1. */
-record SingleEndpoint(long place, double startedMs) implements ServingEndpoints {
+/** An endpoint list of one backend, number 1. */
+record SingleEndpoint(long listedAddress, double startedMs) implements ServingEndpoints {
 
   /** At a port of this machine. */
   SingleEndpoint(int port) {
@@ -16,7 +16,7 @@
 
   @Override
   public long address(long id) {
-    return id == 1 ? place : Endpoint.NO_ADDRESS;
+    return id == 1 ? listedAddress : Endpoint.NO_ADDRESS;
   }
 
   @Override
--- a/src/test/java/quotagateway/server/ClientDisconnectTest.java
+++ b/src/test/java/quotagateway/server/ClientDisconnectTest.java
@@ -57,7 +57,7 @@
   private final Peers peers = new Peers();
   private final CountDownLatch resume = new CountDownLatch(1);
   private final BlockingQueue<OutputStream> asked = new LinkedBlockingQueue<>();
-  private GatewayServer door;
+  private GatewayServer gateway;
 
   @AfterEach
   void close() throws Exception {
@@ -67,7 +67,7 @@
 
   /** Its requests wait for the counter, and for backends, until their time is up. */
   private void start(String config) throws Exception {
-    door =
+    gateway =
         peers.start(
             config
                 .replace("\"CountLimitMs\":50", "\"CountLimitMs\":20000")
@@ -82,7 +82,7 @@
 
   private void holdLoop() throws InterruptedException {
     CountDownLatch held = new CountDownLatch(1);
-    door.loop.execute(
+    gateway.loop.execute(
         () -> {
           held.countDown();
           try {
@@ -121,12 +121,12 @@
       assertEquals(200, client.receive().status());
       client.close();
     }
-    door.loop.schedule(() -> {}, SETTLED_MS, TimeUnit.MILLISECONDS).sync();
+    gateway.loop.schedule(() -> {}, SETTLED_MS, TimeUnit.MILLISECONDS).sync();
   }
 
   private void awaitClosed() throws Exception {
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
-    while (door.loop.submit(() -> !door.clients().hasNoConnections()).get()) {
+    while (gateway.loop.submit(() -> !gateway.clients().hasNoConnections()).get()) {
       assertTrue(System.nanoTime() < until, "the connection of a client that has left is kept");
     }
   }
@@ -143,10 +143,15 @@
     assertEquals("later", Peers.next(peers.atBackend).header("Request-Id"));
   }
 
-  /** The plan's limit of open requests makes the first call one for a place among those. */
+  /**
+   * The event loop stands still; meanwhile the counter replies and the client leaves. The loop then
+   * reads the reply first, and would start the first attempt for a client that is gone. The reply
+   * admits the request, or where the plan limits concurrency gives it a permit.
+   */
   @ParameterizedTest
   @CsvSource({"CLOSE,false", "HALF_CLOSE,false", "RESET,false", "CLOSE,true"})
-  void theCountersAnswerIsReadBeforeTheClose(Leaving leaving, boolean forPlace) throws Exception {
+  void noAttemptStartsWhenTheCounterReplyIsReadBeforeTheClose(Leaving leaving, boolean forPlace)
+      throws Exception {
     assumeTrue(Epoll.isAvailable(), NEEDS_EPOLL);
     start(forPlace ? config().replace("\"Refill\":400,", "\"Open\":1,") : config());
     keepConnections(1);
@@ -160,11 +165,12 @@
   }
 
   /**
-   * The next attempt would follow from a backend's answer that is read before the client's close.
+   * The event loop stands still; meanwhile a backend answers with an error and the client leaves.
+   * The loop then reads the error first, and would start a retry for a client that is gone.
    */
   @ParameterizedTest
   @EnumSource
-  void aBackendsErrorIsReadBeforeTheClose(Leaving leaving) throws Exception {
+  void noRetryStartsWhenTheBackendsErrorIsReadBeforeTheClose(Leaving leaving) throws Exception {
     assumeTrue(Epoll.isAvailable(), NEEDS_EPOLL);
     start(config());
     keepConnections(2);
@@ -180,7 +186,8 @@
   }
 
   /**
-   * A large body is not read on while its request, or one before it, waits; the close is behind it.
+   * A large body is not read on while its request, or one before it, waits for the counter. The
+   * client leaves, and its close lies unread behind the body: the kernel has to be asked.
    */
   @ParameterizedTest
   @CsvSource({
@@ -191,7 +198,7 @@
     "HALF_CLOSE,true",
     "RESET,true"
   })
-  void theCloseComesBehindABodyThatIsNotReadOn(Leaving leaving, boolean behindAnother)
+  void noAttemptStartsWhenTheCloseIsBehindAnUnreadBody(Leaving leaving, boolean behindAnother)
       throws Exception {
     assumeTrue(Epoll.isAvailable(), NEEDS_EPOLL);
     start(config());
@@ -206,12 +213,13 @@
   }
 
   /**
-   * The kernel has no room for all of such a body, so it hears of the close only when the rest is
-   * read.
+   * The kernel has no room for all of a huge body, so it learns of the client's close only when the
+   * rest is read, while the body is being streamed. The backend must not get the last byte: it
+   * would execute the request.
    */
   @ParameterizedTest
   @EnumSource
-  void theCloseComesWithTheEndOfAHugeBody(Leaving leaving) throws Exception {
+  void backendGetsNoLastByteWhenTheCloseIsBehindAHugeBody(Leaving leaving) throws Exception {
     assumeTrue(Epoll.isAvailable(), NEEDS_EPOLL);
     start(config());
     Client client = peers.client();
@@ -221,9 +229,13 @@
     assertNothingWasSent();
   }
 
+  /**
+   * A request waits for a backend, as discovery has listed none yet. Its client leaves, and then a
+   * backend is listed: the request must not be sent to it.
+   */
   @ParameterizedTest
   @EnumSource
-  void aClientLeavesBeforeThereIsABackend(Leaving leaving) throws Exception {
+  void noAttemptStartsWhenTheClientLeftBeforeABackendWasKnown(Leaving leaving) throws Exception {
     start(peers.config());
     Client client = peers.client();
     client.send(Peers.get("gone", 90_000));
--- a/src/test/java/quotagateway/server/DelayedReadTest.java
+++ b/src/test/java/quotagateway/server/DelayedReadTest.java
@@ -15,7 +15,7 @@
 import quotagateway.testing.Peers.Client;
 import quotagateway.testing.Peers.Message;
 
-/** What came while the front door stood still, as one that is short of CPU does. */
+/** What arrived while the gateway stood still, as one that is short of CPU does. */
 @Timeout(30)
 class DelayedReadTest {
 
@@ -25,10 +25,10 @@
 
   @BeforeEach
   void standStill() throws Exception {
-    GatewayServer door = peers.start();
+    GatewayServer gateway = peers.start();
     assertEquals(200, peers.client().ask(Peers.get("first", 3000)).status());
     Peers.next(peers.atBackend);
-    door.loop.execute(
+    gateway.loop.execute(
         () -> {
           standing.countDown();
           try {
@@ -45,8 +45,12 @@
     peers.close();
   }
 
+  /**
+   * The gateway stands still; 20 clients send a request and leave, one stays. When it goes on, only
+   * the request of the one that stayed reaches a backend.
+   */
   @Test
-  void noWorkIsDoneForClientsThatHaveGone() throws Exception {
+  void requestsOfClientsThatLeftDuringAStallAreNotForwarded() throws Exception {
     for (int i = 0; i < 20; i++) {
       Client gone = peers.client();
       gone.send(Peers.get("gone" + i, 3000));
@@ -59,9 +63,12 @@
     assertEquals("stays", Peers.next(peers.atBackend).header("Request-Id"));
   }
 
-  /** A backend is told the time that is left, not that which was there when the request came. */
+  /**
+   * A request arrives while the gateway stands still, and is read half a second later. The backend
+   * is given the time that is left since the arrival, not the time that the client stated.
+   */
   @Test
-  void timeCountsFromTheRequestsComing() throws Exception {
+  void requestTimeoutCountsFromTheArrivalDuringAStall() throws Exception {
     assumeTrue(Epoll.isAvailable(), "only there the kernel tells when it came");
     Client client = peers.client();
     client.send(Peers.get("old", 3000));
@@ -73,8 +80,12 @@
     assertTrue(left < 2_600, left + " ms told, 500 of 3000 were over");
   }
 
+  /**
+   * A request arrives while the gateway stands still, and its time is over before it is read. It is
+   * rejected and reaches no backend.
+   */
   @Test
-  void whatIsOverWhenItIsReadGoesNowhere() throws Exception {
+  void requestThatTimedOutDuringAStallIsRejectedUnsent() throws Exception {
     assumeTrue(Epoll.isAvailable(), "only there the kernel tells when it came");
     Client client = peers.client();
     client.send(Peers.get("over", 300));
--- a/src/test/java/quotagateway/server/MalformedResponseTest.java
+++ b/src/test/java/quotagateway/server/MalformedResponseTest.java
@@ -11,7 +11,7 @@
 import quotagateway.testing.Peers;
 import quotagateway.testing.Peers.Client;
 
-/** Answers that come spoilt, and good ones that bring more than belongs to them. */
+/** Malformed responses, and good ones that are followed by more than belongs to them. */
 @Timeout(30)
 class MalformedResponseTest {
 
@@ -26,9 +26,12 @@
     return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
   }
 
-  /** What lies behind an answer must never be served as the answer to the next request. */
+  /**
+   * A backend sends more than its response: a second copy, noise, part of a status line. Taken for
+   * the response to the next request on that connection it would be served to the wrong client.
+   */
   @Test
-  void whatComesBehindAnAnswerIsNotTheNextOne() throws Exception {
+  void bytesBehindAResponseAreNotTheNextResponse() throws Exception {
     peers.start();
     Client client = peers.client();
     int n = 0;
@@ -49,7 +52,7 @@
     }
   }
 
-  /** The same where the second copy comes in a segment of its own. */
+  /** The same where the second copy of a response comes in a segment of its own, just behind it. */
   @Test
   void aSecondCopyJustBehindIsNotTheNextAnswer() throws Exception {
     peers.start();
@@ -63,7 +66,7 @@
   }
 
   @Test
-  void informationalAnswersAheadArePassedOver() throws Exception {
+  void informationalResponsesAreSkipped() throws Exception {
     peers.start();
     Client client = peers.client();
     int n = 0;
@@ -85,13 +88,16 @@
     }
   }
 
-  /** None is served, and none holds its request for long: the module tries again at once. */
+  /**
+   * A response cannot be read, or stops half way. None is served, and none holds its request for
+   * long: the policy retries at once.
+   */
   @Test
-  void aSpoiltAnswerIsAFailedAttempt() throws Exception {
+  void malformedResponseFailsTheAttemptAndIsRetriedAtOnce() throws Exception {
     peers.start();
     Client client = peers.client();
     int n = 0;
-    for (String spoilt :
+    for (String malformed :
         new String[] {
           "\u0001\u0002\u0003noise\r\n\r\n",
           "HTTP/1.1 2x0 OK\r\n\r\nno",
@@ -110,24 +116,24 @@
         }) {
       AtomicInteger asked = new AtomicInteger();
       peers.answer =
-          (request, out) -> Peers.write(out, asked.incrementAndGet() == 1 ? spoilt : Peers.OK);
+          (request, out) -> Peers.write(out, asked.incrementAndGet() == 1 ? malformed : Peers.OK);
       long from = System.nanoTime();
-      assertEquals("fine", client.ask(Peers.get("r" + n++, 3900)).text(), spoilt);
-      assertEquals(2, asked.get(), spoilt);
-      assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(900), spoilt);
+      assertEquals("fine", client.ask(Peers.get("r" + n++, 3900)).text(), malformed);
+      assertEquals(2, asked.get(), malformed);
+      assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(900), malformed);
       for (int i = 0; i < 8; i++) {
-        // Earns the next repeat: the module allows so many for each first attempt.
+        // Earns the next retry: the policy allows so many for each first attempt.
         assertEquals(200, client.ask(Peers.get("g" + n + "-" + i, 3900)).status());
       }
     }
   }
 
   /**
-   * Kept connections that are dead at their next request, again and again: each costs one attempt,
-   * not the budget for further attempts.
+   * Idle connections are dead at their next request, again and again. Each costs one attempt, and
+   * not the budget of retries, so that all requests are served.
    */
   @Test
-  void aKeptConnectionThatTurnsOutDeadCostsNoRequest() throws Exception {
+  void deadIdleConnectionsCostNoRequest() throws Exception {
     int port =
         peers
             .listen(
@@ -147,9 +153,12 @@
     }
   }
 
-  /** Figures that cannot be read are unknown, not nought: nothing is settled by them. */
+  /**
+   * A backend's figure of charged units cannot be read. It is unknown rather than 0: the customer's
+   * account keeps the estimate.
+   */
   @Test
-  void anUnreadableFigureOfUnitsSettlesNothing() throws Exception {
+  void unreadableChargedUnitsSettleNothing() throws Exception {
     peers.start();
     Client client = peers.client();
     for (String units : new String[] {"%%%", "-3", "NaN", "1e999", ""}) {
--- a/src/test/java/quotagateway/server/MisbehavingClientTest.java
+++ b/src/test/java/quotagateway/server/MisbehavingClientTest.java
@@ -37,9 +37,12 @@
     peers.close();
   }
 
-  /** Descriptors run out without a bound; over it one connection is refused, not all of them. */
+  /**
+   * Without a bound on connections a crowd takes all descriptors, and nobody is served any more.
+   * Over the bound one connection is rejected with a 503 and closed; those within it keep working.
+   */
   @Test
-  void oneConnectionTooManyIsRefusedAndTheOthersAreServed() throws Exception {
+  void connectionOverTheBudgetIsRejectedWhileTheOthersAreServed() throws Exception {
     peers.start(peers.smallConfig());
     String request = Peers.get("r1", 3000);
     Client taken;
@@ -59,9 +62,13 @@
     assertEquals(200, taken.ask(request.substring(20)).status());
   }
 
-  /** Clients that ask once and keep their connection for good must not lock others out. */
+  /**
+   * Clients send one request each and keep their connection for good. Twice as many as there are
+   * places connect one after another: each is served, as connections end with their responses when
+   * places get scarce.
+   */
   @Test
-  void aCrowdThatAsksOnceAndStaysLocksNobodyOut() throws Exception {
+  void clientsThatKeepIdleConnectionsAreEvictedForNewOnes() throws Exception {
     peers.start(peers.smallConfig());
     assertNull(peers.client().ask(Peers.get("first", 3000)).header("Connection"));
     Message answer = null;
@@ -73,11 +80,11 @@
   }
 
   /**
-   * Clients and backends share one table: whichever side needs more gets it, and never both
-   * together.
+   * Connections of clients and to backends share the descriptors. Clients fill their part; backends
+   * get what was kept for them and no more; and either gets back what the other gives up.
    */
   @Test
-  void clientsAndBackendsNeverHoldMoreThanThereIs() {
+  void budgetIsSharedByClientsAndBackendsAndNeverExceeded() {
     ConnectionBudget places = new ConnectionBudget(100);
     int crowd = places.maxClientConnections();
     places.addClientConnections(crowd);
@@ -93,18 +100,21 @@
   }
 
   /**
-   * A loop never again runs a task that has thrown: the others would hold their places for good.
+   * An event loop never again runs a periodic task that has thrown: one faulty connection would let
+   * all overdue ones hold their places for good. One connection throws at its check; a silent one
+   * is closed all the same, and new clients are served.
    */
   @Test
-  void theOverdueAreEndedThoughOneConnectionFails() throws Exception {
-    GatewayServer door = peers.start();
+  void overdueConnectionsAreClosedThoughTheCheckOfAnotherThrows() throws Exception {
+    GatewayServer gateway = peers.start();
     Client silent = peers.client();
     FailingChannel failing =
-        door.loop
+        gateway
+            .loop
             .submit(
                 () -> {
                   FailingChannel channel = new FailingChannel();
-                  door.clients().adopt(channel);
+                  gateway.clients().adopt(channel);
                   channel.writeInbound(
                       Unpooled.copiedBuffer(
                           Peers.post("r1", "body").replace("body", "b"),
@@ -134,8 +144,13 @@
     }
   }
 
+  /**
+   * A client sends one header after another and never ends the request. It gets its error within
+   * the 3 s that misbehaving clients are owed: the time counts from the beginning, not from the
+   * last bytes.
+   */
   @Test
-  void aTrickleDoesNotExtendTheTimeForARequest() throws Exception {
+  void trickledHeadIsAnsweredWith408InTime() throws Exception {
     peers.start();
     Client client = peers.client();
     long from = System.nanoTime();
@@ -153,8 +168,12 @@
     assertTrue(System.nanoTime() - from < OWED_NANOS);
   }
 
+  /**
+   * A client connects and sends nothing. Its connection is closed within the 3 s that misbehaving
+   * clients are owed.
+   */
   @Test
-  void aConnectionThatSaysNothingIsEnded() throws Exception {
+  void silentConnectionIsClosedInTime() throws Exception {
     peers.start();
     long from = System.nanoTime();
     assertTrue(peers.client().ended());
@@ -162,14 +181,16 @@
   }
 
   /**
-   * The second request in the body must reach no backend, whichever of the two lengths is gone by.
+   * Request smuggling: two lengths, or an odd one, let one reader see a second request in what is a
+   * body to another. Such a request gets a 400 and the connection ends; the hidden one reaches no
+   * backend.
    */
   @Test
-  void whatCanBeFramedInTwoWaysIsRefusedAndTheConnectionEnds() throws Exception {
+  void requestWithAmbiguousFramingIsRejectedAndTheConnectionCloses() throws Exception {
     peers.start();
     String hidden = Peers.get("hidden", 3000);
     String post = Peers.post("r1", "");
-    for (String bad :
+    for (String invalid :
         new String[] {
           post.replace("Content-Length: 0", "Content-Length: 5\r\nTransfer-Encoding: chunked")
               + "0\r\n\r\n"
@@ -187,10 +208,10 @@
           post.replace("X-Quota:", "X-Quota: units=1,spread=2,first=1\r\nX-Quota:")
         }) {
       Client client = peers.client();
-      client.send(bad);
-      assertEquals(400, client.receive().status(), bad);
+      client.send(invalid);
+      assertEquals(400, client.receive().status(), invalid);
       client.socket.shutdownOutput();
-      assertTrue(client.ended(), bad);
+      assertTrue(client.ended(), invalid);
     }
     assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
     assertEquals("r2", Peers.next(peers.atBackend).header("Request-Id"));
@@ -198,15 +219,15 @@
   }
 
   /**
-   * A value out of range, in whomever's name, is no request: neither a backend nor a count hears of
-   * it.
+   * A value out of range, in whomever's name, is no request: a customer's account would move by
+   * what another one sent. It gets a 400, and neither a backend nor the counter hears of it.
    */
   @Test
-  void valuesOutOfRangeReachNeitherBackendNorCounter() throws Exception {
+  void headerValuesOutOfRangeReachNeitherBackendNorCounter() throws Exception {
     peers.start();
     String good = Peers.get("r1", 3000);
     Client client = peers.client();
-    for (String bad :
+    for (String invalid :
         new String[] {
           good.replace("units=2", "units=9"),
           good.replace("units=2", "units=-1"),
@@ -223,7 +244,7 @@
           good.replace("00000000b4d65521", "0000000200000000"),
           good.replace("00000000b4d65521", "ffffffffffffffff")
         }) {
-      assertEquals(400, client.ask(bad).status(), bad);
+      assertEquals(400, client.ask(invalid).status(), invalid);
     }
     assertEquals(200, client.ask(good).status());
     assertTrue(Peers.next(peers.atCounter).startsWith("incr "));
@@ -232,8 +253,12 @@
     assertNull(peers.atBackend.poll());
   }
 
+  /**
+   * A client announces 60 MB, or sends as much in chunks. It gets its error, or a close, before the
+   * body has come; nothing of it is executed, and other clients are served.
+   */
   @Test
-  void aHugeBodyGetsItsErrorBeforeItHasCome() throws Exception {
+  void bodyOverTheLimitIsAnsweredWith413BeforeItHasCome() throws Exception {
     peers.start();
     Client client = peers.client();
     client.send(Peers.post("r1", "").replace("Content-Length: 0", "Content-Length: 60000000"));
@@ -246,15 +271,18 @@
         chunked.send(chunk);
       }
     } catch (SocketException e) {
-      // The front door has ended the connection, which tells the client as well as the error does.
+      // The gateway has closed the connection, which the client sees as well as the error.
     }
     assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
     assertEquals("r2", Peers.next(peers.atBackend).header("Request-Id"), "none came whole before");
   }
 
-  /** More requests at once than are kept: those kept are answered, and the connection ends. */
+  /**
+   * A client sends 200 requests at once on one connection, which would all be kept in memory. Those
+   * within the limit are answered, and then the connection ends.
+   */
   @Test
-  void aFloodOnOneConnectionIsBounded() throws Exception {
+  void pipelinedRequestsBeyondTheLimitGetNoResponse() throws Exception {
     peers.start();
     StringBuilder flood = new StringBuilder();
     for (int i = 0; i < 200; i++) {
--- a/src/test/java/quotagateway/server/StreamingTest.java
+++ b/src/test/java/quotagateway/server/StreamingTest.java
@@ -23,7 +23,7 @@
 import quotagateway.testing.Peers.Client;
 import quotagateway.testing.Peers.Message;
 
-/** Bodies and answers that are too large to be held, slow ones, and the forms of HTTP/1.1. */
+/** Bodies and responses that are too large to be kept, slow ones, and the forms of HTTP/1.1. */
 @Timeout(60)
 class StreamingTest {
 
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void largeAnswersPassUnchanged() throws Exception {
+  void largeResponsesAreStreamedUnchanged() throws Exception {
     peers.start();
     byte[] body = bytes(LARGE);
     Client client = peers.client();
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void largeBodiesPassUnchanged() throws Exception {
+  void largeBodiesAreStreamedUnchanged() throws Exception {
     peers.start();
     byte[] body = bytes(LARGE);
     Client client = peers.client();
@@ -90,9 +90,12 @@
     assertArrayEquals(body, Peers.next(peers.atBackend).body());
   }
 
-  /** The end of such a body comes with the bytes at which reading pauses. */
+  /**
+   * The end of a body just too large to be kept comes with the bytes at which reading pauses.
+   * Nobody would ask for more of that body, and the connection would never be read again.
+   */
   @Test
-  void aConnectionIsReadOnAfterABodyJustTooLargeToBeHeld() throws Exception {
+  void connectionIsReadOnAfterABodyJustOverTheBuffer() throws Exception {
     peers.start();
     Client client = peers.client();
     assertEquals(
@@ -100,9 +103,12 @@
     assertEquals(200, client.ask(Peers.get("r2", 3000)).status());
   }
 
-  /** Otherwise the whole answer would lie here for as long as its client likes. */
+  /**
+   * A client does not read its large response. Without back pressure all of it would be kept here
+   * for as long as the client likes; so the backend is stopped until the client reads on.
+   */
   @Test
-  void aClientThatDoesNotReadStopsItsBackend() throws Exception {
+  void responseIsReadNoFasterThanItsClientReads() throws Exception {
     peers.start();
     AtomicLong written = new AtomicLong();
     int size = 64 << 20;
@@ -128,9 +134,12 @@
     assertEquals(200, peers.client().ask(Peers.get("r2", 3000).replace("r2", "next")).status());
   }
 
-  /** Its bytes tell that it is not whole, and no second answer follows a first part. */
+  /**
+   * A backend breaks off a response that its client has a part of. The client has to see that it is
+   * not whole, and no second response may follow the first part.
+   */
   @Test
-  void anAnswerThatBreaksIsSeenToBeBroken() throws Exception {
+  void brokenStreamedResponseIsVisiblyIncompleteAndNotRetried() throws Exception {
     peers.start();
     for (String framing : new String[] {"Content-Length: 1000000", "Transfer-Encoding: chunked"}) {
       peers.answer =
@@ -145,9 +154,12 @@
     }
   }
 
-  /** Announced, the end of a connection is the end of the answer; a reset is the end of none. */
+  /**
+   * Where a backend announces it, the end of the connection is the end of the response. A reset is
+   * the end of none: the part before it must not be served.
+   */
   @Test
-  void anAnswerMayEndWithItsConnection() throws Exception {
+  void responseMayEndWithItsConnectionButNotWithAReset() throws Exception {
     peers.start();
     int n = 0;
     for (int size : new int[] {0, 9, 300_000}) {
@@ -175,9 +187,12 @@
     assertTrue(peers.client().ask(Peers.get("r9", 3000)).status() != 200);
   }
 
-  /** Slow is not broken: time-outs go by progress, and the deadline ends with the first bytes. */
+  /**
+   * A response comes in slow pieces, for longer than the stall limit of one. It is slow rather than
+   * broken: it is served, and no second attempt is made.
+   */
   @Test
-  void answersInSlowPiecesAreServed() throws Exception {
+  void slowResponsesAreServedByTheirFirstAttempt() throws Exception {
     peers.start();
     AtomicInteger asked = new AtomicInteger();
     for (String framing : new String[] {"Content-Length: 8", "Transfer-Encoding: chunked"}) {
@@ -197,9 +212,13 @@
     assertEquals(2, asked.get());
   }
 
-  /** What has been handed on is gone: the client can send it again, the front door cannot. */
+  /**
+   * A backend breaks off while a large body is streamed to it. What was streamed is gone: the
+   * client can send it again, the gateway cannot. The request has never been executed, so it is
+   * rejected with a 503.
+   */
   @Test
-  void aBodyThatWasHandedOnIsNotSentAgain() throws Exception {
+  void streamedBodyIsNotRetried() throws Exception {
     AtomicInteger asked = new AtomicInteger();
     int port =
         peers
@@ -220,9 +239,12 @@
     assertEquals(1, asked.get());
   }
 
-  /** What never reached a backend is all there, and goes to another one with the rest. */
+  /**
+   * The first backend of a large body refuses the connection. Nothing of the body has been streamed
+   * yet, so it goes to another backend.
+   */
   @Test
-  void aLargeBodyOutlivesABackendThatIsNotReached() throws Exception {
+  void largeBodyIsRetriedWhereNoConnectionCameUp() throws Exception {
     int gone = peers.listen(50, (in, out, socket) -> {}).getLocalPort();
     peers.start(
         peers.config(
@@ -240,8 +262,12 @@
     }
   }
 
+  /**
+   * A client stops in the middle of a large body and stays. It gets a 408, and no backend executes
+   * the request.
+   */
   @Test
-  void aBodyThatStopsIsEndedAndRunsNowhere() throws Exception {
+  void bodyThatStopsIsAnsweredWith408AndNotExecuted() throws Exception {
     peers.start();
     Client client = peers.client();
     client.send(Peers.post("r1", "").replace("Length: 0", "Length: 1000000") + "x".repeat(100_000));
@@ -251,11 +277,11 @@
   }
 
   /**
-   * 64 kB a second are allowed, for as long as that takes; the time for the answer counts from its
-   * end.
+   * A client may send as slowly as 64 kB a second, for as long as the body takes; the time for the
+   * response counts from the end of the body.
    */
   @Test
-  void aSlowBodyIsTaken() throws Exception {
+  void slowBodyWithinTheMinimumRateIsServed() throws Exception {
     peers.start();
     Client client = peers.client();
     client.send(
@@ -269,7 +295,7 @@
   }
 
   @Test
-  void aClientThatAsksWhetherToSendItsBodyIsTold() throws Exception {
+  void expectContinueIsAnsweredWith100() throws Exception {
     peers.start();
     Client client = peers.client();
     for (int size : new int[] {5, 100_000}) {
@@ -283,7 +309,7 @@
   }
 
   @Test
-  void olderClientsAndWholeTargetsAreServed() throws Exception {
+  void http10ClientsAndAbsoluteTargetsAreServed() throws Exception {
     peers.start();
     Message old = peers.client().ask(Peers.get("r1", 3000).replace("HTTP/1.1", "HTTP/1.0"));
     assertEquals("fine", old.text());
@@ -304,7 +330,7 @@
 
   /** Forms that one reader can take in one way only, whole and byte by byte, one behind another. */
   @Test
-  void theFormsOfARequestAreRead() throws Exception {
+  void allUnambiguousFormsOfARequestAreRead() throws Exception {
     peers.start();
     String get = Peers.get("r1", 3000);
     String post = Peers.post("r1", "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
@@ -339,10 +365,11 @@
   }
 
   /**
-   * The end of the connection is the end of the answer there, so a break must not look like one.
+   * To a client of HTTP/1.0 the end of the connection is the end of a response without a length, so
+   * a response that breaks off must not end like a whole one.
    */
   @Test
-  void anOlderClientSeesWhereALargeAnswerEnds() throws Exception {
+  void http10ClientSeesWhereAStreamedResponseEnds() throws Exception {
     peers.start();
     CountDownLatch read = new CountDownLatch(1);
     String ask = Peers.get("r1", 3000).replace("HTTP/1.1", "HTTP/1.0");
@@ -370,11 +397,12 @@
   }
 
   /**
-   * The client's socket is closed already when the answer proves broken: the attempt ends all the
-   * same.
+   * A client resets its connection in the middle of a streamed response; before the event loop
+   * hears of that, the rest of the response proves malformed. The client's socket is closed
+   * already, and the attempt has to end all the same: else its request is kept for good.
    */
   @Test
-  void anAnswerThatBreaksJustAfterItsClientHasLeftIsForgotten() throws Exception {
+  void attemptEndsWhenItsResponseBreaksJustAfterTheClientLeft() throws Exception {
     CountDownLatch left = new CountDownLatch(1);
     CountDownLatch broken = new CountDownLatch(1);
     peers.answer =
@@ -386,12 +414,12 @@
           broken.countDown();
           return true;
         };
-    GatewayServer door = peers.start();
+    GatewayServer gateway = peers.start();
     Client client = peers.client();
     client.send(Peers.get("r1", 3000));
     client.socket.getInputStream().readNBytes(0x20000);
     CountDownLatch standing = new CountDownLatch(1);
-    door.loop.execute(
+    gateway.loop.execute(
         () -> {
           standing.countDown();
           try {
@@ -406,14 +434,18 @@
     left.countDown();
     assertTrue(broken.await(10, TimeUnit.SECONDS));
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-    while (held(door) > 0 && System.nanoTime() < until) {
+    while (held(gateway) > 0 && System.nanoTime() < until) {
       Thread.onSpinWait();
     }
-    assertEquals(0, held(door));
+    assertEquals(0, held(gateway));
   }
 
-  private static int held(GatewayServer door) throws Exception {
-    return door.loop.submit(() -> door.clients().driver().activeRequestCount()).sync().getNow();
+  private static int held(GatewayServer gateway) throws Exception {
+    return gateway
+        .loop
+        .submit(() -> gateway.clients().driver().activeRequestCount())
+        .sync()
+        .getNow();
   }
 
   private static void pause(CountDownLatch until) throws IOException {
