--- a/src/test/java/quotagateway/server/MisbehavingClientTest.java
+++ b/src/test/java/quotagateway/server/MisbehavingClientTest.java
@@ -12,13 +12,18 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.locks.LockSupport;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import quotagateway.config.ResourceLimits;
-import quotagateway.testing.Peers;
-import quotagateway.testing.Peers.Client;
-import quotagateway.testing.Peers.Message;
+import quotagateway.testing.FakeBackend;
+import quotagateway.testing.GatewayFixture;
+import quotagateway.testing.HttpMessage;
+import quotagateway.testing.TestClient;
+import quotagateway.testing.TestQueues;
+import quotagateway.testing.TestRequests;
+import quotagateway.testing.TextStreams;
 import quotagateway.transport.ConnectionBudget;
 
 /** Clients that hold connections, never finish, or send what could be read in two ways. */
@@ -27,14 +32,14 @@
 
   private static final long OWED_NANOS = TimeUnit.SECONDS.toNanos(3);
   private static final int PLACES =
-      new ConnectionBudget(ResourceLimits.of(Peers.FEW_SOCKETS, 128, 1).connections())
+      new ConnectionBudget(ResourceLimits.of(GatewayFixture.FEW_DESCRIPTORS, 128, 1).connections())
           .maxClientConnections();
 
-  private final Peers peers = new Peers();
+  private final GatewayFixture fixture = new GatewayFixture();
 
   @AfterEach
   void close() throws Exception {
-    peers.close();
+    fixture.close();
   }
 
   /**
@@ -43,21 +48,21 @@
    */
   @Test
   void connectionOverTheBudgetIsRejectedWhileTheOthersAreServed() throws Exception {
-    peers.start(peers.smallConfig());
-    String request = Peers.get("r1", 3000);
-    Client taken;
-    Client tooMany;
+    fixture.start(fixture.smallConfig());
+    String request = TestRequests.get("r1", 3000);
+    TestClient taken;
+    TestClient tooMany;
     int n = 0;
     do {
       // Again if the machine stood still: those that send no whole request may be ended after a
       // while.
       for (int i = 1; i < PLACES; i++) {
-        peers.client().send(request.substring(0, 20));
+        fixture.client().send(request.substring(0, 20));
       }
-      taken = peers.client();
+      taken = fixture.client();
       taken.send(request.substring(0, 20));
-      tooMany = peers.client();
-    } while (tooMany.ask(Peers.get("t" + n++, 3000)).status() != 503);
+      tooMany = fixture.client();
+    } while (tooMany.ask(TestRequests.get("t" + n++, 3000)).status() != 503);
     assertTrue(tooMany.ended());
     assertEquals(200, taken.ask(request.substring(20)).status());
   }
@@ -68,17 +73,35 @@
    * places get scarce.
    */
   @Test
-  void clientsThatKeepIdleConnectionsAreEvictedForNewOnes() throws Exception {
-    peers.start(peers.smallConfig());
-    assertNull(peers.client().ask(Peers.get("first", 3000)).header("Connection"));
-    Message answer = null;
+  void crowdOfIdleClientsLocksNobodyOut() throws Exception {
+    fixture.start(fixture.smallConfig());
+    assertNull(fixture.client().ask(TestRequests.get("first", 3000)).header("Connection"));
+    HttpMessage answer = null;
     for (int i = 0; i < 2 * PLACES; i++) {
-      answer = peers.client().ask(Peers.get("r" + i, 3000));
+      answer = fixture.client().ask(TestRequests.get("r" + i, 3000));
       assertEquals(200, answer.status());
     }
     assertEquals("close", answer.header("Connection"));
   }
 
+  /**
+   * Clients connect, send nothing and stay, as many as there are places. Once they have been silent
+   * for a while, the oldest is evicted for a new one: that one may still be rejected, as the
+   * evicted one ends behind it, but the next one finds a place.
+   */
+  @Test
+  void silentConnectionIsEvictedWhenPlacesAreTaken() throws Exception {
+    fixture.start(fixture.smallConfig());
+    for (int i = 0; i < PLACES; i++) {
+      fixture.client();
+    }
+    TimeUnit.MILLISECONDS.sleep(500);
+    TestClient first = fixture.client();
+    first.ask(TestRequests.get("first", 3000));
+    assertTrue(first.ended());
+    assertEquals(200, fixture.client().ask(TestRequests.get("second", 3000)).status());
+  }
+
   /**
    * Connections of clients and to backends share the descriptors. Clients fill their part; backends
    * get what was kept for them and no more; and either gets back what the other gives up.
@@ -106,8 +129,8 @@
    */
   @Test
   void overdueConnectionsAreClosedThoughTheCheckOfAnotherThrows() throws Exception {
-    GatewayServer gateway = peers.start();
-    Client silent = peers.client();
+    GatewayServer gateway = fixture.start();
+    TestClient silent = fixture.client();
     FailingChannel failing =
         gateway
             .loop
@@ -117,7 +140,7 @@
                   gateway.clients().adopt(channel);
                   channel.writeInbound(
                       Unpooled.copiedBuffer(
-                          Peers.post("r1", "body").replace("body", "b"),
+                          TestRequests.post("r1", "body").replace("body", "b"),
                           StandardCharsets.ISO_8859_1));
                   channel.fails = true;
                   return channel;
@@ -126,7 +149,7 @@
             .getNow();
     assertTrue(failing.asked.await(10, TimeUnit.SECONDS));
     assertTrue(silent.ended());
-    assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
+    assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
   }
 
   /** One that throws when it is asked whether it reads. */
@@ -151,8 +174,8 @@
    */
   @Test
   void trickledHeadIsAnsweredWith408InTime() throws Exception {
-    peers.start();
-    Client client = peers.client();
+    fixture.start();
+    TestClient client = fixture.client();
     long from = System.nanoTime();
     client.send("GET /quote/17 HTTP/1.1\r\n");
     client.socket.setSoTimeout(50);
@@ -174,9 +197,9 @@
    */
   @Test
   void silentConnectionIsClosedInTime() throws Exception {
-    peers.start();
+    fixture.start();
     long from = System.nanoTime();
-    assertTrue(peers.client().ended());
+    assertTrue(fixture.client().ended());
     assertTrue(System.nanoTime() - from < OWED_NANOS);
   }
 
@@ -187,9 +210,9 @@
    */
   @Test
   void requestWithAmbiguousFramingIsRejectedAndTheConnectionCloses() throws Exception {
-    peers.start();
-    String hidden = Peers.get("hidden", 3000);
-    String post = Peers.post("r1", "");
+    fixture.start();
+    String hidden = TestRequests.get("hidden", 3000);
+    String post = TestRequests.post("r1", "");
     for (String invalid :
         new String[] {
           post.replace("Content-Length: 0", "Content-Length: 5\r\nTransfer-Encoding: chunked")
@@ -207,15 +230,15 @@
           post.replace("X-Plan: basic", "X-Plan: basic\r\nX-Plan: basic"),
           post.replace("X-Quota:", "X-Quota: units=1,spread=2,first=1\r\nX-Quota:")
         }) {
-      Client client = peers.client();
+      TestClient client = fixture.client();
       client.send(invalid);
       assertEquals(400, client.receive().status(), invalid);
       client.socket.shutdownOutput();
       assertTrue(client.ended(), invalid);
     }
-    assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
-    assertEquals("r2", Peers.next(peers.atBackend).header("Request-Id"));
-    assertNull(peers.atBackend.poll());
+    assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
+    assertEquals("r2", TestQueues.next(fixture.backend.received).header("Request-Id"));
+    assertNull(fixture.backend.received.poll());
   }
 
   /**
@@ -224,9 +247,9 @@
    */
   @Test
   void headerValuesOutOfRangeReachNeitherBackendNorCounter() throws Exception {
-    peers.start();
-    String good = Peers.get("r1", 3000);
-    Client client = peers.client();
+    fixture.start();
+    String good = TestRequests.get("r1", 3000);
+    TestClient client = fixture.client();
     for (String invalid :
         new String[] {
           good.replace("units=2", "units=9"),
@@ -247,10 +270,10 @@
       assertEquals(400, client.ask(invalid).status(), invalid);
     }
     assertEquals(200, client.ask(good).status());
-    assertTrue(Peers.next(peers.atCounter).startsWith("incr "));
-    assertNull(peers.atCounter.poll());
-    Peers.next(peers.atBackend);
-    assertNull(peers.atBackend.poll());
+    assertTrue(TestQueues.next(fixture.counter.calls).startsWith("incr "));
+    assertNull(fixture.counter.calls.poll());
+    TestQueues.next(fixture.backend.received);
+    assertNull(fixture.backend.received.poll());
   }
 
   /**
@@ -259,12 +282,14 @@
    */
   @Test
   void bodyOverTheLimitIsAnsweredWith413BeforeItHasCome() throws Exception {
-    peers.start();
-    Client client = peers.client();
-    client.send(Peers.post("r1", "").replace("Content-Length: 0", "Content-Length: 60000000"));
+    fixture.start();
+    TestClient client = fixture.client();
+    client.send(
+        TestRequests.post("r1", "").replace("Content-Length: 0", "Content-Length: 60000000"));
     assertEquals(413, client.receive().status());
-    Client chunked = peers.client();
-    chunked.send(Peers.post("cut", "").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
+    TestClient chunked = fixture.client();
+    chunked.send(
+        TestRequests.post("cut", "").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
     String chunk = "8000\r\n" + "x".repeat(0x8000) + "\r\n";
     try {
       for (int i = 0; i < 2_000; i++) {
@@ -273,8 +298,73 @@
     } catch (SocketException e) {
       // The gateway has closed the connection, which the client sees as well as the error.
     }
-    assertEquals(200, peers.client().ask(Peers.get("r2", 3000)).status());
-    assertEquals("r2", Peers.next(peers.atBackend).header("Request-Id"), "none came whole before");
+    assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
+    assertEquals(
+        "r2",
+        TestQueues.next(fixture.backend.received).header("Request-Id"),
+        "none came whole before");
+  }
+
+  /**
+   * A client goes on sending a body that has been answered with an error. A close over unread bytes
+   * resets the connection, and the reset may drop the error before the client has read it. So the
+   * gateway ends its sending and reads on for a while: the client sees the error and a regular end.
+   */
+  @Test
+  void clientThatGoesOnSendingReadsItsErrorAndARegularEnd() throws Exception {
+    fixture.start();
+    TestClient client = fixture.client();
+    client.send(
+        TestRequests.post("r1", "").replace("Content-Length: 0", "Content-Length: 60000000"));
+    assertEquals(413, client.receive().status());
+    for (int i = 0; i < 10; i++) {
+      client.send("x".repeat(1_000));
+      TimeUnit.MILLISECONDS.sleep(20);
+    }
+    assertEquals(0, client.rest(), "bytes behind the error");
+  }
+
+  /**
+   * A client completes its request just after that was answered with a time-out, while the gateway
+   * still reads on so that the error is not lost. Forwarded, the request would be executed without
+   * a response; unread, its client sends it again.
+   */
+  @Test
+  void requestCompletedBehindItsTimeoutIsNotForwarded() throws Exception {
+    fixture.start();
+    String request = TestRequests.get("late", 3000);
+    TestClient client = fixture.client();
+    client.send(request.substring(0, 40));
+    assertEquals(408, client.receive().status());
+    client.send(request.substring(40));
+    assertNull(fixture.backend.received.poll(500, TimeUnit.MILLISECONDS));
+    assertEquals(200, fixture.client().ask(TestRequests.get("next", 3000)).status());
+    assertEquals("next", TestQueues.next(fixture.backend.received).header("Request-Id"));
+  }
+
+  /**
+   * A client sends requests with bodies behind one with which its connection ends. They are dropped
+   * with the connection; kept in the account of held bytes, they would add up until all requests
+   * are rejected for lack of memory.
+   */
+  @Test
+  void requestsBehindAnEndReleaseTheirMemory() throws Exception {
+    fixture.start();
+    fixture.backend.responder =
+        (request, out) -> {
+          // Until what is behind the request has been read.
+          LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(150));
+          return TextStreams.write(out, FakeBackend.OK_RESPONSE);
+        };
+    String last = TestRequests.get("last", 3000).replace("X-Plan", "Connection: close\r\nX-Plan");
+    String behind = TestRequests.post("behind", "x".repeat(64_000)).repeat(15);
+    for (int i = 0; i < 12; i++) {
+      TestClient client = fixture.client();
+      client.send(last.replace("last", "last" + i) + behind);
+      assertEquals(200, client.receive().status());
+      client.close();
+    }
+    assertEquals(200, fixture.client().ask(TestRequests.get("next", 3000)).status());
   }
 
   /**
@@ -283,12 +373,12 @@
    */
   @Test
   void pipelinedRequestsBeyondTheLimitGetNoResponse() throws Exception {
-    peers.start();
+    fixture.start();
     StringBuilder flood = new StringBuilder();
     for (int i = 0; i < 200; i++) {
-      flood.append(Peers.get("r" + i, 3000));
+      flood.append(TestRequests.get("r" + i, 3000));
     }
-    Client client = peers.client();
+    TestClient client = fixture.client();
     client.send(flood.toString());
     int answers = 0;
     try {
