--- a/src/main/java/quotagateway/client/ClientConnections.java
+++ b/src/main/java/quotagateway/client/ClientConnections.java
@@ -13,10 +13,10 @@
 final class ClientConnections {
 
   /**
-   * This part of the connections may exceed the budget: those still get a 503, further ones are
-   * closed at once.
+   * The budget may be exceeded by one in so many connections: those still get a 503, further ones
+   * are closed at once.
    */
-  private static final int MAX_EXCESS_DIVISOR = 16;
+  private static final int EXCESS_DIVISOR = 16;
 
   /** With so much of the budget taken, connections end with their responses. */
   private static final double CROWDED_SHARE = 0.75;
@@ -50,7 +50,7 @@
     if (budget.clientConnections() > max) {
       evictOldestIdle();
     }
-    if (budget.clientConnections() > max + max / MAX_EXCESS_DIVISOR) {
+    if (budget.clientConnections() > max + max / EXCESS_DIVISOR) {
       connection.closer().closeIfIdle();
     }
     return budget.clientConnections() > max;
--- a/src/main/java/quotagateway/client/ClientContext.java
+++ b/src/main/java/quotagateway/client/ClientContext.java
@@ -16,8 +16,8 @@
 final class ClientContext {
 
   /**
-   * So long after new settings clients may still ask by the previous ones: they get theirs within
-   * 1.2 s, and some requests come late.
+   * So long after new settings clients may still ask by the previous ones: they do for 1.2 s, and
+   * some requests come late.
    */
   private static final double PREVIOUS_SETTINGS_MS = 3_000;
 
