--- a/src/test/java/quotagateway/server/AdminServerTest.java
+++ b/src/test/java/quotagateway/server/AdminServerTest.java
@@ -17,7 +17,7 @@
 import quotagateway.testing.TestRequests;
 import quotagateway.testing.TextStreams;
 
-/** What operators are told, whatever clients and other callers do; and what their calls change. */
+/** What operators get, whatever clients and other callers do; and what their calls change. */
 @Timeout(30)
 class AdminServerTest {
 
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void drainsAndTakesBackWithoutARestart() throws Exception {
+  void drainAndUndrainTakeEffectWithoutARestart() throws Exception {
     fixture.start();
     assertEquals(200, fixture.operator("GET /ready"));
     TestClient kept = fixture.client();
@@ -62,9 +62,9 @@
         };
   }
 
-  /** A drain ends with the answer that a request waits for, not before. */
+  /** An operator drains while a request is open: its connection ends with its response. */
   @Test
-  void whatWasTakenIsAnsweredWhileDraining() throws Exception {
+  void openRequestGetsItsResponseWhileDraining() throws Exception {
     fixture.start();
     CountDownLatch drained = new CountDownLatch(1);
     answerAfter(drained);
@@ -80,9 +80,12 @@
     assertTrue(busy.ended());
   }
 
-  /** A request behind another has been taken with it: only the last answer ends the connection. */
+  /**
+   * An operator drains while a client has three pipelined requests. All were accepted, so only the
+   * last response ends the connection.
+   */
   @Test
-  void whatCameBehindAnotherIsAnsweredToo() throws Exception {
+  void pipelinedRequestsGetTheirResponsesWhileDraining() throws Exception {
     fixture.start();
     CountDownLatch drained = new CountDownLatch(1);
     answerAfter(drained);
@@ -98,11 +101,12 @@
     assertTrue(busy.ended());
   }
 
+  /** Clients' load has stopped their event loop: operators must still be able to drain. */
   @Test
-  void answersWhileTheClientsLoopStandsStill() throws Exception {
-    GatewayServer door = fixture.start();
+  void callsAreAnsweredWhileTheEventLoopOfClientsIsBlocked() throws Exception {
+    GatewayServer gateway = fixture.start();
     CountDownLatch go = new CountDownLatch(1);
-    door.loop.execute(
+    gateway.loop.execute(
         () -> {
           try {
             go.await();
@@ -116,8 +120,9 @@
     assertEquals(503, fixture.client().ask(UP).status());
   }
 
+  /** Fifty callers send half a call each: they are closed, and none keeps an operator out. */
   @Test
-  void callersThatNeverCallKeepNobodyOutAndAreEnded() throws Exception {
+  void incompleteCallsAreClosedAndKeepNobodyOut() throws Exception {
     fixture.start();
     List<TestClient> silent = new ArrayList<>();
     for (int i = 0; i < 50; i++) {
@@ -133,7 +138,7 @@
   }
 
   @Test
-  void refusesWhatIsNoCall() throws Exception {
+  void unknownPathsAndMethodsAreRejected() throws Exception {
     fixture.start();
     assertEquals(404, fixture.operator("GET /up"));
     assertEquals(405, fixture.operator("GET /drain"));
@@ -142,9 +147,9 @@
     assertEquals(200, fixture.client().ask(UP).status());
   }
 
-  /** Clients cannot drain the door: the calls are none of the clients' address. */
+  /** A client sends an operator's call to the clients' address; it must not drain the gateway. */
   @Test
-  void clientsCannotCall() throws Exception {
+  void clientsCannotDrain() throws Exception {
     fixture.start();
     fixture.client().ask("POST /drain HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
     assertEquals(200, fixture.operator("GET /ready"));
--- a/src/test/java/quotagateway/server/GatewayServerTest.java
+++ b/src/test/java/quotagateway/server/GatewayServerTest.java
@@ -18,9 +18,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import java.util.logging.Handler;
-import java.util.logging.LogRecord;
-import java.util.logging.Logger;
+import java.util.logging.Level;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -28,12 +26,13 @@
 import quotagateway.testing.FakeBackend;
 import quotagateway.testing.GatewayFixture;
 import quotagateway.testing.HttpMessage;
+import quotagateway.testing.LogCapture;
 import quotagateway.testing.TestClient;
 import quotagateway.testing.TestQueues;
 import quotagateway.testing.TestRequests;
 import quotagateway.testing.TextStreams;
 
-/** The real front door between small peers on loopback. */
+/** The gateway between small peers on loopback: what clients get, and what backends are sent. */
 @Timeout(30)
 class GatewayServerTest {
 
@@ -45,7 +44,7 @@
   }
 
   @Test
-  void passesRequestAndAnswerOnUnchanged() throws Exception {
+  void requestAndResponseAreForwardedUnchanged() throws Exception {
     fixture.start();
     String body = "x".repeat(60_000) + "\u00e9\0\r\n";
     fixture.backend.responder =
@@ -68,7 +67,7 @@
   }
 
   @Test
-  void keepsClientAndBackendConnections() throws Exception {
+  void connectionsOfClientsAndToBackendsAreReused() throws Exception {
     AtomicInteger connections = new AtomicInteger();
     int port =
         fixture
@@ -95,7 +94,7 @@
   }
 
   @Test
-  void answersRequestsWrittenBehindEachOtherInTheirOrder() throws Exception {
+  void pipelinedRequestsGetTheirResponsesInOrder() throws Exception {
     fixture.start();
     fixture.backend.responder =
         (request, out) ->
@@ -109,8 +108,9 @@
     }
   }
 
+  /** A backend that rejects has executed nothing: the gateway may retry what is not idempotent. */
   @Test
-  void aRejectionHasNotRunAndIsTriedAgain() throws Exception {
+  void rejectedAttemptIsRetried() throws Exception {
     fixture.start();
     AtomicInteger asked = new AtomicInteger();
     fixture.backend.responder =
@@ -124,9 +124,12 @@
     assertEquals(2, asked.get());
   }
 
-  /** A repeat of what may have run carries the same id and key; nothing but the module sends it. */
+  /**
+   * A connection that breaks behind the request leaves open whether it was executed. The retry must
+   * carry the same idempotency key, or the backend would execute it twice.
+   */
   @Test
-  void aBrokenConnectionAfterTheRequestIsAResetAndTheModuleRepeatsIt() throws Exception {
+  void attemptWhoseConnectionBreaksIsRetriedWithTheSameIdempotencyKey() throws Exception {
     fixture.start();
     AtomicInteger asked = new AtomicInteger();
     fixture.backend.responder =
@@ -137,8 +140,9 @@
     assertEquals("key-r1", TestQueues.next(fixture.backend.received).header("Idempotency-Key"));
   }
 
+  /** A backend that dies in the middle of a response must not look like a success. */
   @Test
-  void aCutAnswerIsNotServed() throws Exception {
+  void truncatedResponseIsNotPassedOnAsSuccess() throws Exception {
     fixture.start();
     fixture.backend.responder =
         (request, out) -> {
@@ -148,8 +152,9 @@
     assertNotEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
   }
 
+  /** A backend that speaks no HTTP costs its connection, not the requests. */
   @Test
-  void junkFromABackendEndsItsConnectionAndServingGoesOn() throws Exception {
+  void malformedResponseIsRetriedAndLaterRequestsAreServed() throws Exception {
     fixture.start();
     AtomicInteger asked = new AtomicInteger();
     fixture.backend.responder =
@@ -161,16 +166,20 @@
     assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
   }
 
+  /** No backend listens: nothing was executed, and the client may repeat its request harmlessly. */
   @Test
-  void aRefusedConnectionMeansARefusalThatIsHarmlessToRepeat() throws Exception {
+  void requestIsRejectedWhereNoConnectionComesUp() throws Exception {
     fixture.backend.stopListening();
     fixture.start();
     assertEquals(503, fixture.client().ask(TestRequests.post("r1", "b")).status());
   }
 
-  /** Vanished hosts are silent: a connect has its own limit, far below the client's time. */
+  /**
+   * A host that has vanished answers no connect. The connect has a timeout of its own, far below
+   * the client's deadline.
+   */
   @Test
-  void aConnectThatNeverComesUpEndsByItsOwnLimit() throws Exception {
+  void connectWithoutReplyEndsByTheConnectTimeout() throws Exception {
     try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       List<SocketChannel> fill = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
@@ -189,8 +198,12 @@
     }
   }
 
+  /**
+   * A backend takes a request and never responds. Its connection is closed, as a late response on
+   * it would be taken for the next one's, and the client gets an error before its deadline.
+   */
   @Test
-  void aSilentBackendCostsTheAttemptItsConnectionAndTheClientHearsInTime() throws Exception {
+  void attemptWithoutResponseEndsInTimeAndItsConnectionIsClosed() throws Exception {
     CountDownLatch closed = new CountDownLatch(1);
     int port =
         fixture
@@ -211,7 +224,7 @@
   }
 
   @Test
-  void refusesBrokenRequestsWithoutAskingABackend() throws Exception {
+  void invalidRequestsAreRejectedWithoutAnAttempt() throws Exception {
     fixture.start();
     TestClient client = fixture.client();
     String good = TestRequests.get("r1", 3000);
@@ -236,7 +249,7 @@
   }
 
   @Test
-  void endsTheConnectionOverMalformedAndOversizedMessages() throws Exception {
+  void malformedAndOversizedRequestsEndTheirConnections() throws Exception {
     fixture.start();
     TestClient malformed = fixture.client();
     assertEquals(400, malformed.ask("GET /quote HTTP/1.1\r\nbroken header\r\n\r\n").status());
@@ -255,15 +268,16 @@
   }
 
   @Test
-  void tellsWhetherItCanServe() throws Exception {
+  void readinessIsReportedToGetOnly() throws Exception {
     fixture.start();
     String up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
     assertEquals(200, fixture.client().ask(up).status());
     assertEquals(405, fixture.client().ask(up.replace("GET", "PUT")).status());
   }
 
+  /** A gateway that starts while discovery is away knows no backend, and could only reject. */
   @Test
-  void withoutBackendsItIsNotUpUntilDiscoveryNamesOne() throws Exception {
+  void withoutBackendsItIsNotReadyUntilDiscoveryReportsOne() throws Exception {
     fixture.start(fixture.config());
     String up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
     TestClient client = fixture.client();
@@ -279,10 +293,11 @@
   }
 
   /**
-   * A client that has gone gets nothing; its attempt still ends at the module, and serving goes on.
+   * A client disconnects while its attempt is in flight. It gets nothing; the policy still gets the
+   * attempt's outcome, and later requests are served.
    */
   @Test
-  void aClientThatLeavesIsForgotten() throws Exception {
+  void disconnectOfAClientInTheMiddleHarmsNobodyElse() throws Exception {
     fixture.start();
     CountDownLatch left = new CountDownLatch(1);
     fixture.backend.responder =
@@ -298,24 +313,27 @@
     assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
   }
 
-  /** A planned end: what was taken is answered, and the answer ends the connection. */
+  /**
+   * A restart is planned while a request is open. It gets its response, which announces the end of
+   * its connection; idle connections are closed, and the shutdown returns.
+   */
   @Test
-  void drainsWithoutLosingARequest() throws Exception {
-    GatewayServer door = fixture.start();
-    CountDownLatch told = new CountDownLatch(1);
+  void gracefulShutdownLosesNoRequest() throws Exception {
+    GatewayServer gateway = fixture.start();
+    CountDownLatch shuttingDown = new CountDownLatch(1);
     fixture.backend.responder =
         (request, out) -> {
-          await(told);
+          await(shuttingDown);
           return TextStreams.write(out, FakeBackend.OK_RESPONSE);
         };
     TestClient idle = fixture.client();
     TestClient busy = fixture.client();
     busy.send(TestRequests.get("r1", 3000));
     TestQueues.next(fixture.backend.received);
-    Thread end = new Thread(door::shutDownGracefully);
+    Thread end = new Thread(gateway::shutDownGracefully);
     end.start();
     assertTrue(idle.ended());
-    told.countDown();
+    shuttingDown.countDown();
     HttpMessage answer = busy.receive();
     assertEquals(200, answer.status());
     assertEquals("close", answer.header("Connection"));
@@ -333,38 +351,22 @@
   }
 
   /**
-   * Setting logging up takes long on a share of a core, and holds up every request that is there by
-   * then.
+   * Setting logging up takes long on a share of a core. A first log line behind the start of
+   * listening would hold up every request that is there by then.
    */
   @Test
-  void itsFirstLogLineIsWrittenBeforeItTakesClients() throws Exception {
+  void firstLogLineIsWrittenBeforeClientsAreAccepted() throws Exception {
     int port;
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       port = free.getLocalPort();
     }
     List<Boolean> listeningAtLine = new CopyOnWriteArrayList<>();
-    Logger log = Logger.getLogger(GatewayServer.class.getName());
-    Handler handler =
-        new Handler() {
-          @Override
-          public void publish(LogRecord line) {
-            listeningAtLine.add(connects(port));
-          }
-
-          @Override
-          public void flush() {}
-
-          @Override
-          public void close() {}
-        };
-    log.addHandler(handler);
-    try {
+    try (LogCapture log = new LogCapture(GatewayServer.class, Level.ALL)) {
+      log.onMessage(line -> listeningAtLine.add(connects(port)));
       fixture.start(
           fixture
               .config(EndpointListJson.entry("s-1", fixture.backend.port(), "active"))
               .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + port + "\""));
-    } finally {
-      log.removeHandler(handler);
     }
     assertEquals(List.of(false), listeningAtLine);
     assertTrue(connects(port));
--- a/src/test/java/quotagateway/server/InheritedSignalTest.java
+++ b/src/test/java/quotagateway/server/InheritedSignalTest.java
@@ -22,7 +22,11 @@
 import quotagateway.testing.GatewayFixture;
 import quotagateway.testing.TestQueues;
 
-/** The real program, started by a shell that ignores SIGHUP as nohup and some supervisors do. */
+/**
+ * The program is started by a shell that ignores SIGHUP, as nohup and some supervisors do. A
+ * process inherits that, and the JVM then never handles the signal: a reload would be ignored in
+ * silence.
+ */
 @Timeout(60)
 class InheritedSignalTest {
 
@@ -48,7 +52,7 @@
   }
 
   @Test
-  void reloadsWhereSighupWasIgnoredAtTheStart() throws Exception {
+  void sighupReloadsThoughItWasIgnoredAtTheStart() throws Exception {
     start(launcher());
     awaitServing();
     TestQueues.next(before.discovery.watches);
