--- a/src/test/java/quotagateway/server/MisbehavingClientTest.java
+++ b/src/test/java/quotagateway/server/MisbehavingClientTest.java
@@ -12,15 +12,18 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.locks.LockSupport;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import quotagateway.config.ResourceLimits;
+import quotagateway.testing.FakeBackend;
 import quotagateway.testing.GatewayFixture;
 import quotagateway.testing.HttpMessage;
 import quotagateway.testing.TestClient;
 import quotagateway.testing.TestQueues;
 import quotagateway.testing.TestRequests;
+import quotagateway.testing.TextStreams;
 import quotagateway.transport.ConnectionBudget;
 
 /** Clients that hold connections, never finish, or send what could be read in two ways. */
@@ -39,9 +42,12 @@
     fixture.close();
   }
 
-  /** Descriptors run out without a bound; over it one connection is refused, not all of them. */
+  /**
+   * Without a bound on connections a crowd takes all descriptors, and nobody is served any more.
+   * Over the bound one connection is rejected with a 503 and closed; those within it keep working.
+   */
   @Test
-  void oneConnectionTooManyIsRefusedAndTheOthersAreServed() throws Exception {
+  void connectionOverTheBudgetIsRejectedWhileTheOthersAreServed() throws Exception {
     fixture.start(fixture.smallConfig());
     String request = TestRequests.get("r1", 3000);
     TestClient taken;
@@ -61,9 +67,13 @@
     assertEquals(200, taken.ask(request.substring(20)).status());
   }
 
-  /** Clients that ask once and keep their connection for good must not lock others out. */
+  /**
+   * Clients send one request each and keep their connection for good. Twice as many as there are
+   * places connect one after another: each is served, as connections end with their responses when
+   * places get scarce.
+   */
   @Test
-  void aCrowdThatAsksOnceAndStaysLocksNobodyOut() throws Exception {
+  void crowdOfIdleClientsLocksNobodyOut() throws Exception {
     fixture.start(fixture.smallConfig());
     assertNull(fixture.client().ask(TestRequests.get("first", 3000)).header("Connection"));
     HttpMessage answer = null;
@@ -75,11 +85,29 @@
   }
 
   /**
-   * Clients and backends share one table: whichever side needs more gets it, and never both
-   * together.
+   * Clients connect, send nothing and stay, as many as there are places. Once they have been silent
+   * for a while, the oldest is evicted for a new one: that one may still be rejected, as the
+   * evicted one ends behind it, but the next one finds a place.
+   */
+  @Test
+  void silentConnectionIsEvictedWhenPlacesAreTaken() throws Exception {
+    fixture.start(fixture.smallConfig());
+    for (int i = 0; i < PLACES; i++) {
+      fixture.client();
+    }
+    TimeUnit.MILLISECONDS.sleep(500);
+    TestClient first = fixture.client();
+    first.ask(TestRequests.get("first", 3000));
+    assertTrue(first.ended());
+    assertEquals(200, fixture.client().ask(TestRequests.get("second", 3000)).status());
+  }
+
+  /**
+   * Connections of clients and to backends share the descriptors. Clients fill their part; backends
+   * get what was kept for them and no more; and either gets back what the other gives up.
    */
   @Test
-  void clientsAndBackendsNeverHoldMoreThanThereIs() {
+  void budgetIsSharedByClientsAndBackendsAndNeverExceeded() {
     ConnectionBudget places = new ConnectionBudget(100);
     int crowd = places.maxClientConnections();
     places.addClientConnections(crowd);
@@ -95,18 +123,21 @@
   }
 
   /**
-   * A loop never again runs a task that has thrown: the others would hold their places for good.
+   * An event loop never again runs a periodic task that has thrown: one faulty connection would let
+   * all overdue ones hold their places for good. One connection throws at its check; a silent one
+   * is closed all the same, and new clients are served.
    */
   @Test
-  void theOverdueAreEndedThoughOneConnectionFails() throws Exception {
-    GatewayServer door = fixture.start();
+  void overdueConnectionsAreClosedThoughTheCheckOfAnotherThrows() throws Exception {
+    GatewayServer gateway = fixture.start();
     TestClient silent = fixture.client();
     FailingChannel failing =
-        door.loop
+        gateway
+            .loop
             .submit(
                 () -> {
                   FailingChannel channel = new FailingChannel();
-                  door.clients().adopt(channel);
+                  gateway.clients().adopt(channel);
                   channel.writeInbound(
                       Unpooled.copiedBuffer(
                           TestRequests.post("r1", "body").replace("body", "b"),
@@ -136,8 +167,13 @@
     }
   }
 
+  /**
+   * A client sends one header after another and never ends the request. It gets its error within
+   * the 3 s that misbehaving clients are owed: the time counts from the beginning, not from the
+   * last bytes.
+   */
   @Test
-  void aTrickleDoesNotExtendTheTimeForARequest() throws Exception {
+  void trickledHeadIsAnsweredWith408InTime() throws Exception {
     fixture.start();
     TestClient client = fixture.client();
     long from = System.nanoTime();
@@ -155,8 +191,12 @@
     assertTrue(System.nanoTime() - from < OWED_NANOS);
   }
 
+  /**
+   * A client connects and sends nothing. Its connection is closed within the 3 s that misbehaving
+   * clients are owed.
+   */
   @Test
-  void aConnectionThatSaysNothingIsEnded() throws Exception {
+  void silentConnectionIsClosedInTime() throws Exception {
     fixture.start();
     long from = System.nanoTime();
     assertTrue(fixture.client().ended());
@@ -164,14 +204,16 @@
   }
 
   /**
-   * The second request in the body must reach no backend, whichever of the two lengths is gone by.
+   * Request smuggling: two lengths, or an odd one, let one reader see a second request in what is a
+   * body to another. Such a request gets a 400 and the connection ends; the hidden one reaches no
+   * backend.
    */
   @Test
-  void whatCanBeFramedInTwoWaysIsRefusedAndTheConnectionEnds() throws Exception {
+  void requestWithAmbiguousFramingIsRejectedAndTheConnectionCloses() throws Exception {
     fixture.start();
     String hidden = TestRequests.get("hidden", 3000);
     String post = TestRequests.post("r1", "");
-    for (String bad :
+    for (String invalid :
         new String[] {
           post.replace("Content-Length: 0", "Content-Length: 5\r\nTransfer-Encoding: chunked")
               + "0\r\n\r\n"
@@ -189,10 +231,10 @@
           post.replace("X-Quota:", "X-Quota: units=1,spread=2,first=1\r\nX-Quota:")
         }) {
       TestClient client = fixture.client();
-      client.send(bad);
-      assertEquals(400, client.receive().status(), bad);
+      client.send(invalid);
+      assertEquals(400, client.receive().status(), invalid);
       client.socket.shutdownOutput();
-      assertTrue(client.ended(), bad);
+      assertTrue(client.ended(), invalid);
     }
     assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
     assertEquals("r2", TestQueues.next(fixture.backend.received).header("Request-Id"));
@@ -200,15 +242,15 @@
   }
 
   /**
-   * A value out of range, in whomever's name, is no request: neither a backend nor a count hears of
-   * it.
+   * A value out of range, in whomever's name, is no request: a customer's account would move by
+   * what another one sent. It gets a 400, and neither a backend nor the counter hears of it.
    */
   @Test
-  void valuesOutOfRangeReachNeitherBackendNorCounter() throws Exception {
+  void headerValuesOutOfRangeReachNeitherBackendNorCounter() throws Exception {
     fixture.start();
     String good = TestRequests.get("r1", 3000);
     TestClient client = fixture.client();
-    for (String bad :
+    for (String invalid :
         new String[] {
           good.replace("units=2", "units=9"),
           good.replace("units=2", "units=-1"),
@@ -225,7 +267,7 @@
           good.replace("00000000b4d65521", "0000000200000000"),
           good.replace("00000000b4d65521", "ffffffffffffffff")
         }) {
-      assertEquals(400, client.ask(bad).status(), bad);
+      assertEquals(400, client.ask(invalid).status(), invalid);
     }
     assertEquals(200, client.ask(good).status());
     assertTrue(TestQueues.next(fixture.counter.calls).startsWith("incr "));
@@ -234,8 +276,12 @@
     assertNull(fixture.backend.received.poll());
   }
 
+  /**
+   * A client announces 60 MB, or sends as much in chunks. It gets its error, or a close, before the
+   * body has come; nothing of it is executed, and other clients are served.
+   */
   @Test
-  void aHugeBodyGetsItsErrorBeforeItHasCome() throws Exception {
+  void bodyOverTheLimitIsAnsweredWith413BeforeItHasCome() throws Exception {
     fixture.start();
     TestClient client = fixture.client();
     client.send(
@@ -250,7 +296,7 @@
         chunked.send(chunk);
       }
     } catch (SocketException e) {
-      // The front door has ended the connection, which tells the client as well as the error does.
+      // The gateway has closed the connection, which the client sees as well as the error.
     }
     assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
     assertEquals(
@@ -259,9 +305,74 @@
         "none came whole before");
   }
 
-  /** More requests at once than are kept: those kept are answered, and the connection ends. */
+  /**
+   * A client goes on sending a body that has been answered with an error. A close over unread bytes
+   * resets the connection, and the reset may drop the error before the client has read it. So the
+   * gateway ends its sending and reads on for a while: the client sees the error and a regular end.
+   */
+  @Test
+  void clientThatGoesOnSendingReadsItsErrorAndARegularEnd() throws Exception {
+    fixture.start();
+    TestClient client = fixture.client();
+    client.send(
+        TestRequests.post("r1", "").replace("Content-Length: 0", "Content-Length: 60000000"));
+    assertEquals(413, client.receive().status());
+    for (int i = 0; i < 10; i++) {
+      client.send("x".repeat(1_000));
+      TimeUnit.MILLISECONDS.sleep(20);
+    }
+    assertEquals(0, client.rest(), "bytes behind the error");
+  }
+
+  /**
+   * A client completes its request just after that was answered with a time-out, while the gateway
+   * still reads on so that the error is not lost. Forwarded, the request would be executed without
+   * a response; unread, its client sends it again.
+   */
+  @Test
+  void requestCompletedBehindItsTimeoutIsNotForwarded() throws Exception {
+    fixture.start();
+    String request = TestRequests.get("late", 3000);
+    TestClient client = fixture.client();
+    client.send(request.substring(0, 40));
+    assertEquals(408, client.receive().status());
+    client.send(request.substring(40));
+    assertNull(fixture.backend.received.poll(500, TimeUnit.MILLISECONDS));
+    assertEquals(200, fixture.client().ask(TestRequests.get("next", 3000)).status());
+    assertEquals("next", TestQueues.next(fixture.backend.received).header("Request-Id"));
+  }
+
+  /**
+   * A client sends requests with bodies behind one with which its connection ends. They are dropped
+   * with the connection; kept in the account of held bytes, they would add up until all requests
+   * are rejected for lack of memory.
+   */
+  @Test
+  void requestsBehindAnEndReleaseTheirMemory() throws Exception {
+    fixture.start();
+    fixture.backend.responder =
+        (request, out) -> {
+          // Until what is behind the request has been read.
+          LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(150));
+          return TextStreams.write(out, FakeBackend.OK_RESPONSE);
+        };
+    String last = TestRequests.get("last", 3000).replace("X-Plan", "Connection: close\r\nX-Plan");
+    String behind = TestRequests.post("behind", "x".repeat(64_000)).repeat(15);
+    for (int i = 0; i < 12; i++) {
+      TestClient client = fixture.client();
+      client.send(last.replace("last", "last" + i) + behind);
+      assertEquals(200, client.receive().status());
+      client.close();
+    }
+    assertEquals(200, fixture.client().ask(TestRequests.get("next", 3000)).status());
+  }
+
+  /**
+   * A client sends 200 requests at once on one connection, which would all be kept in memory. Those
+   * within the limit are answered, and then the connection ends.
+   */
   @Test
-  void aFloodOnOneConnectionIsBounded() throws Exception {
+  void pipelinedRequestsBeyondTheLimitGetNoResponse() throws Exception {
     fixture.start();
     StringBuilder flood = new StringBuilder();
     for (int i = 0; i < 200; i++) {
