--- a/src/main/java/quotagateway/client/ConnectionCloser.java
+++ b/src/main/java/quotagateway/client/ConnectionCloser.java
@@ -80,7 +80,7 @@
    */
   void closeForShutdown() {
     if (requests.idle() && assembler.receivesRequest()) {
-      closeWithError(HttpResponseStatus.SERVICE_UNAVAILABLE, "this front door ends");
+      closeWithError(HttpResponseStatus.SERVICE_UNAVAILABLE, "this gateway is shutting down");
     } else {
       closeIfIdle();
     }
--- a/src/test/java/quotagateway/architecture/LayeringTest.java
+++ b/src/test/java/quotagateway/architecture/LayeringTest.java
@@ -45,7 +45,7 @@
           List.of("policy.action", "policy.settings"),
           List.of("endpoint"));
 
-  /** Dependencies that break the layering today, by class; the aim is none. */
+  /** Dependencies that break the layering today, by class; there should be none. */
   private static final Set<String> KNOWN_VIOLATIONS = Set.of();
 
   private static JavaClasses program;
--- a/src/test/java/quotagateway/policy/RandomEvents.java
+++ b/src/test/java/quotagateway/policy/RandomEvents.java
@@ -56,7 +56,7 @@
   };
   private static final double BEGIN_MS = 1_000_000;
   private static final double MEAN_GAP_MS = 8;
-  private static final int LEAST_COLD_MS = 5_000;
+  private static final int MIN_COLD_MS = 5_000;
   private static final double[] SIZES = {0, 0.5, 1, 1, 1.37, 2, 4.1};
 
   /** Sees each event with the actions that it led to. */
@@ -126,7 +126,7 @@
       if (kind < 0.05) {
         deliver(endpointsUpdated());
       } else if (kind < 0.052) {
-        settings = settings(settings.gatewayCount(), LEAST_COLD_MS + 5_000 * random.nextInt(4));
+        settings = settings(settings.gatewayCount(), MIN_COLD_MS + 5_000 * random.nextInt(4));
         deliver(new SettingsChanged(settings));
       } else if (kind < 0.08 && !open.isEmpty()) {
         deliver(new ClientDisconnected(open.firstKey()));
@@ -198,7 +198,7 @@
   /** Backends of the first list may have run for long; what comes later is new. */
   private double startedMs() {
     return now > BEGIN_MS
-        ? now - random.nextInt(LEAST_COLD_MS) + 1_000
+        ? now - random.nextInt(MIN_COLD_MS) + 1_000
         : random.nextBoolean() ? 0 : now - random.nextInt(20_000) + 1_000;
   }
 
--- a/src/test/java/quotagateway/scale/BackendModel.java
+++ b/src/test/java/quotagateway/scale/BackendModel.java
@@ -18,7 +18,7 @@
 
   private static final double DIAL_LIMIT_MS = 250;
   private static final double ROUND_TRIP_MS = 0.6;
-  private static final double MOST_QUEUED_MS = 1_000;
+  private static final double MAX_QUEUED_MS = 1_000;
 
   /** Capacity at the start, as a part of that of a warm one, and the time until it is warm. */
   private static final double COLD_FROM = 0.25;
@@ -61,7 +61,7 @@
       return new Ending(Status.CONNECT_FAILED, Math.min(after, limitMs));
     }
     double queuedMs = Math.max(0, freeAtMs - nowMs);
-    if (queuedMs > MOST_QUEUED_MS) {
+    if (queuedMs > MAX_QUEUED_MS) {
       return new Ending(Status.REJECTED, ROUND_TRIP_MS);
     }
     double warm =
--- a/src/test/java/quotagateway/scale/BackendSweep.java
+++ b/src/test/java/quotagateway/scale/BackendSweep.java
@@ -26,14 +26,14 @@
   /** Gateways of the target, by which the module sizes its subset. */
   private static final int GATEWAYS = 2_000;
 
-  private static final int MOST_CHANGES = 300;
+  private static final int MAX_CHANGES = 300;
   private static final int QUICK_CHANGES = 30;
-  private static final int MOST_ZONES = 9;
-  private static final int MOST_REQUESTS = 20_000;
+  private static final int MAX_ZONES = 9;
+  private static final int MAX_REQUESTS = 20_000;
   private static final int CUSTOMERS = 500;
 
   /** Backends held together when their heap is measured: enough that nothing else matters. */
-  private static final int LEAST_HELD = 100_000;
+  private static final int MIN_HELD = 100_000;
 
   /**
    * The module asks by this timer for a further turn, in which it removes more of those that left.
@@ -67,7 +67,7 @@
       throws IOException {
     EndpointListModel model = new EndpointListModel(size, 7070, plan.seed());
     GatewayPolicy[] copies =
-        new GatewayPolicy[Math.max(1, (plan.quick() ? LEAST_HELD / 10 : LEAST_HELD) / size)];
+        new GatewayPolicy[Math.max(1, (plan.quick() ? MIN_HELD / 10 : MIN_HELD) / size)];
     double[] firstMs = new double[copies.length];
     long before = Stopwatch.liveHeap();
     for (int i = 0; i < copies.length; i++) {
@@ -81,7 +81,7 @@
     GatewayPolicy policy = copies[0];
     copies = null;
     double third = plan.secondsEach() / 3;
-    double[] changeMs = changes(policy, model, plan.quick() ? QUICK_CHANGES : MOST_CHANGES, third);
+    double[] changeMs = changes(policy, model, plan.quick() ? QUICK_CHANGES : MAX_CHANGES, third);
     report.add(Measurement.of(subject, size, "change_ms", changeMs));
     report.add(Measurement.of(subject, size, "zone_hold_ms", zones(policy, model, third)));
     report.add(Measurement.of(subject, size, "request_us", requests(policy, third)));
@@ -139,14 +139,14 @@
   private static double[] zones(GatewayPolicy policy, EndpointListModel model, double seconds)
       throws IOException {
     double until = Stopwatch.wallMs() + 1000 * seconds;
-    double[] times = new double[MOST_ZONES];
+    double[] times = new double[MAX_ZONES];
     int done = 0;
     do {
       EndpointsUpdated gone = endpointList(model, model.zone(done, EndpointState.REMOVED));
       EndpointsUpdated back = endpointList(model, model.zone(done, EndpointState.SERVING));
       times[done++] = longestTurn(policy, gone);
       longestTurn(policy, back);
-    } while (done < MOST_ZONES && Stopwatch.wallMs() < until);
+    } while (done < MAX_ZONES && Stopwatch.wallMs() < until);
     return Arrays.copyOf(times, done);
   }
 
@@ -174,7 +174,7 @@
    */
   private static double[] requests(GatewayPolicy policy, double seconds) {
     RequestCycle cycle = new RequestCycle(policy, 1_000, CUSTOMERS);
-    int batch = MOST_REQUESTS / 40;
+    int batch = MAX_REQUESTS / 40;
     double[] times =
         Stopwatch.repeat(
             40,
--- a/src/test/java/quotagateway/scale/ChangeSweep.java
+++ b/src/test/java/quotagateway/scale/ChangeSweep.java
@@ -19,8 +19,8 @@
 
   private static final int BACKENDS = 200_000;
   private static final int QUICK_BACKENDS = 2_000;
-  private static final double MOST_SECONDS = 300;
-  private static final int MOST_MESSAGES = 60;
+  private static final double MAX_SECONDS = 300;
+  private static final int MAX_MESSAGES = 60;
 
   @Override
   public String name() {
@@ -42,7 +42,7 @@
         plan.quick() ? new double[] {1, 10} : new double[] {0.1, 0.3, 1, 3, 10, 30, 100};
     for (double rate : rates) {
       Measurement.Subject subject = plan.subject(this, "changes a second");
-      int alone = (int) Math.ceil(Math.min(MOST_MESSAGES, rate * MOST_SECONDS));
+      int alone = (int) Math.ceil(Math.min(MAX_MESSAGES, rate * MAX_SECONDS));
       List<byte[]> each = messages(model, alone, 1);
       report.add(
           Measurement.of(
@@ -52,7 +52,7 @@
               shares(policy, each, 1 / rate, plan.secondsEach() / 2)));
       int perMessage = Math.max(1, (int) rate);
       double secondsEach = Math.max(1, 1 / rate);
-      List<byte[]> batched = messages(model, Math.min(MOST_MESSAGES, alone), perMessage);
+      List<byte[]> batched = messages(model, Math.min(MAX_MESSAGES, alone), perMessage);
       report.add(
           Measurement.of(
               subject,
--- a/src/test/java/quotagateway/scale/CounterShard.java
+++ b/src/test/java/quotagateway/scale/CounterShard.java
@@ -33,8 +33,8 @@
   }
 
   private static final double LONGEST_LIFE_MS = 60_000;
-  private static final int MOST_NAME_BYTES = 64;
-  private static final double MOST_AMOUNT = 1e9;
+  private static final int MAX_NAME_BYTES = 64;
+  private static final double MAX_AMOUNT = 1e9;
 
   private record Count(double total, double untilMs) {}
 
@@ -129,7 +129,7 @@
 
   private String add(String line) {
     String[] words = line.split(" ", -1);
-    if (words.length != 4 || !words[0].equals("incr") || words[1].length() > MOST_NAME_BYTES) {
+    if (words.length != 4 || !words[0].equals("incr") || words[1].length() > MAX_NAME_BYTES) {
       return "error";
     }
     double amount;
@@ -140,7 +140,7 @@
     } catch (NumberFormatException e) {
       return "error";
     }
-    if (!(Math.abs(amount) <= MOST_AMOUNT) || !(lifeMs >= 1)) {
+    if (!(Math.abs(amount) <= MAX_AMOUNT) || !(lifeMs >= 1)) {
       return "error";
     }
     Count before = counts.get(words[1]);
--- a/src/test/java/quotagateway/scale/DiscoveryModel.java
+++ b/src/test/java/quotagateway/scale/DiscoveryModel.java
@@ -20,12 +20,12 @@
     PARTIAL
   }
 
-  private static final double LEAST_DELAY_MS = 100;
-  private static final double MOST_DELAY_MS = 500;
+  private static final double MIN_DELAY_MS = 100;
+  private static final double MAX_DELAY_MS = 500;
   private static final double LATE_MS = 4_000;
 
   /** After a silence longer than so many changes the whole list is told. */
-  private static final int MOST_MISSED = 1_000;
+  private static final int MAX_MISSED = 1_000;
 
   private final HollowFleet fleet;
   private final EndpointListModel endpointList;
@@ -53,7 +53,7 @@
   void become(Health next) {
     boolean returns = health != Health.UP && next == Health.UP;
     health = next;
-    if (returns && missed.size() > MOST_MISSED) {
+    if (returns && missed.size() > MAX_MISSED) {
       missed.clear();
       publish(endpointList.wholeMessage());
     } else if (returns && !missed.isEmpty()) {
@@ -65,7 +65,7 @@
     byte[] bytes = message.getBytes(StandardCharsets.UTF_8);
     double more = health == Health.LATE ? LATE_MS : 0;
     for (HollowGateway gateway : fleet.gateways()) {
-      double delay = more + LEAST_DELAY_MS + (MOST_DELAY_MS - LEAST_DELAY_MS) * random.nextDouble();
+      double delay = more + MIN_DELAY_MS + (MAX_DELAY_MS - MIN_DELAY_MS) * random.nextDouble();
       fleet
           .time()
           .after(
--- a/src/test/java/quotagateway/scale/HollowFleet.java
+++ b/src/test/java/quotagateway/scale/HollowFleet.java
@@ -115,7 +115,7 @@
     double drawn = random.nextDouble() * demand[demand.length - 1];
     int place = Arrays.binarySearch(demand, drawn);
     int customer = place < 0 ? -place - 1 : place;
-    double units = 1 + random.nextInt((int) ScaleSettings.MOST_UNITS);
+    double units = 1 + random.nextInt((int) ScaleSettings.MAX_UNITS);
     FleetFigures seen = figures(customer);
     seen.asked++;
     seen.lightAsked += light(customer) ? 1 : 0;
@@ -132,7 +132,7 @@
   boolean light(int customer) {
     double share = demand[customer] - (customer == 0 ? 0 : demand[customer - 1]);
     double perSecond = share / demand[demand.length - 1] * options.requestsPerSecond();
-    double meanUnits = (1 + ScaleSettings.MOST_UNITS) / 2;
+    double meanUnits = (1 + ScaleSettings.MAX_UNITS) / 2;
     return perSecond * meanUnits < LIGHT_USE * ScaleSettings.PLAN.unitsPerSecond();
   }
 
--- a/src/test/java/quotagateway/scale/QuotaLedger.java
+++ b/src/test/java/quotagateway/scale/QuotaLedger.java
@@ -4,7 +4,7 @@
 
 /**
  * The customers' true stores, as the rules count: each starts full, refills at the plan's rate, and
- * a request draws its units when it is first sent on.
+ * a request draws its units when it is first forwarded.
  */
 final class QuotaLedger {
 
--- a/src/test/java/quotagateway/scale/ScaleSettings.java
+++ b/src/test/java/quotagateway/scale/ScaleSettings.java
@@ -19,7 +19,7 @@
   /** 2 units a second, 10 at once. */
   static final Plan PLAN = new Plan("team", 2, 10, 0, 1, 0, 1, 0, 0, 0);
 
-  static final double MOST_UNITS = 4;
+  static final double MAX_UNITS = 4;
   static final double COUNT_LIMIT_MS = 50;
   private static final double COLD_MS = 10_000;
 
@@ -31,7 +31,7 @@
         gateways,
         self,
         "z" + self % EndpointListModel.ZONES,
-        MOST_UNITS,
+        MAX_UNITS,
         0,
         false,
         List.of(CLASS),
--- a/src/test/java/quotagateway/scale/TenantSweep.java
+++ b/src/test/java/quotagateway/scale/TenantSweep.java
@@ -17,9 +17,9 @@
   private static final int BATCHES = 20;
 
   /** Accounts held together when their heap is measured: enough that nothing else matters. */
-  private static final int LEAST_HELD = 100_000;
+  private static final int MIN_HELD = 100_000;
 
-  private static final int MOST_BATCH = 10_000;
+  private static final int MAX_BATCH = 10_000;
 
   @Override
   public String name() {
@@ -41,7 +41,7 @@
   }
 
   private static void measure(Measurement.Subject subject, int size, Plan plan, Report report) {
-    int held = plan.quick() ? LEAST_HELD / 10 : LEAST_HELD;
+    int held = plan.quick() ? MIN_HELD / 10 : MIN_HELD;
     RequestCycle[] copies = new RequestCycle[Math.max(1, held / size)];
     EndpointsUpdated endpointList =
         new EndpointsUpdated(
@@ -69,7 +69,7 @@
   /** Requests of customers drawn evenly, so that the accounts are read from all over the memory. */
   private static double[] requests(RequestCycle cycle, int size, Plan plan) {
     SplittableRandom random = new SplittableRandom(plan.seed());
-    int batch = plan.quick() ? MOST_BATCH / 10 : MOST_BATCH;
+    int batch = plan.quick() ? MAX_BATCH / 10 : MAX_BATCH;
     double[] times =
         Stopwatch.repeat(
             BATCHES,
