--- a/src/main/java/quotagateway/policy/GatewayPolicy.java
+++ b/src/main/java/quotagateway/policy/GatewayPolicy.java
@@ -112,12 +112,12 @@
   }
 
   /** What is known of the endpoints, always as of the last event. */
-  public ServingEndpoints listing() {
+  public ServingEndpoints servingEndpoints() {
     return index;
   }
 
   /** How many backends a full status is kept of. */
-  public int fullStates() {
+  public int trackedBackends() {
     return router.statusCount();
   }
 
--- a/src/main/java/quotagateway/server/RequestPath.java
+++ b/src/main/java/quotagateway/server/RequestPath.java
@@ -38,7 +38,7 @@
     GatewayPolicy policy = new GatewayPolicy(config.settings(), seed);
     BackendConnectionPool backends =
         new BackendConnectionPool(
-            loop, clock, backendDialer, config.idleTimeoutMs(), budget, policy.listing());
+            loop, clock, backendDialer, config.idleTimeoutMs(), budget, policy.servingEndpoints());
     PolicyDriver driver = new PolicyDriver(loop, clock, policy, backends);
     ClientServer clients =
         new ClientServer(
--- a/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
+++ b/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
@@ -134,7 +134,7 @@
                 Dialer.sockets(loop, 5_000),
                 10_000,
                 new ConnectionBudget(100),
-                policy.listing()));
+                policy.servingEndpoints()));
     driver.start(null, update(true, 1, first, EndpointState.SERVING, 0));
   }
 
--- a/src/test/java/quotagateway/policy/GatewayPolicyTest.java
+++ b/src/test/java/quotagateway/policy/GatewayPolicyTest.java
@@ -23,6 +23,7 @@
 import quotagateway.policy.event.ClientDisconnected;
 import quotagateway.policy.event.CounterReplied;
 import quotagateway.policy.event.EndpointsUpdated;
+import quotagateway.policy.event.Event;
 import quotagateway.policy.event.RequestBodyComplete;
 import quotagateway.policy.event.RequestReceived;
 import quotagateway.policy.event.ResponseStarted;
@@ -462,6 +463,29 @@
     assertNotEquals(s.endpointId(), f.only(StartAttempt.class).endpointId());
   }
 
+  /** An event of a kind that was added to the sealed type, but not here, would be thrown back. */
+  @Test
+  void everyKindOfEventIsHandled() {
+    PolicyFixture f = PolicyFixture.counted();
+    List<Event> oneOfEach =
+        List.of(
+            new RequestReceived("r", PolicyFixture.type("safe"), "free", 1, 2, 1, f.now + 4000),
+            new RequestBodyComplete("r", f.now + 4000),
+            new CounterReplied("nothing", Status.OK, 5, 1),
+            new ResponseStarted("r", 0),
+            new AttemptEnded("r", 0, 1, Status.OK, 5, true, 0, null),
+            new ClientDisconnected("r"),
+            new EndpointsUpdated(EndpointListForm.DELTA, List.of()),
+            new TimerFired(Timer.REQUEST_CHECK),
+            new SettingsChanged(PolicyFixture.settings(true, 2, false)));
+    Set<Class<?>> kinds = new HashSet<>();
+    for (Event event : oneOfEach) {
+      f.on(event);
+      kinds.add(event.getClass());
+    }
+    assertEquals(Set.of(Event.class.getPermittedSubclasses()), kinds);
+  }
+
   @Test
   void eventsForWhatIsOverAreIgnored() {
     PolicyFixture f = PolicyFixture.counted();
--- a/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
+++ b/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
@@ -28,15 +28,16 @@
     int length = 30_000;
     PolicyFixture gateway =
         new PolicyFixture(PolicyFixture.settings(true, 2_000, false)).backends(length);
-    assertEquals(0, gateway.policy.fullStates());
+    assertEquals(0, gateway.policy.trackedBackends());
     for (int i = 0; i < 4 * length; i++) {
       gateway.pass(1).request("safe", "free", 1);
       if (gateway.did(StartAttempt.class)) {
         gateway.outcome(gateway.only(StartAttempt.class), 0, Status.REJECTED, true);
       }
     }
-    assertTrue(gateway.policy.fullStates() > 1_000, gateway.policy.fullStates() + " met");
-    assertTrue(gateway.policy.fullStates() < 10_000, gateway.policy.fullStates() + " kept");
+    assertTrue(gateway.policy.trackedBackends() > 1_000, gateway.policy.trackedBackends() + " met");
+    assertTrue(
+        gateway.policy.trackedBackends() < 10_000, gateway.policy.trackedBackends() + " kept");
   }
 
   // After a fleet-wide restart all backends warm up: those beyond the statuses that are kept must
@@ -49,7 +50,8 @@
       entries.add(new Endpoint(i, "a", 0, EndpointState.SERVING, 1, gateway.now));
     }
     gateway.on(new EndpointsUpdated(EndpointListForm.SNAPSHOT, entries));
-    assertTrue(gateway.policy.fullStates() < 5_000, gateway.policy.fullStates() + " kept");
+    assertTrue(
+        gateway.policy.trackedBackends() < 5_000, gateway.policy.trackedBackends() + " kept");
     int sent = 0;
     for (int i = 0; i < 1_000; i++) {
       gateway.request("safe", "free", 1);
@@ -69,7 +71,7 @@
   private static Set<Long> listed(PolicyFixture gateway, int most) {
     Set<Long> listed = new HashSet<>();
     for (long id = 0; id < most; id++) {
-      if (gateway.policy.listing().address(id) == id + 1) {
+      if (gateway.policy.servingEndpoints().address(id) == id + 1) {
         listed.add(id);
       }
     }
@@ -128,7 +130,7 @@
     int slices = 0;
     while (gateway.did(ScheduleTimer.class)) {
       slices++;
-      assertEquals(Endpoint.NO_ADDRESS, gateway.policy.listing().address(3));
+      assertEquals(Endpoint.NO_ADDRESS, gateway.policy.servingEndpoints().address(3));
       for (int i = 0; i < 3; i++) {
         gateway.request("safe", "free", 1);
         if (gateway.did(StartAttempt.class)) {
