--- a/src/main/java/quotagateway/policy/GatewayPolicy.java
+++ b/src/main/java/quotagateway/policy/GatewayPolicy.java
@@ -3,6 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import quotagateway.endpoint.EndpointIndex;
 import quotagateway.endpoint.ServingEndpoints;
 import quotagateway.policy.action.Action;
@@ -25,6 +26,7 @@
 import quotagateway.policy.event.Status;
 import quotagateway.policy.event.TimerFired;
 import quotagateway.policy.quota.BackendLoad;
+import quotagateway.policy.quota.CounterReplyDecision;
 import quotagateway.policy.quota.QuotaDecision;
 import quotagateway.policy.quota.QuotaLimiter;
 import quotagateway.policy.retry.AttemptTimeout;
@@ -195,9 +197,11 @@
   }
 
   private void onCounterReplied(CounterReplied event) {
-    quotaLimiter
-        .onCounterReplied(event, isStalled())
-        .ifPresent(reply -> apply(reply.decision(), openRequests.get(reply.requestId())));
+    Optional<CounterReplyDecision> decided = quotaLimiter.onCounterReplied(event, isStalled());
+    if (decided.isPresent()) {
+      OpenRequest request = openRequests.get(decided.get().requestId());
+      apply(decided.get().decision(), request);
+    }
   }
 
   /** Over quota, a request is forwarded only where its plan earns by it and backends are idle. */
--- a/src/main/java/quotagateway/policy/action/ScheduleTimer.java
+++ b/src/main/java/quotagateway/policy/action/ScheduleTimer.java
@@ -1,7 +1,7 @@
 package quotagateway.policy.action;
 
 /**
- * Tell the policy when a time has come.
+ * Notify the policy, by an event, when a time has come.
  *
  * @param atMs the time, in Unix milliseconds
  * @param timer which timer that is
--- a/src/main/java/quotagateway/policy/event/EndpointsUpdated.java
+++ b/src/main/java/quotagateway/policy/event/EndpointsUpdated.java
@@ -5,7 +5,7 @@
 import quotagateway.endpoint.EndpointListForm;
 
 /**
- * Discovery told of endpoints.
+ * Discovery has sent a message of the endpoint list.
  *
  * @param form what the message stands for
  * @param endpoints the endpoints that it names
--- a/src/main/java/quotagateway/policy/event/package-info.java
+++ b/src/main/java/quotagateway/policy/event/package-info.java
@@ -1,2 +1,4 @@
-/** What a gateway tells its policy; every time is in milliseconds of one monotonic Unix clock. */
+/**
+ * What a gateway reports to its policy; every time is in milliseconds of one monotonic Unix clock.
+ */
 package quotagateway.policy.event;
--- a/src/main/java/quotagateway/policy/quota/QuotaLimiter.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaLimiter.java
@@ -157,15 +157,12 @@
 
   private Optional<CounterReplyDecision> onPermitReply(
       QuotaReservation reservation, CounterReplied reply) {
-    QuotaDecision decision =
-        switch (concurrencyLimiter.onReply(reservation, reply.status(), reply.total())) {
-          case GRANTED -> acquireUnits(reservation);
-          case EXHAUSTED -> overQuota(reservation);
-          case UNKNOWN -> acquireWithLocalPermit(reservation);
-          case NOT_AWAITED -> null;
-        };
-    return Optional.ofNullable(decision)
-        .map(made -> new CounterReplyDecision(reservation.requestId, made));
+    return switch (concurrencyLimiter.onReply(reservation, reply.status(), reply.total())) {
+      case GRANTED -> decided(reservation, acquireUnits(reservation));
+      case EXHAUSTED -> decided(reservation, overQuota(reservation));
+      case UNKNOWN -> decided(reservation, acquireWithLocalPermit(reservation));
+      case NOT_AWAITED -> Optional.empty();
+    };
   }
 
   private QuotaDecision acquireUnits(QuotaReservation reservation) {
@@ -225,7 +222,11 @@
     }
     reservation.awaitingUnits = false;
     reservation.unitsCounted = mayBeCounted && reservation.askedUnits > 0;
-    QuotaDecision decision = decide(reservation, status == Status.OK);
+    return decided(reservation, decide(reservation, status == Status.OK));
+  }
+
+  private static Optional<CounterReplyDecision> decided(
+      QuotaReservation reservation, QuotaDecision decision) {
     return Optional.of(new CounterReplyDecision(reservation.requestId, decision));
   }
 
--- a/src/main/java/quotagateway/policy/settings/RequestClass.java
+++ b/src/main/java/quotagateway/policy/settings/RequestClass.java
@@ -4,10 +4,11 @@
  * One class of requests and its service level.
  *
  * @param name as clients give it
- * @param priorityWeight what a response within the latency objective is worth, relative to others
- * @param latePriorityWeight what a response between objective and deadline is worth
+ * @param priorityWeight value of a response within the latency objective, relative to that of other
+ *     classes
+ * @param latePriorityWeight value of a response between objective and deadline
  * @param latencyObjectiveMs time from the request's last byte within which a response has its full
- *     worth; 0 if there is no such time
+ *     value; 0 if there is no such time
  * @param deadlineMs the longest time that a client of this class waits
  * @param idempotency whether a request may be executed again
  * @param deduplicationScope which backends drop repeated executions by their key
--- a/src/test/java/quotagateway/policy/EmbeddingExampleTest.java
+++ b/src/test/java/quotagateway/policy/EmbeddingExampleTest.java
@@ -31,15 +31,15 @@
 import quotagateway.policy.settings.RequestClass;
 import quotagateway.policy.settings.ServiceRules;
 
-/** The loop that the README shows, with a counter and a backend that answer at once. */
+/** A policy in a loop of one's own, with a counter and a backend that reply at once. */
 class EmbeddingExampleTest {
 
   private final Map<String, Double> counter = new HashMap<>();
   private int served;
-  private int refused;
+  private int rejected;
 
   @Test
-  void servesWithinTheQuotaAndRefusesTheRest() {
+  void servesWithinTheQuotaAndRejectsWhatIsOver() {
     RequestClass read =
         new RequestClass(
             "read", 1, 0, 500, 2000, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false);
@@ -75,7 +75,7 @@
       }
     }
     assertEquals(10, served);
-    assertEquals(10, refused);
+    assertEquals(10, rejected);
   }
 
   private void perform(Action action, ArrayDeque<Event> events) {
@@ -87,7 +87,7 @@
       events.addFirst(
           new AttemptEnded(s.requestId(), 0, s.endpointId(), Status.OK, 20, true, 1, null));
     } else if (action instanceof RejectRequest || action instanceof FailRequest) {
-      refused++;
+      rejected++;
     } else if (action instanceof ScheduleTimer w) {
       assertEquals(
           Timer.REQUEST_CHECK,
