--- a/src/test/java/quotagateway/policy/HardLimitTest.java
+++ b/src/test/java/quotagateway/policy/HardLimitFleetTest.java
@@ -15,14 +15,14 @@
 import quotagateway.policy.event.RequestReceived;
 import quotagateway.policy.event.Status;
 
-/** Several gateways against one count that fails in every way: the ceiling's store must hold. */
-class HardLimitTest {
+/** Several gateways against one count that fails in every way: the hard limit must hold. */
+class HardLimitFleetTest {
 
   private final Map<String, Double> counts = new HashMap<>();
-  private double store;
-  private double storeAt;
-  private double lowest;
-  private int sent;
+  private double unitsLeft;
+  private double refilledAtMs;
+  private double fewestUnitsLeft;
+  private int forwarded;
   private int units;
 
   @Test
@@ -30,20 +30,20 @@
     for (int seed = 0; seed < 40; seed++) {
       play(seed);
       assertTrue(
-          lowest >= -PolicyFixture.HARD_LIMITED.hardLimitSlackUnits(),
-          "seed " + seed + ": store at " + lowest);
-      assertTrue(sent > 50, "seed " + seed + ": only " + sent + " sent");
+          fewestUnitsLeft >= -PolicyFixture.HARD_LIMITED.hardLimitSlackUnits(),
+          "seed " + seed + ": units left: " + fewestUnitsLeft);
+      assertTrue(forwarded > 50, "seed " + seed + ": only " + forwarded + " forwarded");
     }
   }
 
   private void play(int seed) {
     SplittableRandom random = new SplittableRandom(seed);
     counts.clear();
-    lowest = store = PolicyFixture.HARD_LIMITED.hardLimitBurstUnits();
-    storeAt = 1_000_000;
-    sent = 0;
+    fewestUnitsLeft = unitsLeft = PolicyFixture.HARD_LIMITED.hardLimitBurstUnits();
+    refilledAtMs = 1_000_000;
+    forwarded = 0;
     PolicyFixture[] gateways = new PolicyFixture[2];
-    double trouble = random.nextDouble();
+    double failureShare = random.nextDouble();
     for (int step = 0; step < 3000; step++) {
       double now = 1_000_000 + step * 25.0;
       int i = random.nextInt(2);
@@ -59,34 +59,35 @@
       gateways[i].on(
           new RequestReceived(
               "s" + step, PolicyFixture.type("safe"), "ceiled", 42, 2, units, now + 4000));
-      answer(gateways[i], gateways[i].last, random, step % 400 < 200 ? trouble : 0);
+      answer(gateways[i], gateways[i].last, random, step % 400 < 200 ? failureShare : 0);
     }
   }
 
   private void answer(
-      PolicyFixture gateway, List<Action> actions, SplittableRandom random, double trouble) {
+      PolicyFixture gateway, List<Action> actions, SplittableRandom random, double failureShare) {
     for (Action action : actions) {
       if (action instanceof IncrementCounter a) {
-        boolean fails = random.nextDouble() < trouble;
+        boolean fails = random.nextDouble() < failureShare;
         boolean adds = !fails || random.nextBoolean();
         double total = adds ? counts.merge(a.counterName(), a.amount(), Double::sum) : 0;
         Status status = fails ? Status.TIMED_OUT : Status.OK;
         gateway.on(new CounterReplied(a.counterName(), status, total, 2));
-        answer(gateway, gateway.last, random, trouble);
+        answer(gateway, gateway.last, random, failureShare);
       } else if (action instanceof StartAttempt s) {
-        take(gateway.now, gateway, s);
+        recordUse(gateway.now, gateway, s);
       }
     }
   }
 
-  private void take(double now, PolicyFixture gateway, StartAttempt s) {
+  private void recordUse(double now, PolicyFixture gateway, StartAttempt s) {
     double filled =
-        store + PolicyFixture.HARD_LIMITED.hardLimitUnitsPerSecond() * (now - storeAt) / 1000;
-    store = Math.min(PolicyFixture.HARD_LIMITED.hardLimitBurstUnits(), filled);
-    storeAt = now;
-    store -= units;
-    lowest = Math.min(lowest, store);
-    sent++;
+        unitsLeft
+            + PolicyFixture.HARD_LIMITED.hardLimitUnitsPerSecond() * (now - refilledAtMs) / 1000;
+    unitsLeft = Math.min(PolicyFixture.HARD_LIMITED.hardLimitBurstUnits(), filled);
+    refilledAtMs = now;
+    unitsLeft -= units;
+    fewestUnitsLeft = Math.min(fewestUnitsLeft, unitsLeft);
+    forwarded++;
     gateway.on(new AttemptEnded(s.requestId(), 0, s.endpointId(), Status.OK, 50, true, 1, null));
   }
 }
