--- a/src/main/java/quotagateway/backend/BackendConnectionPool.java
+++ b/src/main/java/quotagateway/backend/BackendConnectionPool.java
@@ -18,8 +18,8 @@
 
 /**
  * The connections to all backends, and the start of attempts on them. It chooses no backend and
- * retries nothing. On the event loop's thread, but for {@link #knowsAny}; times are in milliseconds
- * on the gateway's clock.
+ * retries nothing. On the event loop's thread, but for {@link #hasServingBackend}; times are in
+ * milliseconds on the gateway's clock.
  */
 public final class BackendConnectionPool {
 
@@ -47,7 +47,7 @@
   private final Map<Long, BackendConnections> backends = new HashMap<>();
 
   /** Read by the admin server's thread too. */
-  private volatile boolean knowsAny;
+  private volatile boolean hasServingBackend;
 
   /**
    * @param loop on which all of it runs
@@ -85,7 +85,7 @@
           .filter(id -> endpoints.address(id) == Endpoint.NO_ADDRESS)
           .forEach(id -> remove(id, outdated));
     }
-    knowsAny = endpoints.anyServing();
+    hasServingBackend = endpoints.anyServing();
     // Only now, as what is given up may go to any backend of the list at once.
     List<Attempt> unsent = new ArrayList<>();
     outdated.forEach(backend -> backend.releaseUnused(unsent));
@@ -114,8 +114,8 @@
   }
 
   /** Whether there is a backend to send requests to; on any thread. */
-  public boolean knowsAny() {
-    return knowsAny;
+  public boolean hasServingBackend() {
+    return hasServingBackend;
   }
 
   /**
