--- a/src/main/java/quotagateway/client/Exchange.java
+++ b/src/main/java/quotagateway/client/Exchange.java
@@ -184,14 +184,14 @@
   /** The last byte of the request has come; the driver learns the deadline if it waits for it. */
   void requestComplete() {
     if (open()) {
-      context.driver().completeBody(requestId, request.deadlineAtMs());
+      context.driver().onBodyComplete(requestId, request.deadlineAtMs());
     }
   }
 
   private void failInternally(RuntimeException cause) {
     LOG.log(Level.SEVERE, "request failed", cause);
     if (open()) {
-      context.driver().disconnectClient(requestId);
+      context.driver().onClientDisconnected(requestId);
       end();
       respond(ResponseWriter.empty(HttpResponseStatus.INTERNAL_SERVER_ERROR));
     } else {
@@ -215,7 +215,7 @@
   void connectionClosed() {
     if (open()) {
       end();
-      context.driver().disconnectClient(requestId);
+      context.driver().onClientDisconnected(requestId);
     }
   }
 
@@ -226,10 +226,10 @@
   void abandonRequest() {
     if (state == State.FORWARDED) {
       end();
-      context.driver().disconnectClient(requestId);
+      context.driver().onClientDisconnected(requestId);
     } else if (state == State.STREAMING) {
       // Ends by the driver's call of onResponseEnd.
-      context.driver().disconnectClient(requestId);
+      context.driver().onClientDisconnected(requestId);
     }
   }
 
--- a/src/main/java/quotagateway/driver/AttemptStarter.java
+++ b/src/main/java/quotagateway/driver/AttemptStarter.java
@@ -24,7 +24,7 @@
   private final BackendConnectionPool backends;
   private final ActiveRequests requests;
   private final Consumer<Event> events;
-  private final Consumer<String> disconnectClient;
+  private final Consumer<String> onClientDisconnected;
   private int streamingResponses;
 
   /**
@@ -36,12 +36,12 @@
       BackendConnectionPool backends,
       ActiveRequests requests,
       Consumer<Event> events,
-      Consumer<String> disconnectClient) {
+      Consumer<String> onClientDisconnected) {
     this.clock = clock;
     this.backends = backends;
     this.requests = requests;
     this.events = events;
-    this.disconnectClient = disconnectClient;
+    this.onClientDisconnected = onClientDisconnected;
   }
 
   /** How many responses are being streamed to clients. */
@@ -102,7 +102,7 @@
     @Override
     public boolean isWanted() {
       if (!hasEnded() && !request.isFinished() && request.listener.isDisconnected()) {
-        disconnectClient.accept(request.id());
+        onClientDisconnected.accept(request.id());
       }
       return super.isWanted();
     }
--- a/src/main/java/quotagateway/driver/PolicyDriver.java
+++ b/src/main/java/quotagateway/driver/PolicyDriver.java
@@ -56,7 +56,8 @@
     this.clock = clock;
     this.policy = policy;
     this.backends = backends;
-    attempts = new AttemptStarter(clock, backends, requests, this::deliver, this::disconnectClient);
+    attempts =
+        new AttemptStarter(clock, backends, requests, this::deliver, this::onClientDisconnected);
     executor = new ActionExecutor(loop, clock, requests, attempts, this::deliver);
   }
 
@@ -108,7 +109,7 @@
   }
 
   /** The last byte of a request's body has come, and its deadline is known. */
-  public void completeBody(String id, double deadlineAtMs) {
+  public void onBodyComplete(String id, double deadlineAtMs) {
     ActiveRequest request = requests.get(id);
     if (request == null || request.isFinished()) {
       return;
@@ -126,7 +127,7 @@
   }
 
   /** The client of a request has closed its connection. */
-  public void disconnectClient(String id) {
+  public void onClientDisconnected(String id) {
     ActiveRequest request = requests.get(id);
     if (request == null) {
       return;
--- a/src/main/java/quotagateway/server/GatewayServer.java
+++ b/src/main/java/quotagateway/server/GatewayServer.java
@@ -135,10 +135,12 @@
     return admin.address();
   }
 
+  /** The running part that accepts clients; for tests, which also look at it on the event loop. */
   public ClientServer clients() {
     return components.clients();
   }
 
+  /** The state that the running parts read; for tests. */
   public Lifecycle lifecycle() {
     return lifecycle;
   }
--- a/src/main/java/quotagateway/server/ReloadSignal.java
+++ b/src/main/java/quotagateway/server/ReloadSignal.java
@@ -28,19 +28,23 @@
   /**
    * Runs the action on each SIGHUP from now on, on a thread of the JVM's own.
    *
+   * <p>Prevents a gateway that serves by an old configuration for good: where the JVM leaves the
+   * signal alone, a reload would be ignored in silence, or end the process. Cost: such a gateway
+   * does not start.
+   *
    * @throws UnavailableException where the JVM leaves the signal alone: where it was ignored when
    *     the process started, which a process inherits (as from nohup), or where the JVM's options
    *     forbid handlers
    */
   static void handle(Runnable reload) throws UnavailableException {
-    if (install(reload) == ignored()) {
+    if (install(reload) == ignoringHandler()) {
       throw new UnavailableException(
-          "it was ignored when the program started;" + " start it by env --default-signal=" + NAME,
+          "it was ignored when the program started; start it by env --default-signal=" + NAME,
           null);
     }
   }
 
-  /** Installs the action as the handler; gives the handler before it. */
+  /** Installs the action as the handler; returns the handler before it. */
   private static Object install(Runnable reload) throws UnavailableException {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
@@ -64,10 +68,10 @@
   }
 
   /**
-   * What HotSpot gives as the handler before where the process inherited the signal as ignored; it
-   * then installs nothing and reports no error.
+   * What HotSpot returns as the handler before where the process inherited the signal as ignored;
+   * it then installs nothing and reports no error.
    */
-  private static Object ignored() throws UnavailableException {
+  private static Object ignoringHandler() throws UnavailableException {
     try {
       return handlerType().getField("SIG_IGN").get(null);
     } catch (ReflectiveOperationException e) {
--- a/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
+++ b/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
@@ -207,7 +207,7 @@
             () -> {
               start();
               accept("r1");
-              driver.disconnectClient("r1");
+              driver.onClientDisconnected("r1");
               return null;
             })
         .sync();
