--- a/src/test/java/quotagateway/discovery/DiscoveryClientTest.java
+++ b/src/test/java/quotagateway/discovery/DiscoveryClientTest.java
@@ -160,6 +160,17 @@
     assertEquals("GET /discovery/hosts?stream=1&index=8 HTTP/1.1", requestLine(watch(2)));
   }
 
+  /** A watch from a version that discovery does not have would be refused for good. */
+  @Test
+  void keepsTheLastVersionWhereAMessageHasNoProperOne() {
+    client.start();
+    receive(watch(1), FakeDiscovery.RESPONSE_HEAD + message(8) + message(-4) + message(0));
+    assertEquals(List.of(8L, -4L, 0L), versions());
+    watch(1).close();
+    advance(FIRST_BACKOFF_MS + 1);
+    assertEquals("GET /discovery/hosts?stream=1&index=8 HTTP/1.1", requestLine(watch(2)));
+  }
+
   /** Heartbeats would keep such a watch open, and be read as part of the message. */
   @Test
   void closesAWatchThatStopsWithinAMessage() {
