--- a/src/test/java/quotagateway/discovery/DiscoveryFailureTest.java
+++ b/src/test/java/quotagateway/discovery/DiscoveryFailureTest.java
@@ -5,6 +5,8 @@
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelException;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelHandler;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -107,7 +109,7 @@
     }
     Map<Failure, CompletableFuture<Long>> received = new EnumMap<>(Failure.class);
     for (Failure failure : Failure.values()) {
-      received.put(failure, watchThrough(failure));
+      received.put(failure, new FailingWatches(failure).start());
     }
     assertAll(
         received.entrySet().stream()
@@ -121,65 +123,86 @@
                     }));
   }
 
-  /** How many milliseconds after the first watch fell silent the change is received. */
-  private CompletableFuture<Long> watchThrough(Failure failure) {
-    CompletableFuture<Long> received = new CompletableFuture<>();
-    AtomicInteger watches = new AtomicInteger();
-    AtomicLong silentSince = new AtomicLong();
-    Dialer sockets = DiscoveryClient.dialer(loop);
-    ScriptedServer agent =
-        new ScriptedServer(
-            50,
-            (in, out, socket) -> {
-              HttpMessage.read(in);
-              int number = watches.get();
-              if (number == 1) {
-                TextStreams.write(out, HEAD + "1\r\n\n\r\n");
-                silentSince.set(System.nanoTime());
-              } else if (number > 1 + failure.watches) {
-                TextStreams.write(
-                    out, HEAD + FakeDiscovery.chunk(EndpointListJson.list(8, true) + "\n"));
-              } else {
-                fail(failure, in, out, socket);
-              }
-            });
-    agents.add(agent);
-    Dialer dialer =
-        (address, handler) -> {
-          int number = watches.incrementAndGet();
-          boolean fails = number > 1 && number <= 1 + failure.watches;
-          if (fails && failure == Failure.NO_DESCRIPTOR) {
-            return new Bootstrap()
-                .group(loop)
-                .handler(handler)
-                .channelFactory(
-                    () -> {
-                      throw new ChannelException("no descriptor is left");
-                    })
-                .connect(address);
-          }
-          return sockets.dial(
-              fails && failure == Failure.REFUSED
-                  ? refusing
-                  : fails && failure == Failure.NEVER_UP
-                      ? (InetSocketAddress) full.getLocalSocketAddress()
-                      : address,
-              handler);
-        };
-    loop.execute(
-        () ->
-            new DiscoveryClient(
-                    loop,
-                    new MonotonicClock(),
-                    dialer,
-                    agent.address(),
-                    7,
-                    1_000,
-                    update ->
-                        received.complete(
-                            TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - silentSince.get())))
-                .start());
-    return received;
+  /** A client whose first watch falls silent, and whose next ones fail in one way. */
+  private final class FailingWatches {
+
+    private final Failure failure;
+
+    /** The watches that were dialed so far. */
+    private final AtomicInteger dialed = new AtomicInteger();
+
+    private final AtomicLong silentSince = new AtomicLong();
+    private final CompletableFuture<Long> received = new CompletableFuture<>();
+    private final Dialer sockets = DiscoveryClient.dialer(loop);
+    private final ScriptedServer agent = new ScriptedServer(50, this::serve);
+
+    FailingWatches(Failure failure) {
+      this.failure = failure;
+      agents.add(agent);
+    }
+
+    /**
+     * Starts the client.
+     *
+     * @return how many milliseconds after the first watch fell silent the change is received
+     */
+    CompletableFuture<Long> start() {
+      DiscoveryClient client =
+          new DiscoveryClient(
+              loop,
+              new MonotonicClock(),
+              this::dial,
+              agent.address(),
+              7,
+              1_000,
+              update -> received.complete(msSinceSilence()));
+      loop.execute(client::start);
+      return received;
+    }
+
+    private long msSinceSilence() {
+      return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - silentSince.get());
+    }
+
+    private boolean fails(int number) {
+      return number > 1 && number <= 1 + failure.watches;
+    }
+
+    private void serve(InputStream in, OutputStream out, Socket socket) throws IOException {
+      HttpMessage.read(in);
+      int number = dialed.get();
+      if (number == 1) {
+        TextStreams.write(out, HEAD + FakeDiscovery.chunk("\n"));
+        silentSince.set(System.nanoTime());
+      } else if (fails(number)) {
+        fail(failure, in, out, socket);
+      } else {
+        TextStreams.write(out, HEAD + FakeDiscovery.chunk(EndpointListJson.list(8, true) + "\n"));
+      }
+    }
+
+    private ChannelFuture dial(InetSocketAddress address, ChannelHandler handler) {
+      if (!fails(dialed.incrementAndGet())) {
+        return sockets.dial(address, handler);
+      }
+      return switch (failure) {
+        case NO_DESCRIPTOR -> dialWithoutDescriptor(address, handler);
+        case REFUSED -> sockets.dial(refusing, handler);
+        case NEVER_UP -> sockets.dial((InetSocketAddress) full.getLocalSocketAddress(), handler);
+        default -> sockets.dial(address, handler);
+      };
+    }
+
+    private ChannelFuture dialWithoutDescriptor(InetSocketAddress address, ChannelHandler handler) {
+      return new Bootstrap()
+          .group(loop)
+          .handler(handler)
+          .channelFactory(
+              () -> {
+                throw new ChannelException("no descriptor is left");
+              })
+          .connect(address);
+    }
   }
 
   private static void fail(Failure failure, InputStream in, OutputStream out, Socket socket)
