--- a/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
+++ b/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
@@ -46,8 +46,7 @@
 import quotagateway.transport.SocketTransport;
 
 /**
- * How attempts end that never got a connection: only some of the endings tell of a restarted
- * backend.
+ * How attempts end that got no connection, or lost it, and on which connections others are written.
  */
 @Timeout(30)
 class BackendConnectionPoolTest {
@@ -79,8 +78,12 @@
   }
 
   private static EndpointUpdate snapshot() {
-    return new EndpointUpdate(
-        1, true, List.of(new Endpoint(1, "a", 0, EndpointState.SERVING, 1, 0)));
+    return update(EndpointState.SERVING);
+  }
+
+  /** A list of the one backend in that state. */
+  private static EndpointUpdate update(EndpointState state) {
+    return new EndpointUpdate(1, true, List.of(new Endpoint(1, "a", 0, state, 1, 0)));
   }
 
   private Attempt attempt(double timeoutMs) {
@@ -294,6 +297,51 @@
     assertEquals(List.of(Status.CANCELLED), List.copyOf(ends));
   }
 
+  /** The policy cancels an attempt while its connection comes up: nobody waits for a response. */
+  @Test
+  void attemptCancelledWhileConnectingIsNotWritten() {
+    Attempt attempt = attempt(1_000);
+    slowPool().start(1, attempt, FOREVER);
+    attempt.abandon(attempt.statusIfCancelled());
+    connectAfter(1_000);
+    assertNull(dialled.readOutbound());
+    assertEquals(List.of(Status.NOT_SENT), List.copyOf(ends));
+    assertFalse(dialled.isOpen());
+  }
+
+  /**
+   * A backend begins to drain while a connection to it comes up. A request that is written then
+   * breaks the drain; the attempt ends as not sent, so that the policy can choose another backend.
+   */
+  @Test
+  void attemptWaitingForABackendThatDrainsIsNotWritten() {
+    BackendConnectionPool pool = slowPool();
+    pool.start(1, attempt(1_000), FOREVER);
+    pool.onEndpointsUpdated(update(EndpointState.DRAINING));
+    assertEquals(List.of(Status.NOT_SENT), List.copyOf(ends));
+    connectAfter(1_000);
+    assertNull(dialled.readOutbound());
+    assertFalse(dialled.isOpen());
+  }
+
+  /**
+   * A backend drains while a request is out on a connection to it. The response is taken, and the
+   * connection is closed behind it: kept, it would lead to whoever lives at that address next.
+   */
+  @Test
+  void connectionToADrainedBackendIsClosedBehindItsResponse() {
+    BackendConnectionPool pool = slowPool();
+    pool.start(1, attempt(1_000), FOREVER);
+    connectAfter(1_000);
+    dialled.releaseOutbound();
+    pool.onEndpointsUpdated(update(EndpointState.DRAINING));
+    assertTrue(dialled.isOpen());
+    dialled.writeInbound(
+        Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", US_ASCII));
+    assertEquals(List.of(Status.OK), List.copyOf(ends));
+    assertFalse(dialled.isOpen());
+  }
+
   @Test
   void attemptIsWrittenWhenItsConnectionComesInTime() {
     slowPool().start(1, attempt(1_000), 200);
--- a/src/test/java/quotagateway/server/MalformedResponseTest.java
+++ b/src/test/java/quotagateway/server/MalformedResponseTest.java
@@ -74,6 +74,22 @@
     }
   }
 
+  /**
+   * Bytes that are no response yet lie behind a response. On a connection that is used again they
+   * would spoil the next response, and its request would need a retry.
+   */
+  @Test
+  void connectionWithBytesBehindAResponseIsNotUsedAgain() throws Exception {
+    fixture.start();
+    TestClient client = fixture.client();
+    fixture.backend.responder = (request, out) -> TextStreams.write(out, ok("first") + "noise");
+    assertEquals("first", client.ask(TestRequests.get("r1", 3000)).text());
+    fixture.backend.responder = (request, out) -> TextStreams.write(out, ok("second"));
+    TimeUnit.MILLISECONDS.sleep(50);
+    assertEquals("second", client.ask(TestRequests.get("r2", 3000)).text());
+    assertEquals(2, fixture.backend.received.size(), "attempts of both requests");
+  }
+
   @Test
   void informationalResponsesAreSkipped() throws Exception {
     fixture.start();
