--- a/src/test/java/quotagateway/discovery/DiscoveryClientTest.java
+++ b/src/test/java/quotagateway/discovery/DiscoveryClientTest.java
@@ -191,4 +191,15 @@
     advance(FIRST_BACKOFF_MS + 1);
     assertEquals(2, watches.size());
   }
+
+  /**
+   * An agent, or something in front of it, may answer by an error whose body is a list that is not
+   * for use. It arrives in one read with its head, before the watch is closed.
+   */
+  @Test
+  void ignoresTheBodyOfAnErrorResponse() {
+    client.start();
+    receive(watch(1), "HTTP/1.1 503 x\r\nTransfer-Encoding: chunked\r\n\r\n" + message(8));
+    assertEquals(List.of(), versions());
+  }
 }
