--- a/src/test/java/quotagateway/server/StreamingTest.java
+++ b/src/test/java/quotagateway/server/StreamingTest.java
@@ -32,6 +32,9 @@
 @Timeout(60)
 class StreamingTest {
 
+  /** For how long a response may stop, before any of it went to the client, and be waited for. */
+  private static final long MAX_STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+
   private static final int LARGE = 20 << 20;
 
   private final GatewayFixture fixture = new GatewayFixture();
@@ -200,12 +203,15 @@
 
   /**
    * A response comes in slow pieces, for longer than the stall limit of one. It is slow rather than
-   * broken: it is served, and no second attempt is made.
+   * broken: it is served, and no second attempt is made. On a busy machine the backend's thread can
+   * itself stand still for longer than that limit, and then the gateway may give the response up;
+   * StalledResponseTest holds the limit in time that it advances.
    */
   @Test
   void slowResponsesAreServedByTheirFirstAttempt() throws Exception {
     fixture.start();
     AtomicInteger asked = new AtomicInteger();
+    AtomicLong longestPauseNanos = new AtomicLong();
     for (String framing : new String[] {"Content-Length: 8", "Transfer-Encoding: chunked"}) {
       fixture.backend.responder =
           (request, out) -> {
@@ -213,14 +219,21 @@
             TextStreams.write(out, "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n");
             boolean chunked = framing.startsWith("T");
             for (int i = 0; i < 8; i++) {
+              long from = System.nanoTime();
               pause(100);
               TextStreams.write(out, chunked ? "1\r\nx\r\n" : "x");
+              longestPauseNanos.accumulateAndGet(System.nanoTime() - from, Math::max);
             }
             return TextStreams.write(out, chunked ? "0\r\n\r\n" : "");
           };
-      assertEquals("xxxxxxxx", fixture.client().ask(TestRequests.get("r1", 3000)).text());
+      String body = fixture.client().ask(TestRequests.get("r1", 3000)).text();
+      if (longestPauseNanos.get() < MAX_STALL_NANOS) {
+        assertEquals("xxxxxxxx", body);
+      }
+    }
+    if (longestPauseNanos.get() < MAX_STALL_NANOS) {
+      assertEquals(2, asked.get());
     }
-    assertEquals(2, asked.get());
   }
 
   /**
