--- a/src/main/java/quotagateway/policy/admission/LoadShedder.java
+++ b/src/main/java/quotagateway/policy/admission/LoadShedder.java
@@ -22,12 +22,12 @@
 public final class LoadShedder {
 
   /**
-   * Expected latency ratio from which requests of the lowest priority are shed: the rest of the
-   * objective is left for variation between requests and for a retry.
+   * Expected latency ratio above which requests of the lowest priority are shed. It is a mean:
+   * single responses take longer, and have to meet their objective, too.
    */
   static final double MAX_LATENCY_RATIO_LOWEST_PRIORITY = 0.25;
 
-  /** Expected latency ratio from which requests of the highest priority are shed as well. */
+  /** Expected latency ratio above which requests of the highest priority are shed as well. */
   static final double MAX_LATENCY_RATIO_HIGHEST_PRIORITY = 0.4;
 
   /**
