--- a/src/main/java/quotagateway/backend/RequestBody.java
+++ b/src/main/java/quotagateway/backend/RequestBody.java
@@ -80,7 +80,7 @@
       return;
     }
     int added = bytes.readableBytes();
-    if (buffer == Unpooled.EMPTY_BUFFER) {
+    if (buffer.capacity() == 0) {
       buffer = Unpooled.buffer(added);
     }
     buffer.writeBytes(bytes);
