--- a/src/main/java/quotagateway/policy/quota/CustomerAccount.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerAccount.java
@@ -12,21 +12,12 @@
  * takes it off its replica. Between replies it assumes that they go on as before.
  *
  * <p>Where a window would hold fewer than two refills of the bucket, the bucket is not replicated:
- * each window then allows one burst ({@code fixedWindow}).
+ * each window then allows one burst.
  *
  * <p>Owned by the thread of its policy. Units are those of requests' estimates.
  */
 final class CustomerAccount {
 
-  /**
-   * Up to this many gateways, each meets a customer often enough to follow its bucket over the
-   * longest window; with more gateways the windows become shorter.
-   */
-  private static final double MAX_GATEWAYS_FOR_LONGEST_WINDOW = 3;
-
-  /** A window with fewer refills of the bucket than this is a fixed window. */
-  private static final double MIN_REFILLS_FOR_BUCKET = 2;
-
   /** Share of its rate that a customer is taken to use before anything is known of it. */
   private static final double DEFAULT_USE_RATIO = 0.5;
 
@@ -64,7 +55,6 @@
   private final LocalShare localShare;
   private final UseRates rates;
   private Plan plan;
-  private boolean fixedWindow;
 
   /** Units in the bucket, or left in the window, as estimated at {@link #advancedAtMs}. */
   private double availableUnits;
@@ -102,7 +92,7 @@
     // A gateway that has just started may follow one that has used the hard limit up.
     hardLimit.refill((context.nowMs() - context.startedAtMs()) / 1000);
     localShare = new LocalShare(context, gateways);
-    double peerUseRatio = fixedWindow ? DEFAULT_USE_RATIO : 1 - 1.0 / gateways;
+    double peerUseRatio = usesFixedWindow() ? DEFAULT_USE_RATIO : 1 - 1.0 / gateways;
     rates = new UseRates(plan.unitsPerSecond() * peerUseRatio);
   }
 
@@ -131,7 +121,7 @@
   }
 
   boolean usesFixedWindow() {
-    return fixedWindow;
+    return windows.areFixed();
   }
 
   double availableUnits() {
@@ -171,7 +161,7 @@
 
   /** How many units a call for a request should add: none where the bucket has no room for it. */
   double unitsToAsk(double units) {
-    return fixedWindow || availableUnits >= units ? units : 0;
+    return usesFixedWindow() || availableUnits >= units ? units : 0;
   }
 
   /**
@@ -179,7 +169,7 @@
    * load of the counter.
    */
   boolean isKnownExhausted(double units) {
-    if (fixedWindow) {
+    if (usesFixedWindow()) {
       boolean confirmed =
           syncedWindow == windows.windowAt(context.nowMs())
               && syncedTotalUnits >= plan.burstUnits();
@@ -205,17 +195,7 @@
   private void follow(Plan followed) {
     plan = followed;
     hardLimit.follow(followed);
-    double refillMs = 0;
-    if (plan.unitsPerSecond() > 0) {
-      refillMs = 1000 * plan.burstUnits() / plan.unitsPerSecond();
-    }
-    double longestMs = CounterWindows.MAX_LENGTH_MS;
-    if (!hardLimit.isSet()) {
-      longestMs = CounterWindows.MAX_LENGTH_MS * MAX_GATEWAYS_FOR_LONGEST_WINDOW / gateways;
-    }
-    double windowMs = Math.max(refillMs, Math.min(CounterWindows.MAX_LENGTH_MS, longestMs));
-    windows.setLengthMs(windowMs);
-    fixedWindow = windowMs < MIN_REFILLS_FOR_BUCKET * refillMs && hasSharedCounter();
+    windows.follow(followed, gateways, hasSharedCounter());
   }
 
   // ---- Time goes by ----
@@ -233,7 +213,7 @@
       return;
     }
     localShare.refill(plan, seconds, meanServiceMs);
-    if (fixedWindow) {
+    if (usesFixedWindow()) {
       advanceFixedWindow(seconds);
     } else {
       advanceBucket(seconds);
@@ -293,10 +273,10 @@
       sinceMs = nowMs - windows.startMs(window);
     }
     double peerUnits = growthByPeers(firstOfWindow, addedUnits, totalUnits);
-    peerUnits -= settlement.confirm(peerUnits, !fixedWindow);
+    peerUnits -= settlement.confirm(peerUnits, !usesFixedWindow());
     syncedWindow = window;
     syncedTotalUnits = totalUnits;
-    if (fixedWindow) {
+    if (usesFixedWindow()) {
       if (window == windows.windowAt(nowMs)) {
         availableUnits = plan.burstUnits() - (totalUnits - askedUnits);
       }
