--- a/src/test/java/quotagateway/discovery/EndpointListTiming.java
+++ b/src/test/java/quotagateway/discovery/EndpointListTiming.java
@@ -49,7 +49,8 @@
     EndpointUpdateDispatcher dispatcher =
         new EndpointUpdateDispatcher(
             tasks::add,
-            update -> apply(policy.on(NOW_MS, new EndpointsUpdated(update.form(), update.endpoints()))));
+            update ->
+                apply(policy.on(NOW_MS, new EndpointsUpdated(update.form(), update.endpoints()))));
     reader = new EndpointListReader(Integer.MAX_VALUE, dispatcher::dispatch);
   }
 
--- a/src/test/java/quotagateway/policy/context/ExponentialMeanTest.java
+++ b/src/test/java/quotagateway/policy/context/ExponentialMeanTest.java
@@ -35,4 +35,12 @@
     assertEquals(2 * Math.exp(-0.5), mean.fadedValue(NOW_MS + 500), 1e-12);
     assertEquals(2, mean.value());
   }
+
+  @Test
+  void countsTheTimeFromTheSampleBefore() {
+    mean.add(10, NOW_MS + 1_000);
+    double before = mean.value();
+    mean.add(0, NOW_MS + 1_000);
+    assertEquals(0.8 * before, mean.value(), 1e-12);
+  }
 }
--- a/src/test/java/quotagateway/policy/routing/EndpointSelectorTest.java
+++ b/src/test/java/quotagateway/policy/routing/EndpointSelectorTest.java
@@ -177,4 +177,39 @@
     }
     assertEquals(Set.of(0L), selected(RoutingFixture.idempotentRequest()));
   }
+
+  // The snapshot that no longer names them is known at once, though they are removed in slices.
+  @Test
+  void sendsNothingToAnEndpointThatLeftButIsNotRemovedYet() {
+    fixture = RoutingFixture.of(2, 1_000);
+    fixture.tracker.update(
+        new EndpointsUpdated(EndpointListForm.SNAPSHOT, List.of(RoutingFixture.endpoint(999, 0))));
+    assertTrue(fixture.index.serving().size() > 1);
+    Set<Long> selected = selected(RoutingFixture.idempotentRequest());
+    selected.remove(999L);
+    assertEquals(Set.of(), selected);
+  }
+
+  // With a single candidate a backend would be chosen at random, however busy it is.
+  @Test
+  void comparesTwoBackendsHoweverManyGatewaysThereAre() {
+    fixture = RoutingFixture.of(1_000, 2);
+    fixture.attemptAt(fixture.backend(0));
+    assertEquals(Set.of(1L), selected(RoutingFixture.idempotentRequest()));
+  }
+
+  // A draw that finds a backend that cannot be used is made again, up to three for each candidate.
+  @Test
+  void drawsAgainForBackendsThatCannotBeUsed() {
+    fixture = RoutingFixture.of(1_000, 12);
+    for (long id = 0; id < 9; id++) {
+      fixture.outliers.pauseAfterRejection(fixture.backend(id), 100);
+    }
+    int served = 0;
+    for (int i = 0; i < ROUNDS; i++) {
+      served += select(RoutingFixture.idempotentRequest()) == null ? 0 : 1;
+    }
+    // Eighteen draws in three passes find none of the three in one of 180 cases, six in one of 6.
+    assertTrue(served > 0.95 * ROUNDS, served + " of " + ROUNDS);
+  }
 }
--- a/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
+++ b/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
@@ -9,6 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import quotagateway.endpoint.Endpoint;
+import quotagateway.endpoint.EndpointIndex;
 import quotagateway.endpoint.EndpointListForm;
 import quotagateway.endpoint.EndpointState;
 import quotagateway.policy.PolicyFixture;
@@ -151,4 +152,115 @@
     assertTrue(slices > 10, slices + " slices");
     assertEquals(Set.of(10_400L, 10_499L, 10_500L, 10_501L, 10_502L), listed(gateway, 10_600));
   }
+
+  private static void update(RoutingFixture fixture, EndpointListForm form, Endpoint... endpoints) {
+    fixture.tracker.update(new EndpointsUpdated(form, List.of(endpoints)));
+  }
+
+  private static Endpoint endpoint(int id, String zone, EndpointState state, double weight) {
+    return new Endpoint(id, zone, id, state, weight, 0);
+  }
+
+  @Test
+  void asksForTheListAgainASecondAfterItCouldNotBeHad() {
+    RoutingFixture fixture = RoutingFixture.of(2, 4);
+    fixture.pass(0);
+    update(fixture, EndpointListForm.FAILED);
+    assertEquals(
+        List.of(new ScheduleTimer(RoutingFixture.START_MS + 1_000, Timer.ENDPOINT_WATCH)),
+        fixture.context.actions());
+  }
+
+  @Test
+  void schedulesOneSweepAtATimeAMillisecondAhead() {
+    RoutingFixture fixture = RoutingFixture.of(2, 1_000);
+    fixture.pass(0);
+    update(fixture, EndpointListForm.SNAPSHOT);
+    update(fixture, EndpointListForm.DELTA);
+    assertEquals(
+        List.of(new ScheduleTimer(RoutingFixture.START_MS + 1, Timer.ENDPOINT_SWEEP)),
+        fixture.context.actions());
+    assertEquals(600, fixture.index.serving().size());
+  }
+
+  @Test
+  void removesWhatACachedSnapshotDoesNotName() {
+    RoutingFixture fixture = RoutingFixture.of(2, 4);
+    update(fixture, EndpointListForm.CACHED_SNAPSHOT, RoutingFixture.endpoint(1, 0));
+    assertEquals(1, fixture.index.serving().size());
+  }
+
+  // Its process is the same one: a start that was noticed here, and the list has not, still holds.
+  @Test
+  void keepsAnAssumedStartThatTheListDoesNotTell() {
+    RoutingFixture fixture = RoutingFixture.of(2, 4);
+    BackendStatus backend = fixture.backend(1);
+    fixture.tracker.assumeStarted(backend, RoutingFixture.START_MS);
+    update(fixture, EndpointListForm.DELTA, RoutingFixture.endpoint(1, 0));
+    assertEquals(RoutingFixture.START_MS, fixture.index.assumedStartMs(backend.slot));
+    assertEquals(backend, fixture.backend(1));
+  }
+
+  @Test
+  void ignoresWeightsThatDoNotMeanCapacity() {
+    RoutingFixture fixture = RoutingFixture.of(2, 4);
+    update(fixture, EndpointListForm.DELTA, endpoint(1, "b", EndpointState.SERVING, 7));
+    assertEquals(1, fixture.index.weight(fixture.backend(1).slot));
+  }
+
+  @Test
+  void movesABackendToTheZoneThatTheListTells() {
+    RoutingFixture fixture = RoutingFixture.of(2, 4);
+    BackendStatus backend = fixture.backend(1);
+    update(fixture, EndpointListForm.DELTA, endpoint(1, "a", EndpointState.SERVING, 1));
+    assertEquals("a", backend.zone);
+    assertEquals(fixture.backend(0).zoneReachability, backend.zoneReachability);
+  }
+
+  // What an outstanding attempt comes to is still learned, and must not be booked to another one.
+  @Test
+  void keepsTheSlotOfARemovedBackendWhileAnAttemptIsOutstanding() {
+    RoutingFixture fixture = RoutingFixture.of(2, 4);
+    BackendStatus backend = fixture.backend(1);
+    Attempt attempt = fixture.attemptAt(backend);
+    update(fixture, EndpointListForm.DELTA, endpoint(1, "b", EndpointState.REMOVED, 1));
+    assertTrue(fixture.index.isUsed(backend.slot));
+    backend.outstanding.remove(attempt);
+    update(fixture, EndpointListForm.DELTA);
+    assertEquals(EndpointIndex.NONE, fixture.index.find(1));
+    assertEquals(0, fixture.tracker.statusCount());
+  }
+
+  // A backend that is met for the first time was listed all along: it has not answered just now.
+  @Test
+  void takesABackendMetLateForUnheardSinceTheStart() {
+    RoutingFixture fixture = RoutingFixture.of(2, 4);
+    fixture.pass(60_000);
+    assertEquals(RoutingFixture.START_MS, fixture.backend(1).lastResponseAtMs);
+  }
+
+  /** Of a list of 20,000 with 4,000 statuses kept, those beyond the subset that can be dropped. */
+  @Test
+  void dropsOnlyStatusesThatTellNothingAnyMore() {
+    RoutingFixture fixture = RoutingFixture.of(20_000, 20_000);
+    int subsetSize = fixture.tracker.subsetSize();
+    for (int i = 0; i < subsetSize + 4_000; i++) {
+      fixture.tracker.status(fixture.index.ranked().get(i));
+    }
+    BackendStatus inSubset = fixture.tracker.status(fixture.index.ranked().get(0));
+    BackendStatus busy = fixture.tracker.status(fixture.index.ranked().get(subsetSize));
+    BackendStatus ejected = fixture.tracker.status(fixture.index.ranked().get(subsetSize + 1));
+    BackendStatus restarted = fixture.tracker.status(fixture.index.ranked().get(subsetSize + 2));
+    BackendStatus answered = fixture.tracker.status(fixture.index.ranked().get(subsetSize + 3));
+    fixture.attemptAt(busy);
+    fixture.tracker.assumeStarted(restarted, RoutingFixture.START_MS);
+    fixture.pass(30_000);
+    ejected.ejectedUntilMs = fixture.context.nowMs() - 9_000;
+    answered.lastResponseAtMs = fixture.context.nowMs() - 1_000;
+    fixture.tracker.status(fixture.index.ranked().get(subsetSize + 4_000));
+    assertEquals(subsetSize + 4 + 1, fixture.tracker.statusCount());
+    for (BackendStatus kept : List.of(inSubset, busy, ejected, restarted, answered)) {
+      assertEquals(kept, fixture.tracker.status(kept.slot));
+    }
+  }
 }
--- a/src/test/java/quotagateway/policy/routing/LoadEstimatorTest.java
+++ b/src/test/java/quotagateway/policy/routing/LoadEstimatorTest.java
@@ -4,6 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 import quotagateway.endpoint.EndpointIndex;
+import quotagateway.endpoint.EndpointState;
 import quotagateway.policy.PolicyFixture;
 import quotagateway.policy.context.DecisionContext;
 import quotagateway.policy.event.LoadReport;
@@ -122,4 +123,26 @@
         new LoadEstimator(context, new EndpointIndex(0), fixture.attemptsInFlight);
     assertEquals(0, empty.requestsInFlight(backend));
   }
+
+  // A backend of twice the capacity has half the queue with as many requests.
+  @Test
+  void countsRequestsInProportionToTheWeightOfABackend() {
+    fixture.index.update(
+        backend.slot,
+        fixture.index.group(backend.slot),
+        EndpointState.SERVING,
+        5,
+        0,
+        10_000,
+        RoutingFixture.START_MS);
+    fixture.attemptAt(backend);
+    assertEquals(100 * (1 + 1 / (5 / 2.0)), load.costMs(backend, 1_000), EXACT);
+  }
+
+  @Test
+  void forgetsFailuresWhileTheBackendAnswersNothing() {
+    backend.failureShare = 0.5;
+    fixture.pass(3_000);
+    assertEquals(100 * (1 + 2 * Math.exp(-1)), load.costMs(backend, 1_000), EXACT);
+  }
 }
--- a/src/test/java/quotagateway/policy/routing/OutlierDetectorTest.java
+++ b/src/test/java/quotagateway/policy/routing/OutlierDetectorTest.java
@@ -150,4 +150,12 @@
     fixture.pass(1);
     assertTrue(outliers.isForgotten(backend));
   }
+
+  @Test
+  void keepsCountingEjectionsUntilTheShareIsLow() {
+    backend.ejections = 2;
+    backend.failureShare = 0.101;
+    outliers.close(backend);
+    assertEquals(2, backend.ejections);
+  }
 }
--- a/src/test/java/quotagateway/policy/routing/RestartDetectorTest.java
+++ b/src/test/java/quotagateway/policy/routing/RestartDetectorTest.java
@@ -64,4 +64,24 @@
     restarts.recordConnectFailure(backend);
     assertEquals(restartedMs, fixture.index.assumedStartMs(backend.slot));
   }
+
+  @Test
+  void beginsTheSuspicionWithAPartOfAToken() {
+    backend.slowStartTokens = 5;
+    fixture.pass(10);
+    restarts.recordConnectFailure(backend);
+    assertTrue(backend.slowStartTokens < 1);
+    assertEquals(fixture.context.nowMs(), backend.slowStartRefilledAtMs);
+  }
+
+  @Test
+  void endsASuspicionOnce() {
+    Attempt earlier = fixture.attemptAt(backend);
+    fixture.pass(10);
+    restarts.recordConnectFailure(backend);
+    restarts.recordSuccess(backend, earlier);
+    fixture.tracker.assumeStarted(backend, fixture.context.nowMs());
+    restarts.recordSuccess(backend, earlier);
+    assertTrue(isWarmingUp());
+  }
 }
--- a/src/test/java/quotagateway/policy/routing/SlowStartLimiterTest.java
+++ b/src/test/java/quotagateway/policy/routing/SlowStartLimiterTest.java
@@ -78,4 +78,42 @@
     slowStart.restart(backend);
     assertTrue(backend.slowStartTokens >= 0 && backend.slowStartTokens < 1);
   }
+
+  @Test
+  void countsTheWarmBackendsAnewAfterHalfASecond() {
+    BackendStatus backend = startedNow(0);
+    for (int i = 0; i < 400; i++) {
+      slowStart.recordAttempt(fixture.backend(1));
+    }
+    slowStart.admits(backend);
+    // The other three start again, which only the index knows.
+    for (long id = 1; id < 4; id++) {
+      fixture.tracker.assumeStarted(fixture.backend(id), fixture.context.nowMs());
+    }
+    fixture.pass(500);
+    slowStart.admits(backend);
+    double byTraffic = backend.slowStartTokens;
+    fixture.pass(1);
+    backend.slowStartTokens = 0;
+    backend.slowStartRefilledAtMs = fixture.context.nowMs() - 500;
+    slowStart.admits(backend);
+    assertTrue(backend.slowStartTokens < byTraffic / 3, "without warm ones, that of one core");
+  }
+
+  @Test
+  void endsWithTheWarmUp() {
+    BackendStatus backend = startedNow(0);
+    assertTrue(backend.isWarmingUp(fixture.context.settings().rules(), RoutingFixture.START_MS));
+    fixture.pass(9_999);
+    assertTrue(backend.isWarmingUp(fixture.context.settings().rules(), fixture.context.nowMs()));
+    fixture.pass(1);
+    assertFalse(backend.isWarmingUp(fixture.context.settings().rules(), fixture.context.nowMs()));
+  }
+
+  // A start time of 0 stands for long ago, also where the clock itself has begun at 0.
+  @Test
+  void takesABackendOfUnknownStartForWarm() {
+    BackendStatus backend = fixture.backend(0);
+    assertFalse(backend.isWarmingUp(fixture.context.settings().rules(), 5_000));
+  }
 }
--- a/src/test/java/quotagateway/testing/WireFormats.java
+++ b/src/test/java/quotagateway/testing/WireFormats.java
@@ -43,7 +43,8 @@
     Queue<Runnable> tasks = new ArrayDeque<>();
     List<EndpointsUpdated> fragments = new ArrayList<>();
     new EndpointUpdateDispatcher(
-            tasks::add, fragment -> fragments.add(new EndpointsUpdated(fragment.form(), fragment.endpoints())))
+            tasks::add,
+            fragment -> fragments.add(new EndpointsUpdated(fragment.form(), fragment.endpoints())))
         .dispatch(new EndpointUpdate(0, message.form(), message.endpoints()));
     while (!tasks.isEmpty()) {
       tasks.poll().run();
