--- a/src/test/java/quotagateway/endpoint/EndpointIndexTest.java
+++ b/src/test/java/quotagateway/endpoint/EndpointIndexTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
+import java.util.BitSet;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -170,4 +171,56 @@
     index.update(slot, index.group(slot), EndpointState.SERVING, 0.2, 0, WARM_UP_MS, 0);
     assertEquals(0.6, index.meanWeight());
   }
+
+  // A weight of nought or a huge one is junk, and would take a backend out or make it the only one.
+  @Test
+  void boundsWeightsThatAreJunk() {
+    EndpointIndex index = new EndpointIndex(4);
+    serve(index, 1);
+    int slot = index.find(1);
+    index.update(slot, index.group(slot), EndpointState.SERVING, 0, 0, WARM_UP_MS, 0);
+    assertEquals(1e-6, index.weight(slot));
+    index.update(slot, index.group(slot), EndpointState.SERVING, 1e300, 0, WARM_UP_MS, 0);
+    assertEquals(1e9, index.weight(slot));
+  }
+
+  @Test
+  void movesAnEndpointBetweenZones() {
+    EndpointIndex index = new EndpointIndex(4);
+    serve(index, 1);
+    int slot = index.find(1);
+    int other = index.group("b", 3);
+    index.update(slot, other, EndpointState.SERVING, 1, 0, WARM_UP_MS, 0);
+    assertEquals(0, index.inZone("a").size());
+    assertEquals(1, index.inZone("b").size());
+    assertEquals(1, index.inCell("b", 3).size());
+  }
+
+  // No new connection goes to an endpoint that left, though it is removed later.
+  @Test
+  void givesNoAddressOfAnEndpointThatLeft() {
+    EndpointIndex index = new EndpointIndex(4);
+    serve(index, 1);
+    int slot = index.find(1);
+    index.setAddress(slot, 77);
+    assertEquals(77, index.address(1));
+    index.keepOnly(new BitSet());
+    assertEquals(Endpoint.NO_ADDRESS, index.address(1));
+    assertTrue(index.hasLeft(slot));
+  }
+
+  @Test
+  void handsOverEachRemovedEndpointOnce() {
+    EndpointIndex index = new EndpointIndex(4);
+    serve(index, 1);
+    serve(index, 2);
+    int drained = index.find(1);
+    index.update(drained, index.group(drained), EndpointState.REMOVED, 1, 0, WARM_UP_MS, 0);
+    index.keepOnly(new BitSet());
+    List<Integer> removed = new ArrayList<>();
+    while (index.sweep(1, removed::add)) {
+      assertTrue(removed.size() <= 1);
+    }
+    assertEquals(List.of(index.find(2)), removed);
+  }
 }
--- a/src/test/java/quotagateway/policy/routing/EndpointSelectorTest.java
+++ b/src/test/java/quotagateway/policy/routing/EndpointSelectorTest.java
@@ -8,6 +8,8 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 import quotagateway.endpoint.Endpoint;
 import quotagateway.endpoint.EndpointListForm;
 import quotagateway.endpoint.EndpointState;
@@ -212,4 +214,24 @@
     // Eighteen draws in three passes find none of the three in one of 180 cases, six in one of 6.
     assertTrue(served > 0.95 * ROUNDS, served + " of " + ROUNDS);
   }
+
+  // One gateway or two compare fifteen backends: no more are drawn, and of fewer all are compared.
+  @ParameterizedTest
+  @ValueSource(ints = {1, 2})
+  void comparesAllBackendsUpToFifteenWhereThereAreFewGateways(int gatewayCount) {
+    assertEquals(0, timesTheIdleBackendIsMissed(gatewayCount, 15));
+    assertTrue(timesTheIdleBackendIsMissed(gatewayCount, 16) > 0);
+  }
+
+  private int timesTheIdleBackendIsMissed(int gatewayCount, int backendCount) {
+    fixture = RoutingFixture.of(gatewayCount, backendCount);
+    for (long id = 1; id < backendCount; id++) {
+      fixture.attemptAt(fixture.backend(id));
+    }
+    int missed = 0;
+    for (int i = 0; i < ROUNDS; i++) {
+      missed += select(RoutingFixture.idempotentRequest()).endpointId() == 0 ? 0 : 1;
+    }
+    return missed;
+  }
 }
