--- a/src/main/java/quotagateway/client/ClientContext.java
+++ b/src/main/java/quotagateway/client/ClientContext.java
@@ -16,8 +16,8 @@
 final class ClientContext {
 
   /**
-   * So long after new settings clients may still ask by the previous ones: they get theirs within
-   * 1.2 s, and some requests come late.
+   * So long after new settings clients may still ask by the previous ones: they do for 1.2 s, and
+   * some requests come late.
    */
   private static final double PREVIOUS_SETTINGS_MS = 3_000;
 
@@ -104,7 +104,7 @@
 
   /** Whether it takes clients' requests; asked by the admin server too, from its own thread. */
   boolean ready() {
-    return lifecycle.serving() && backends.knowsAny();
+    return lifecycle.isServing() && backends.hasServingBackend();
   }
 
   /** Whether connections are to end with their next response. */
--- a/src/main/java/quotagateway/client/ClientServer.java
+++ b/src/main/java/quotagateway/client/ClientServer.java
@@ -124,6 +124,7 @@
     }
   }
 
+  /** Who has the requests that were accepted. */
   public PolicyDriver driver() {
     return context.driver();
   }
--- a/src/test/java/quotagateway/server/DelayedReadTest.java
+++ b/src/test/java/quotagateway/server/DelayedReadTest.java
@@ -17,7 +17,7 @@
 import quotagateway.testing.TestQueues;
 import quotagateway.testing.TestRequests;
 
-/** What came while the front door stood still, as one that is short of CPU does. */
+/** What arrived while the gateway stood still, as one that is short of CPU does. */
 @Timeout(30)
 class DelayedReadTest {
 
@@ -27,10 +27,10 @@
 
   @BeforeEach
   void standStill() throws Exception {
-    GatewayServer door = fixture.start();
+    GatewayServer gateway = fixture.start();
     assertEquals(200, fixture.client().ask(TestRequests.get("first", 3000)).status());
     TestQueues.next(fixture.backend.received);
-    door.loop.execute(
+    gateway.loop.execute(
         () -> {
           standing.countDown();
           try {
@@ -47,8 +47,12 @@
     fixture.close();
   }
 
+  /**
+   * The gateway stands still; 20 clients send a request and leave, one stays. When it goes on, only
+   * the request of the one that stayed reaches a backend.
+   */
   @Test
-  void noWorkIsDoneForClientsThatHaveGone() throws Exception {
+  void requestsOfClientsThatLeftDuringAStallAreNotForwarded() throws Exception {
     for (int i = 0; i < 20; i++) {
       TestClient gone = fixture.client();
       gone.send(TestRequests.get("gone" + i, 3000));
@@ -61,9 +65,12 @@
     assertEquals("stays", TestQueues.next(fixture.backend.received).header("Request-Id"));
   }
 
-  /** A backend is told the time that is left, not that which was there when the request came. */
+  /**
+   * A request arrives while the gateway stands still, and is read half a second later. The backend
+   * is given the time that is left since the arrival, not the time that the client stated.
+   */
   @Test
-  void timeCountsFromTheRequestsComing() throws Exception {
+  void requestTimeoutCountsFromTheArrivalDuringAStall() throws Exception {
     assumeTrue(Epoll.isAvailable(), "only there the kernel tells when it came");
     TestClient client = fixture.client();
     client.send(TestRequests.get("old", 3000));
@@ -75,8 +82,12 @@
     assertTrue(left < 2_600, left + " ms told, 500 of 3000 were over");
   }
 
+  /**
+   * A request arrives while the gateway stands still, and its time is over before it is read. It is
+   * rejected and reaches no backend.
+   */
   @Test
-  void whatIsOverWhenItIsReadGoesNowhere() throws Exception {
+  void requestThatTimedOutDuringAStallIsRejectedUnsent() throws Exception {
     assumeTrue(Epoll.isAvailable(), "only there the kernel tells when it came");
     TestClient client = fixture.client();
     client.send(TestRequests.get("over", 300));
--- a/src/test/java/quotagateway/testing/WireFormats.java
+++ b/src/test/java/quotagateway/testing/WireFormats.java
@@ -27,7 +27,7 @@
    * @throws IOException where a watch would end: malformed, without a list, or beyond a limit of
    *     the reader
    */
-  public static EndpointsUpdated roster(byte[] message) throws IOException {
+  public static EndpointsUpdated readEndpointList(byte[] message) throws IOException {
     List<EndpointUpdate> received = new ArrayList<>();
     new EndpointListReader(Integer.MAX_VALUE, received::add).read(message);
     if (received.size() != 1) {
@@ -39,7 +39,7 @@
   /**
    * Parts a message into the fragments in which the program applies it, each in a task of its own.
    */
-  public static List<EndpointsUpdated> turns(EndpointsUpdated message) {
+  public static List<EndpointsUpdated> fragments(EndpointsUpdated message) {
     Queue<Runnable> tasks = new ArrayDeque<>();
     List<EndpointsUpdated> fragments = new ArrayList<>();
     new EndpointUpdateDispatcher(
@@ -53,7 +53,7 @@
   }
 
   /** The line of one call to the counter, with its line end. */
-  public static String counterCall(IncrementCounter call) {
+  public static String encodeIncrement(IncrementCounter call) {
     return CounterLineCodec.encodeIncrement(call.counterName(), call.amount(), call.ttlMs());
   }
 }
