--- a/src/main/java/quotagateway/endpoint/Endpoint.java
+++ b/src/main/java/quotagateway/endpoint/Endpoint.java
@@ -1,7 +1,7 @@
 package quotagateway.endpoint;
 
 /**
- * One backend as discovery tells of it.
+ * One backend as discovery lists it.
  *
  * @param id its number, alike at every gateway
  * @param zone where it runs
@@ -10,7 +10,7 @@
  * @param weight its capacity relative to others
  * @param startedMs when it started, in Unix milliseconds; 0 for long ago
  * @param address where it listens, as a number that only the network code reads; {@link
- *     #NO_ADDRESS} where that is not told
+ *     #NO_ADDRESS} where none is listed
  */
 public record Endpoint(
     long id,
@@ -24,7 +24,7 @@
   /** Stands for an address that is not known. */
   public static final long NO_ADDRESS = 0;
 
-  /** An endpoint of which no address is told. */
+  /** An endpoint without a listed address. */
   public Endpoint(
       long id, String zone, int cell, EndpointState state, double weight, double startedMs) {
     this(id, zone, cell, state, weight, startedMs, NO_ADDRESS);
--- a/src/main/java/quotagateway/endpoint/EndpointIndex.java
+++ b/src/main/java/quotagateway/endpoint/EndpointIndex.java
@@ -5,7 +5,7 @@
 import java.util.function.IntConsumer;
 
 /**
- * All endpoints that discovery tells of, and the orders that choices are made in. An endpoint is
+ * All endpoints that discovery has listed, and the orders that choices are made in. An endpoint is
  * known by its slot, a small number that is free for another one once it is removed. A change costs
  * the logarithm of the list. Nothing is decided here. Owned by the policy's thread.
  */
@@ -206,7 +206,7 @@
   }
 
   /**
-   * Takes what is told of an endpoint now.
+   * Takes what the endpoint list says of an endpoint now.
    *
    * @param startedMs when it is assumed to have started; 0 for long ago
    * @param warmUpMs for how long it then warms up
@@ -245,7 +245,7 @@
     }
   }
 
-  /** Assumes that an endpoint started then, whatever was told. */
+  /** Assumes that an endpoint started then, whatever the endpoint list says. */
   public void assumeStarted(int slot, double startedMs, double warmUpMs, double nowMs) {
     warmingUp.remove(slot);
     columns.setStartedMs(slot, startedMs);
--- a/src/main/java/quotagateway/endpoint/EndpointListForm.java
+++ b/src/main/java/quotagateway/endpoint/EndpointListForm.java
@@ -1,6 +1,6 @@
 package quotagateway.endpoint;
 
-/** What a message of endpoints stands for. */
+/** What a message of the endpoint list stands for. */
 public enum EndpointListForm {
   /** Only what changed. */
   DELTA,
@@ -11,8 +11,8 @@
   /** The list could not be had. */
   FAILED,
   /**
-   * A piece of a list of which more follows: the next message of another form is its end, and tells
-   * what the whole was. Its entries hold at once.
+   * A part of a list of which more follows: the next message of another form is its end, and gives
+   * the form of the whole. Its entries hold at once.
    */
   FRAGMENT
 }
--- a/src/main/java/quotagateway/endpoint/EndpointState.java
+++ b/src/main/java/quotagateway/endpoint/EndpointState.java
@@ -1,10 +1,10 @@
 package quotagateway.endpoint;
 
-/** What discovery tells of an endpoint's life. */
+/** The state of an endpoint in the endpoint list. */
 public enum EndpointState {
   /** It takes requests. */
   SERVING,
-  /** It finishes what it has and must get no more. */
+  /** It finishes the requests that it has, and must get no more. */
   DRAINING,
   /** It is gone. */
   REMOVED
--- a/src/main/java/quotagateway/endpoint/ServingEndpoints.java
+++ b/src/main/java/quotagateway/endpoint/ServingEndpoints.java
@@ -1,6 +1,6 @@
 package quotagateway.endpoint;
 
-/** What the network code looks up about the endpoints that take requests. */
+/** What the network code looks up of endpoints. */
 public interface ServingEndpoints {
   /** Where an endpoint listens; {@link Endpoint#NO_ADDRESS} for one that does not serve. */
   long address(long id);
--- a/src/main/java/quotagateway/endpoint/package-info.java
+++ b/src/main/java/quotagateway/endpoint/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The endpoints that discovery tells of: an index of all of them, and its ordered sets. Nothing is
- * decided here, and no type of this package refers to another package of the gateway.
+ * The endpoints that discovery has listed: an index of all of them, and its ordered sets. Nothing
+ * is decided here, and no type of this package refers to another package of the gateway.
  */
 package quotagateway.endpoint;
--- a/src/main/java/quotagateway/policy/GatewayPolicy.java
+++ b/src/main/java/quotagateway/policy/GatewayPolicy.java
@@ -117,7 +117,7 @@
   }
 
   /** How many backends a full status is kept of. */
-  public int fullStates() {
+  public int backendStatusCount() {
     return router.statusCount();
   }
 
--- a/src/main/java/quotagateway/policy/routing/EndpointTracker.java
+++ b/src/main/java/quotagateway/policy/routing/EndpointTracker.java
@@ -246,7 +246,7 @@
     return statuses.size() >= subsetSize + MAX_OTHER_STATUSES;
   }
 
-  /** Whether a new status would serve as well, as nothing of worth is known any more. */
+  /** Whether a new status would serve as well, as nothing that matters is known any more. */
   private boolean isDispensable(BackendStatus backend) {
     double nowMs = context.nowMs();
     return backend.outstanding.isEmpty()
--- a/src/main/java/quotagateway/policy/routing/LoadEstimator.java
+++ b/src/main/java/quotagateway/policy/routing/LoadEstimator.java
@@ -58,7 +58,7 @@
     return fleetServiceMs;
   }
 
-  /** Takes a load report, where one came that tells the requests in flight. */
+  /** Takes a load report, where one came that gives the requests in flight. */
   void recordReport(BackendStatus backend, LoadReport report) {
     if (report != null && !Double.isNaN(report.inFlight())) {
       backend.reportedInFlight = report.inFlight();
--- a/src/main/java/quotagateway/policy/routing/OutlierDetector.java
+++ b/src/main/java/quotagateway/policy/routing/OutlierDetector.java
@@ -110,7 +110,7 @@
         || backend.groupLossShare(nowMs) > MAX_FAILURE_SHARE;
   }
 
-  /** Whether nothing of worth is known of a backend's ejections any more. */
+  /** Whether a backend's last ejection is so long ago that it does not matter any more. */
   boolean isForgotten(BackendStatus backend) {
     return context.nowMs() > backend.ejectedUntilMs + EJECTION_MEMORY_MS;
   }
--- a/src/main/java/quotagateway/policy/routing/RestartDetector.java
+++ b/src/main/java/quotagateway/policy/routing/RestartDetector.java
@@ -10,7 +10,7 @@
  * answers an attempt sent before the suspicion has not restarted, as nothing outlives its process:
  * the suspicion ends. That prevents connections that fail for any other cause, of which a few would
  * suffice, from making the whole fleet look as if it was warming up. Cost: none known, as a start
- * that the list tells still holds.
+ * that the list gives still holds.
  */
 final class RestartDetector {
 
--- a/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
+++ b/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
@@ -29,15 +29,18 @@
     int length = 30_000;
     PolicyFixture gateway =
         new PolicyFixture(PolicyFixture.settings(true, 2_000, false)).backends(length);
-    assertEquals(0, gateway.policy.fullStates());
+    assertEquals(0, gateway.policy.backendStatusCount());
     for (int i = 0; i < 4 * length; i++) {
       gateway.pass(1).request("safe", "free", 1);
       if (gateway.did(StartAttempt.class)) {
         gateway.outcome(gateway.only(StartAttempt.class), 0, Status.REJECTED, true);
       }
     }
-    assertTrue(gateway.policy.fullStates() > 1_000, gateway.policy.fullStates() + " met");
-    assertTrue(gateway.policy.fullStates() < 10_000, gateway.policy.fullStates() + " kept");
+    assertTrue(
+        gateway.policy.backendStatusCount() > 1_000, gateway.policy.backendStatusCount() + " met");
+    assertTrue(
+        gateway.policy.backendStatusCount() < 10_000,
+        gateway.policy.backendStatusCount() + " kept");
   }
 
   // After a fleet-wide restart all backends warm up: those beyond the statuses that are kept must
@@ -50,7 +53,8 @@
       entries.add(new Endpoint(i, "a", 0, EndpointState.SERVING, 1, gateway.now));
     }
     gateway.on(new EndpointsUpdated(EndpointListForm.SNAPSHOT, entries));
-    assertTrue(gateway.policy.fullStates() < 5_000, gateway.policy.fullStates() + " kept");
+    assertTrue(
+        gateway.policy.backendStatusCount() < 5_000, gateway.policy.backendStatusCount() + " kept");
     int sent = 0;
     for (int i = 0; i < 1_000; i++) {
       gateway.request("safe", "free", 1);
--- a/src/test/java/quotagateway/policy/routing/LoadEstimatorTest.java
+++ b/src/test/java/quotagateway/policy/routing/LoadEstimatorTest.java
@@ -53,7 +53,7 @@
     assertEquals(1 + 8 / 4.0 * 2, load.requestsInFlight(backend), EXACT);
   }
 
-  // A report that told of a high load is old as soon as nothing is sent there: it must fade.
+  // A report of a high load is old as soon as nothing is sent there: it must fade.
   @Test
   void trustsALoadReportLessAsItAges() {
     fixture.attemptAt(backend);
--- a/src/test/java/quotagateway/policy/routing/RestartDetectorTest.java
+++ b/src/test/java/quotagateway/policy/routing/RestartDetectorTest.java
@@ -54,7 +54,7 @@
     assertEquals(RoutingFixture.START_MS, backend.assumedStartMs);
   }
 
-  // An attempt may outlive the process that it was sent to: what it tells is of that one alone.
+  // An attempt may outlive the process that it was sent to: its outcome concerns that one alone.
   @Test
   void leavesAnEndpointAloneWhoseProcessWasReplaced() {
     double restartedMs = RoutingFixture.START_MS - 500;
