--- a/src/main/java/quotagateway/policy/routing/EndpointSelector.java
+++ b/src/main/java/quotagateway/policy/routing/EndpointSelector.java
@@ -7,9 +7,9 @@
 
 /**
  * Chooses the backend for an attempt: the one of least cost of a few drawn at random (power of two
- * choices). Drawn are those of this gateway's subset, then, where none of them can be used, any;
- * then ejections are passed over. A request that is bound to a zone or a cell stays there. Owned by
- * the policy's thread.
+ * choices). They are drawn from this gateway's subset; where none of those can be used, from all;
+ * then from the subset again, ejected ones included. A request that is bound to a zone or a cell
+ * stays there. Owned by the policy's thread.
  *
  * <p>Prevents a herd: with many gateways, equal and late load reports would send all requests to
  * the same backend. Cost: the best backend is often not among those drawn.
--- a/src/main/java/quotagateway/policy/routing/SlowStartLimiter.java
+++ b/src/main/java/quotagateway/policy/routing/SlowStartLimiter.java
@@ -5,9 +5,9 @@
 
 /**
  * Limits the attempts, retries included, that go to a backend that is warming up, with a token
- * bucket for each. It fills at the backend's present share of what a warm backend gets from this
- * gateway, or of what one core can serve, divided by the number of gateways, where no backend is
- * warm or this gateway is new. Owned by the policy's thread.
+ * bucket for each. It fills at the backend's present share of its capacity, times what a warm
+ * backend gets from this gateway; or times this gateway's part of what one core can serve, where
+ * that is more, as no backend is warm or this gateway is new. Owned by the policy's thread.
  *
  * <p>Prevents the overload of a backend that has just started, for whatever cause, which makes it
  * fail again. A token that is not used within the span over which a warming backend's load counts
--- a/src/test/java/quotagateway/policy/routing/EndpointSelectorTest.java
+++ b/src/test/java/quotagateway/policy/routing/EndpointSelectorTest.java
@@ -8,6 +8,8 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 import quotagateway.endpoint.Endpoint;
 import quotagateway.endpoint.EndpointListForm;
 import quotagateway.endpoint.EndpointState;
@@ -177,4 +179,59 @@
     }
     assertEquals(Set.of(0L), selected(RoutingFixture.idempotentRequest()));
   }
+
+  // The snapshot that no longer names them is known at once, though they are removed in slices.
+  @Test
+  void sendsNothingToAnEndpointThatLeftButIsNotRemovedYet() {
+    fixture = RoutingFixture.of(2, 1_000);
+    fixture.tracker.update(
+        new EndpointsUpdated(EndpointListForm.SNAPSHOT, List.of(RoutingFixture.endpoint(999, 0))));
+    assertTrue(fixture.index.serving().size() > 1);
+    Set<Long> selected = selected(RoutingFixture.idempotentRequest());
+    selected.remove(999L);
+    assertEquals(Set.of(), selected);
+  }
+
+  // With a single candidate a backend would be chosen at random, however busy it is.
+  @Test
+  void comparesTwoBackendsHoweverManyGatewaysThereAre() {
+    fixture = RoutingFixture.of(1_000, 2);
+    fixture.attemptAt(fixture.backend(0));
+    assertEquals(Set.of(1L), selected(RoutingFixture.idempotentRequest()));
+  }
+
+  // A draw that finds a backend that cannot be used is made again, up to three for each candidate.
+  @Test
+  void drawsAgainForBackendsThatCannotBeUsed() {
+    fixture = RoutingFixture.of(1_000, 12);
+    for (long id = 0; id < 9; id++) {
+      fixture.outliers.pauseAfterRejection(fixture.backend(id), 100);
+    }
+    int served = 0;
+    for (int i = 0; i < ROUNDS; i++) {
+      served += select(RoutingFixture.idempotentRequest()) == null ? 0 : 1;
+    }
+    // Eighteen draws in three passes find none of the three in one of 180 cases, six in one of 6.
+    assertTrue(served > 0.95 * ROUNDS, served + " of " + ROUNDS);
+  }
+
+  // One gateway or two compare fifteen backends: no more are drawn, and of fewer all are compared.
+  @ParameterizedTest
+  @ValueSource(ints = {1, 2})
+  void comparesAllBackendsUpToFifteenWhereThereAreFewGateways(int gatewayCount) {
+    assertEquals(0, timesTheIdleBackendIsMissed(gatewayCount, 15));
+    assertTrue(timesTheIdleBackendIsMissed(gatewayCount, 16) > 0);
+  }
+
+  private int timesTheIdleBackendIsMissed(int gatewayCount, int backendCount) {
+    fixture = RoutingFixture.of(gatewayCount, backendCount);
+    for (long id = 1; id < backendCount; id++) {
+      fixture.attemptAt(fixture.backend(id));
+    }
+    int missed = 0;
+    for (int i = 0; i < ROUNDS; i++) {
+      missed += select(RoutingFixture.idempotentRequest()).endpointId() == 0 ? 0 : 1;
+    }
+    return missed;
+  }
 }
--- a/src/test/java/quotagateway/policy/routing/RestartDetectorTest.java
+++ b/src/test/java/quotagateway/policy/routing/RestartDetectorTest.java
@@ -54,7 +54,7 @@
     assertEquals(RoutingFixture.START_MS, backend.assumedStartMs);
   }
 
-  // An attempt may outlive the process that it was sent to: what it tells is of that one alone.
+  // An attempt may outlive the process that it was sent to: its outcome concerns that one alone.
   @Test
   void leavesAnEndpointAloneWhoseProcessWasReplaced() {
     double restartedMs = RoutingFixture.START_MS - 500;
@@ -64,4 +64,24 @@
     restarts.recordConnectFailure(backend);
     assertEquals(restartedMs, fixture.index.assumedStartMs(backend.slot));
   }
+
+  @Test
+  void beginsTheSuspicionWithAPartOfAToken() {
+    backend.slowStartTokens = 5;
+    fixture.pass(10);
+    restarts.recordConnectFailure(backend);
+    assertTrue(backend.slowStartTokens < 1);
+    assertEquals(fixture.context.nowMs(), backend.slowStartRefilledAtMs);
+  }
+
+  @Test
+  void endsASuspicionOnce() {
+    Attempt earlier = fixture.attemptAt(backend);
+    fixture.pass(10);
+    restarts.recordConnectFailure(backend);
+    restarts.recordSuccess(backend, earlier);
+    fixture.tracker.assumeStarted(backend, fixture.context.nowMs());
+    restarts.recordSuccess(backend, earlier);
+    assertTrue(isWarmingUp());
+  }
 }
