--- a/src/main/java/quotagateway/Main.java
+++ b/src/main/java/quotagateway/Main.java
@@ -16,6 +16,7 @@
 
   private Main() {}
 
+  /** Runs the command that is the only argument; exits with 2 where there is no such command. */
   public static void main(String[] args) throws InterruptedException {
     String command = args.length == 1 ? args[0] : "";
     switch (command) {
--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -205,12 +205,11 @@
   /** Has a client send the body that it keeps back, once no response is owed before. */
   private void sendContinueIfExpected() {
     InboundRequest receiving = assembler.receiving();
-    if (receiving != null
-        && receiving.awaitsContinue()
-        && !closing()
-        && !receiving.tooLarge()
-        && !exchangeOpen()
-        && (queue.isEmpty() || queue.peek() == receiving)) {
+    if (receiving == null || !receiving.awaitsContinue() || receiving.tooLarge()) {
+      return;
+    }
+    boolean isNext = queue.isEmpty() || queue.peek() == receiving;
+    if (isNext && !exchangeOpen() && !closing()) {
       receiving.continueSent();
       writer.writeContinue();
     }
--- a/src/main/java/quotagateway/client/RequestAssembler.java
+++ b/src/main/java/quotagateway/client/RequestAssembler.java
@@ -200,7 +200,7 @@
       // not begin.
       return;
     }
-    if (content.decoderResult().isFailure() || request.tooLarge() && request.accepted()) {
+    if (content.decoderResult().isFailure() || (request.tooLarge() && request.accepted())) {
       rejectBody(request);
       return;
     }
--- a/src/main/java/quotagateway/config/JsonFields.java
+++ b/src/main/java/quotagateway/config/JsonFields.java
@@ -55,8 +55,8 @@
               ? (Object) in.getBigIntegerValue()
               : (Object) in.getLongValue();
       case VALUE_NUMBER_FLOAT -> in.getDoubleValue();
-      case VALUE_TRUE -> Boolean.TRUE;
-      case VALUE_FALSE -> Boolean.FALSE;
+      case VALUE_TRUE -> true;
+      case VALUE_FALSE -> false;
       default -> null;
     };
   }
--- a/src/main/java/quotagateway/config/ResourceLimits.java
+++ b/src/main/java/quotagateway/config/ResourceLimits.java
@@ -84,7 +84,7 @@
         Math.max(MIN_CONNECTIONS, duringUpgrade),
         (int) (memoryMb * BODY_MEMORY_SHARE * BYTES_PER_MB),
         (int) (memoryMb * STREAM_MEMORY_SHARE * BYTES_PER_MB / MAX_STREAM_BYTES),
-        maxEndpoints(memoryMb, Runtime.getRuntime().maxMemory()),
+        maxEndpoints(memoryMb, (double) Runtime.getRuntime().maxMemory()),
         cores);
   }
 
--- a/src/main/java/quotagateway/driver/AttemptStarter.java
+++ b/src/main/java/quotagateway/driver/AttemptStarter.java
@@ -29,7 +29,7 @@
 
   /**
    * @param events takes what is reported to the policy
-   * @param disconnectClient takes the id of a request whose client turns out to be gone
+   * @param onClientDisconnected takes the id of a request whose client turns out to be gone
    */
   AttemptStarter(
       MonotonicClock clock,
--- a/src/main/java/quotagateway/driver/PolicyDriver.java
+++ b/src/main/java/quotagateway/driver/PolicyDriver.java
@@ -50,6 +50,14 @@
   private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
   private boolean delivering;
 
+  /**
+   * A driver that has yet to be started.
+   *
+   * @param loop of which the thread owns the driver, the policy and the pool
+   * @param clock that the policy decides by
+   * @param policy which nobody else calls
+   * @param backends that attempts are started on
+   */
   public PolicyDriver(
       EventLoop loop, MonotonicClock clock, GatewayPolicy policy, BackendConnectionPool backends) {
     this.loop = loop;
--- a/src/main/java/quotagateway/endpoint/EndpointColumns.java
+++ b/src/main/java/quotagateway/endpoint/EndpointColumns.java
@@ -80,6 +80,8 @@
     return STATES[groupsAndStates.getInt(slot) & STATE_MASK];
   }
 
+  /** The state is packed by its ordinal, which never leaves this class. */
+  @SuppressWarnings("EnumOrdinal")
   void setGroupAndState(int slot, int group, EndpointState state) {
     groupsAndStates.set(slot, group << STATE_BITS | state.ordinal());
   }
--- a/src/main/java/quotagateway/endpoint/OrderedSlots.java
+++ b/src/main/java/quotagateway/endpoint/OrderedSlots.java
@@ -197,6 +197,6 @@
   }
 
   private static boolean before(long key, int slot, long otherKey, int otherSlot) {
-    return key < otherKey || key == otherKey && slot < otherSlot;
+    return key < otherKey || (key == otherKey && slot < otherSlot);
   }
 }
--- a/src/main/java/quotagateway/policy/action/Action.java
+++ b/src/main/java/quotagateway/policy/action/Action.java
@@ -21,18 +21,25 @@
    */
   interface Handler<E extends Exception> {
 
+    /** Cancels an attempt that is in flight. */
     void onCancelAttempt(CancelAttempt action) throws E;
 
+    /** Sends the final response of a failure. */
     void onFailRequest(FailRequest action) throws E;
 
+    /** Calls the counter. */
     void onIncrementCounter(IncrementCounter action) throws E;
 
+    /** Sends the final response of a rejection. */
     void onRejectRequest(RejectRequest action) throws E;
 
+    /** Schedules a timer of the policy. */
     void onScheduleTimer(ScheduleTimer action) throws E;
 
+    /** Starts an attempt. */
     void onStartAttempt(StartAttempt action) throws E;
 
+    /** Asks for changes of the endpoint list. */
     void onWatchEndpoints(WatchEndpoints action) throws E;
   }
 }
--- a/src/main/java/quotagateway/simulator/SimulatorAdapter.java
+++ b/src/main/java/quotagateway/simulator/SimulatorAdapter.java
@@ -38,6 +38,11 @@
 
   private record SimulatedGateway(GatewayPolicy policy, PolicySettings settings) {}
 
+  /**
+   * An adapter between two streams, which stay the caller's to close.
+   *
+   * @throws IOException where the input cannot be read at all
+   */
   public SimulatorAdapter(InputStream input, OutputStream output) throws IOException {
     JsonFactory factory = new JsonFactory();
     this.input = factory.createParser(input);
--- a/src/test/java/quotagateway/endpoint/WarmingUpEndpointsTest.java
+++ b/src/test/java/quotagateway/endpoint/WarmingUpEndpointsTest.java
@@ -6,6 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Which endpoints count as warming up. */
 class WarmingUpEndpointsTest {
 
   private static final double WARM_UP_MS = 5_000;
--- a/src/test/java/quotagateway/policy/GatewayPolicyTest.java
+++ b/src/test/java/quotagateway/policy/GatewayPolicyTest.java
@@ -36,6 +36,7 @@
 import quotagateway.policy.settings.PolicySettings;
 import quotagateway.policy.settings.RequestClass;
 
+/** The decisions of one gateway: from events to actions, in the order of a request. */
 class GatewayPolicyTest {
 
   // Quota, with a counter that replies
@@ -579,12 +580,12 @@
   @Test
   void anOldLoadReportFades() {
     PolicyFixture f = PolicyFixture.counted();
-    StartAttempt busy = null;
-    for (int i = 0; i < 4; i++) {
+    f.request("safe", "free", 1);
+    StartAttempt busy = f.only(StartAttempt.class);
+    f.report(busy, 0, 30);
+    for (int i = 1; i < 4; i++) {
       f.request("safe", "free", 1);
-      StartAttempt s = f.only(StartAttempt.class);
-      busy = busy == null ? s : busy;
-      f.report(s, 0, s == busy ? 30 : 0);
+      f.report(f.only(StartAttempt.class), 0, 0);
     }
     Set<Long> met = new HashSet<>();
     for (int i = 0; i < 200; i++) {
@@ -690,7 +691,7 @@
               changed(PolicyFixture.settings(true, 2, false), Idempotency.IDEMPOTENT, changed)));
       int attempts = 1;
       for (f.outcome(open, 0, Status.NOT_SENT, false); f.did(StartAttempt.class); attempts++) {
-        f.outcome(open = f.only(StartAttempt.class), attempts, Status.NOT_SENT, false);
+        f.outcome(f.only(StartAttempt.class), attempts, Status.NOT_SENT, false);
       }
       assertEquals(Math.min(4, changed), attempts);
     }
--- a/src/test/java/quotagateway/policy/HardLimitFleetTest.java
+++ b/src/test/java/quotagateway/policy/HardLimitFleetTest.java
@@ -39,7 +39,8 @@
   private void play(int seed) {
     SplittableRandom random = new SplittableRandom(seed);
     counts.clear();
-    fewestUnitsLeft = unitsLeft = PolicyFixture.HARD_LIMITED.hardLimitBurstUnits();
+    unitsLeft = PolicyFixture.HARD_LIMITED.hardLimitBurstUnits();
+    fewestUnitsLeft = unitsLeft;
     refilledAtMs = 1_000_000;
     forwarded = 0;
     PolicyFixture[] gateways = new PolicyFixture[2];
--- a/src/test/java/quotagateway/policy/RandomEvents.java
+++ b/src/test/java/quotagateway/policy/RandomEvents.java
@@ -54,6 +54,16 @@
     Status.MALFORMED_RESPONSE,
     Status.NOT_SENT
   };
+  private static final List<EndpointState> NOT_SERVING =
+      List.of(EndpointState.DRAINING, EndpointState.REMOVED);
+  private static final List<Status> CALL_FAILURES =
+      List.of(
+          Status.ERROR,
+          Status.REJECTED,
+          Status.TIMED_OUT,
+          Status.CONNECT_FAILED,
+          Status.WRITE_INCOMPLETE,
+          Status.RESET);
   private static final double BEGIN_MS = 1_000_000;
   private static final double MEAN_GAP_MS = 8;
   private static final int MIN_COLD_MS = 5_000;
@@ -186,7 +196,7 @@
     EndpointState phase =
         random.nextInt(10) < 9
             ? EndpointState.SERVING
-            : EndpointState.values()[1 + random.nextInt(2)];
+            : NOT_SERVING.get(random.nextInt(NOT_SERVING.size()));
     String zone = old == null || random.nextInt(50) == 0 ? id % 3 == 0 ? "b" : "a" : old.zone();
     Endpoint entry =
         new Endpoint(
@@ -254,7 +264,10 @@
   }
 
   private void count(IncrementCounter a) {
-    Status status = random.nextInt(30) > 0 ? Status.OK : Status.values()[1 + random.nextInt(6)];
+    Status status =
+        random.nextInt(30) > 0
+            ? Status.OK
+            : CALL_FAILURES.get(random.nextInt(CALL_FAILURES.size()));
     later(now + 2, new CounterReplied(a.counterName(), status, random.nextInt(60), 2));
   }
 
--- a/src/test/java/quotagateway/policy/context/ExponentialMeanTest.java
+++ b/src/test/java/quotagateway/policy/context/ExponentialMeanTest.java
@@ -4,6 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** A mean that forgets, by samples and by time. */
 class ExponentialMeanTest {
 
   private static final double NOW_MS = 1_000_000;
--- a/src/test/java/quotagateway/policy/retry/AttemptTimeoutTest.java
+++ b/src/test/java/quotagateway/policy/retry/AttemptTimeoutTest.java
@@ -11,6 +11,7 @@
 import quotagateway.policy.settings.Idempotency;
 import quotagateway.policy.settings.RequestClass;
 
+/** When an attempt may be cancelled so that another one fits. */
 class AttemptTimeoutTest {
 
   private static final Capabilities ALLOWED = PolicyFixture.settings(true, 1, false).capabilities();
--- a/src/test/java/quotagateway/policy/retry/RetryBudgetTest.java
+++ b/src/test/java/quotagateway/policy/retry/RetryBudgetTest.java
@@ -8,6 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** How retries are earned and spent. */
 class RetryBudgetTest {
 
   private static int spendAll(RetryBudget budget) {
--- a/src/test/java/quotagateway/policy/routing/AttemptTest.java
+++ b/src/test/java/quotagateway/policy/routing/AttemptTest.java
@@ -5,6 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** When an attempt looks lost. */
 class AttemptTest {
 
   private static final double PATIENCE_MS = 600;
--- a/src/test/java/quotagateway/policy/routing/EndpointSelectorTest.java
+++ b/src/test/java/quotagateway/policy/routing/EndpointSelectorTest.java
@@ -17,6 +17,7 @@
 import quotagateway.policy.settings.DeduplicationScope;
 import quotagateway.policy.settings.Idempotency;
 
+/** Which backend a request gets, of those that are drawn. */
 class EndpointSelectorTest {
 
   private static final int ROUNDS = 200;
--- a/src/test/java/quotagateway/policy/routing/GroupReachabilityTest.java
+++ b/src/test/java/quotagateway/policy/routing/GroupReachabilityTest.java
@@ -5,6 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Whether a zone or cell can be reached, from the attempts to it. */
 class GroupReachabilityTest {
 
   private static final double NOW_MS = 1_000_000;
--- a/src/test/java/quotagateway/policy/routing/LoadEstimatorTest.java
+++ b/src/test/java/quotagateway/policy/routing/LoadEstimatorTest.java
@@ -10,6 +10,7 @@
 import quotagateway.policy.event.LoadReport;
 import quotagateway.policy.settings.PolicySettings;
 
+/** The expected wait at a backend, from what is known of its load. */
 class LoadEstimatorTest {
 
   private static final double EXACT = 1e-9;
--- a/src/test/java/quotagateway/policy/routing/OutlierDetectorTest.java
+++ b/src/test/java/quotagateway/policy/routing/OutlierDetectorTest.java
@@ -11,6 +11,7 @@
 import quotagateway.policy.event.Status;
 import quotagateway.policy.settings.Idempotency;
 
+/** When a backend is ejected, for how long, and how it comes back. */
 class OutlierDetectorTest {
 
   private static final double NEVER_STALLED = Double.NEGATIVE_INFINITY;
--- a/src/test/java/quotagateway/policy/routing/RestartDetectorTest.java
+++ b/src/test/java/quotagateway/policy/routing/RestartDetectorTest.java
@@ -9,6 +9,7 @@
 import quotagateway.endpoint.EndpointListForm;
 import quotagateway.policy.event.EndpointsUpdated;
 
+/** When a backend is assumed to have restarted, and when that is taken back. */
 class RestartDetectorTest {
 
   private final RoutingFixture fixture = RoutingFixture.of(2, 4);
--- a/src/test/java/quotagateway/server/ClientDisconnectTest.java
+++ b/src/test/java/quotagateway/server/ClientDisconnectTest.java
@@ -119,7 +119,7 @@
       clients.get(i).send(TestRequests.get("kept" + i, 3000));
       TestQueues.next(fixture.backend.received);
     }
-    for (TestClient client : clients) {
+    for (int i = 0; i < number; i++) {
       TextStreams.write(TestQueues.next(asked), FakeBackend.OK_RESPONSE);
     }
     for (TestClient client : clients) {
--- a/src/test/java/quotagateway/server/ResourceLimitsTest.java
+++ b/src/test/java/quotagateway/server/ResourceLimitsTest.java
@@ -62,7 +62,7 @@
   void reserve() throws IOException {
     reserved.setOption(StandardSocketOptions.SO_REUSEPORT, true);
     reserved.setReuseAddress(true);
-    reserved.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+    reserved.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     address = (InetSocketAddress) reserved.getLocalSocketAddress();
   }
 
--- a/src/test/java/quotagateway/server/StartTest.java
+++ b/src/test/java/quotagateway/server/StartTest.java
@@ -86,7 +86,7 @@
   /** Starts the program at an address in use, so that it ends by itself instead of listening. */
   private void start(String option) throws IOException, InterruptedException {
     Path config = folder.resolve("config.json");
-    try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+    try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       Files.writeString(
           config,
           fixture
--- a/src/test/java/quotagateway/testing/HttpMessage.java
+++ b/src/test/java/quotagateway/testing/HttpMessage.java
@@ -11,8 +11,9 @@
  * A request or response as it came over the wire.
  *
  * @param head the first line and the headers, each with its line end
- * @param body the body, without chunks
+ * @param body the body, without chunks; messages are not compared, so an array does
  */
+@SuppressWarnings("ArrayRecordComponent")
 public record HttpMessage(String head, byte[] body) {
 
   private static final byte[] NO_BODY = {};
--- a/src/test/java/quotagateway/transport/SocketAddressesTest.java
+++ b/src/test/java/quotagateway/transport/SocketAddressesTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import org.junit.jupiter.api.Test;
 
@@ -12,7 +13,9 @@
   @Test
   void parsesANumericAddressAndPort() {
     assertEquals(new InetSocketAddress("10.1.0.18", 7070), SocketAddresses.parse("10.1.0.18:7070"));
-    assertEquals(new InetSocketAddress("127.0.0.1", 0), SocketAddresses.parse("127.0.0.1:0"));
+    assertEquals(
+        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+        SocketAddresses.parse("127.0.0.1:0"));
   }
 
   /** A name would have to be looked up, which would hold up the event loop. */
