--- a/src/main/java/quotagateway/Main.java
+++ b/src/main/java/quotagateway/Main.java
@@ -16,6 +16,7 @@
 
   private Main() {}
 
+  /** Runs the command that is the one argument. */
   public static void main(String[] args) throws InterruptedException {
     String command = args.length == 1 ? args[0] : "";
     switch (command) {
--- a/src/main/java/quotagateway/config/InvalidConfigurationException.java
+++ b/src/main/java/quotagateway/config/InvalidConfigurationException.java
@@ -15,6 +15,7 @@
     this(key, reason, null);
   }
 
+  /** The same, found by another exception. */
   public InvalidConfigurationException(String key, String reason, Throwable cause) {
     super(key + " " + reason, cause);
     this.key = key;
--- a/src/main/java/quotagateway/driver/PolicyDriver.java
+++ b/src/main/java/quotagateway/driver/PolicyDriver.java
@@ -50,6 +50,7 @@
   private final ArrayDeque<Event> pendingEvents = new ArrayDeque<>();
   private boolean delivering;
 
+  /** A driver of the policy, whose attempts go to the backends. */
   public PolicyDriver(
       EventLoop loop, MonotonicClock clock, GatewayPolicy policy, BackendConnectionPool backends) {
     this.loop = loop;
--- a/src/main/java/quotagateway/simulator/SimulatorAdapter.java
+++ b/src/main/java/quotagateway/simulator/SimulatorAdapter.java
@@ -38,6 +38,7 @@
 
   private record SimulatedGateway(GatewayPolicy policy, PolicySettings settings) {}
 
+  /** Reads the simulator's messages from the input, and writes to the output. */
   public SimulatorAdapter(InputStream input, OutputStream output) throws IOException {
     JsonFactory factory = new JsonFactory();
     this.input = factory.createParser(input);
