--- a/src/main/java/quotagateway/backend/Attempt.java
+++ b/src/main/java/quotagateway/backend/Attempt.java
@@ -213,11 +213,11 @@
   }
 
   /**
-   * Asked last before the request is written: false, and the attempt has ended, where nobody waits
-   * for its response any more. Prevents attempts for clients that have left: an event loop that was
-   * held up, or that has paused reading, has not heard of it yet.
+   * Called last before the request is written: ends the attempt, and gives false, where nobody
+   * waits for its response any more. Prevents attempts for clients that have left: an event loop
+   * that was held up, or that has paused reading, has not heard of it yet.
    */
-  public boolean isWanted() {
+  public boolean endUnlessWanted() {
     return !ended;
   }
 
--- a/src/main/java/quotagateway/backend/BackendConnection.java
+++ b/src/main/java/quotagateway/backend/BackendConnection.java
@@ -40,8 +40,8 @@
   /** For how long it had been idle before it was used again. */
   private double idleBeforeUseMs;
 
-  /** Whether it has carried a response before, and is in use again. */
-  private boolean reused;
+  /** Whether a response was completed on it, unless this gateway has closed it since. */
+  private boolean hasCarriedResponse;
 
   /**
    * @param address where it leads, for good, though its backend may move
@@ -93,7 +93,7 @@
 
   /** Closes it while no attempt is on it; its end then says nothing about idle connections. */
   void close() {
-    reused = false;
+    hasCarriedResponse = false;
     channel.close();
   }
 
@@ -174,10 +174,10 @@
     } else {
       channel.close();
     }
-    if (reused) {
+    if (hasCarriedResponse) {
       reuse.recordAlive(idleBeforeUseMs);
     }
-    reused = true;
+    hasCarriedResponse = true;
     attempt.end(status, status == Status.OK ? kept : null);
     if (kept != null) {
       kept.release();
@@ -213,7 +213,7 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    boolean deadWhenReused = reused && !receiver.response().hasBegun();
+    boolean deadWhenReused = hasCarriedResponse && !receiver.response().hasBegun();
     Attempt attempt = receiver.detachAttempt();
     owner.connectionClosed(this);
     if (attempt != null) {
--- a/src/main/java/quotagateway/backend/BackendConnectionPool.java
+++ b/src/main/java/quotagateway/backend/BackendConnectionPool.java
@@ -160,7 +160,7 @@
       attempt.end(Status.NOT_SENT, null);
       return;
     }
-    if (!attempt.isWanted()) {
+    if (!attempt.endUnlessWanted()) {
       return;
     }
     attempt.startTimes(clock.now(), maxWriteMs);
--- a/src/main/java/quotagateway/backend/BackendConnections.java
+++ b/src/main/java/quotagateway/backend/BackendConnections.java
@@ -43,7 +43,7 @@
 
   /**
    * @param listedAddress as the endpoint list has it
-   * @param startedMs when the backend started, as the endpoint list has it
+   * @param startedMs when the backend started, as it is assumed to have when this entry is made
    */
   BackendConnections(
       MonotonicClock clock, IdleConnectionReuse reuse, long listedAddress, double startedMs) {
--- a/src/main/java/quotagateway/backend/BackendConnector.java
+++ b/src/main/java/quotagateway/backend/BackendConnector.java
@@ -72,7 +72,7 @@
    * is for a client that has left.
    */
   private void onConnected(ChannelFuture connected, BackendConnection connection, Attempt attempt) {
-    if (!attempt.isWanted()) {
+    if (!attempt.endUnlessWanted()) {
       closeIfConnected(connected);
     } else if (!connected.isSuccess()) {
       attempt.end(statusOf(connected.cause()), null);
--- a/src/main/java/quotagateway/backend/StalledResponseTimer.java
+++ b/src/main/java/quotagateway/backend/StalledResponseTimer.java
@@ -15,7 +15,7 @@
    * A response that has begun and of which nothing came for so long is given up while another
    * attempt can replace it.
    */
-  private static final long MAX_STALL_MS = 250;
+  private static final long MAX_REPLACEABLE_STALL_MS = 250;
 
   /**
    * One that its client has a part of cannot be replaced: it is waited for as long as anything may
@@ -51,7 +51,7 @@
   }
 
   private void schedule() {
-    scheduled = loop.schedule(this::fire, MAX_STALL_MS, TimeUnit.MILLISECONDS);
+    scheduled = loop.schedule(this::fire, MAX_REPLACEABLE_STALL_MS, TimeUnit.MILLISECONDS);
   }
 
   private void fire() {
@@ -61,7 +61,7 @@
 
   /** Whether nothing has come for too long. */
   boolean isStalled(boolean streaming) {
-    double maxMs = streaming ? MAX_STREAM_STALL_MS : MAX_STALL_MS;
+    double maxMs = streaming ? MAX_STREAM_STALL_MS : MAX_REPLACEABLE_STALL_MS;
     return clock.now() - progressAtMs >= maxMs;
   }
 
--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -254,9 +254,10 @@
   }
 
   /**
-   * Whether the connection is kept after the response to an exchange. In a crowd a kept connection
-   * is a place that another client may not find. Prevents the loss of pipelined requests behind an
-   * end: those that have come already are answered first, and the last of them ends the connection.
+   * Whether the connection is kept after the response to an exchange. Near the connection limit a
+   * kept connection is one that another client may not get. Prevents the loss of pipelined requests
+   * behind an end: those that have come already are answered first, and the last of them ends the
+   * connection.
    */
   boolean keptAfter(Exchange answered) {
     boolean endWanted = context.draining() || connections.crowded() || assembler.overrun();
@@ -277,12 +278,12 @@
   }
 
   /**
-   * Whether the client has closed the connection, though that was not read yet; then it is closed
-   * here as well. Prevents attempts for clients that are gone: a loop that was held up, or that has
-   * paused reading, has not heard of it.
+   * Closes the connection if the client has closed it, though that was not read yet, and tells
+   * whether it is closed. Prevents attempts for clients that are gone: a loop that was held up, or
+   * that has paused reading, has not heard of it.
    */
   @Override
-  public boolean clientLeft() {
+  public boolean closeIfClientLeft() {
     if (channel.isActive() && KernelSockets.isClosedByPeer(channel)) {
       channel.close();
     }
--- a/src/main/java/quotagateway/client/ClientConnections.java
+++ b/src/main/java/quotagateway/client/ClientConnections.java
@@ -37,9 +37,9 @@
   }
 
   /**
-   * Counts a new connection, and evicts an idle one where there are too many. Prevents a crowd of
-   * clients that takes all descriptors: then no connection to a backend, to the counter or to
-   * discovery comes up, and the process may fail. Cost: an idle client has to connect again.
+   * Counts a new connection, and evicts an idle one where there are too many. Prevents idle clients
+   * from taking all descriptors: then no connection to a backend, to the counter or to discovery
+   * comes up, and the process may fail. Cost: an idle client has to connect again.
    *
    * @return true when the new one exceeds the budget: its first request is rejected, and it ends
    */
@@ -66,7 +66,7 @@
     return connections.isEmpty();
   }
 
-  /** Whether a kept connection is likely a place that another client lacks. */
+  /** Whether a kept connection is likely one that another client lacks. */
   boolean crowded() {
     return budget.clientConnections() > CROWDED_SHARE * budget.maxClientConnections();
   }
--- a/src/main/java/quotagateway/client/ConnectionCloser.java
+++ b/src/main/java/quotagateway/client/ConnectionCloser.java
@@ -10,8 +10,10 @@
 
 /**
  * Closes one connection, at once, behind its last response, or with a reset, so that its client can
- * read what it is owed. Once closing has begun, nothing that comes is a request any more. On the
- * event loop's thread; times are in milliseconds on the gateway's clock.
+ * read what it is owed. Once closing has begun, nothing that comes is a request any more. Channels
+ * that failed, or that the client has closed, are closed by {@link ClientConnection} itself.
+ *
+ * <p>On the event loop's thread; times are in milliseconds on the gateway's clock.
  */
 final class ConnectionCloser {
 
@@ -24,6 +26,9 @@
   /** The longest time that a body which is not wanted is read for. */
   private static final double MAX_LINGER_MS = 10_000;
 
+  /** A time that has passed at the first check already. */
+  private static final double ONE_CHECK = 0;
+
   /** The requests of the connection, as far as its closing depends on them. */
   interface Requests {
 
@@ -65,7 +70,8 @@
   }
 
   /**
-   * Closes the connection if no request is on it; a response while draining closes it by itself.
+   * Closes the connection if no complete request is on it, without a word to one that is half
+   * received; a response while draining closes it by itself.
    */
   void closeIfIdle() {
     if (requests.idle() && !closing) {
@@ -137,7 +143,7 @@
   private void linger(ChannelFuture written) {
     double maxUntilMs = context.now() + MAX_LINGER_MS;
     InboundRequest receiving = assembler.receiving();
-    double untilMs = receiving != null && receiving.queued() ? maxUntilMs : 0;
+    double untilMs = receiving != null && receiving.queued() ? maxUntilMs : ONE_CHECK;
     assembler.setReading(true);
     written.addListener(future -> ((SocketChannel) channel).shutdownOutput());
     scheduleLingerCheck(untilMs);
--- a/src/main/java/quotagateway/client/ConnectionTimeouts.java
+++ b/src/main/java/quotagateway/client/ConnectionTimeouts.java
@@ -86,9 +86,9 @@
   }
 
   /**
-   * Closes the connection if a time limit is over. Prevents places held for good by clients that
-   * never finish a request, send nothing, never come back, or read no response; and while draining
-   * ends what no request is on. One that has just connected may still ask.
+   * Closes the connection if a time limit is over. Prevents connections held for good by clients
+   * that never finish a request, send nothing, never come back, or read no response; and while
+   * draining ends what no request is on. One that has just connected may still ask.
    */
   void closeIfOverdue(double nowMs) {
     if (closer.closing()) {
--- a/src/main/java/quotagateway/client/Exchange.java
+++ b/src/main/java/quotagateway/client/Exchange.java
@@ -34,7 +34,10 @@
   /** Served by this gateway itself: whether it may get requests. */
   private static final String READINESS_PATH = "/up";
 
-  /** What goes on to a backend, unchanged; all other headers concern the client's connection. */
+  /**
+   * Headers that go on to a backend; the time-out is updated when they are written. All others
+   * concern the client's connection.
+   */
   private static final CharSequence[] FORWARDED_HEADERS = {
     HttpHeaderNames.HOST,
     ProtocolHeaders.REQUEST_ID,
@@ -241,8 +244,8 @@
   }
 
   @Override
-  public boolean isDisconnected() {
-    boolean left = connection.clientLeft();
+  public boolean endIfDisconnected() {
+    boolean left = connection.closeIfClientLeft();
     if (left) {
       end();
     }
--- a/src/main/java/quotagateway/client/RequestAssembler.java
+++ b/src/main/java/quotagateway/client/RequestAssembler.java
@@ -44,7 +44,7 @@
     void unreadable(HttpResponseStatus status, String reason);
 
     /** Whether the client has closed the connection, as far as this machine can know. */
-    boolean clientLeft();
+    boolean closeIfClientLeft();
   }
 
   private static final String MEMORY_EXHAUSTED = "too much is being received";
@@ -116,9 +116,10 @@
       receivingSinceMs = lastReadAtMs;
     }
     if (receiving == null) {
+      boolean firstRead = headBytes == 0;
       headBytes += bytes;
       context.hold(bytes);
-      if (context.memoryExhausted() && headBytes > bytes) {
+      if (context.memoryExhausted() && !firstRead) {
         listener.unreadable(HttpResponseStatus.SERVICE_UNAVAILABLE, MEMORY_EXHAUSTED);
         return false;
       }
@@ -195,7 +196,7 @@
     int bytes = content.content().readableBytes();
     boolean last = content instanceof LastHttpContent;
     request.countBodyBytes(bytes);
-    if (last && request.accepted() && listener.clientLeft()) {
+    if (last && request.accepted() && listener.closeIfClientLeft()) {
       // The client may have closed behind its body long ago. A backend that gets no last byte does
       // not begin.
       return;
--- a/src/main/java/quotagateway/config/GatewayConfig.java
+++ b/src/main/java/quotagateway/config/GatewayConfig.java
@@ -17,7 +17,7 @@
  * @param settings that decisions depend on
  * @param limits of what the process may hold
  * @param connectTimeoutMs after which a connection to a backend that has not come up has failed
- * @param idleTimeoutMs after which an idle connection to a backend is closed
+ * @param idleTimeoutMs after which backends close an idle connection themselves
  * @param knownEndpoints the endpoint list as this gateway last had it, in discovery's form
  * @param fields the file that all this was read from, which a reload is compared with
  */
--- a/src/main/java/quotagateway/config/ResourceLimits.java
+++ b/src/main/java/quotagateway/config/ResourceLimits.java
@@ -11,7 +11,7 @@
  * @param connectionsDuringUpgrade the same while a second process with the same limits runs beside
  *     this one
  * @param bodyBytes of request bodies that may be held
- * @param streams large bodies and responses that may be in transfer at a time
+ * @param streams responses that may be streamed at a time
  * @param endpoints that a list of discovery may name
  * @param cores the part of one core that the process gets, or more than one
  */
--- a/src/main/java/quotagateway/config/SettingsParser.java
+++ b/src/main/java/quotagateway/config/SettingsParser.java
@@ -147,7 +147,7 @@
     return number(child(settings, BOUNDS), "DialTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS);
   }
 
-  /** After which an idle connection to a backend is closed. */
+  /** After which backends close an idle connection themselves. */
   static double idleTimeoutMs(Map<String, Object> settings) {
     return number(child(settings, BOUNDS), "ConnIdleMs", DEFAULT_IDLE_TIMEOUT_MS);
   }
--- a/src/main/java/quotagateway/counter/CounterConnection.java
+++ b/src/main/java/quotagateway/counter/CounterConnection.java
@@ -213,9 +213,9 @@
   }
 
   /**
-   * Ends the channel, and the first call that waits for a reply: its amount was added, though the
-   * total is not known. Prevents a later reply from being taken for that of another call. Cost: the
-   * calls behind it end without their replies.
+   * Ends the channel, and the first call that waits for a reply: its amount may have been added.
+   * Prevents a later reply from being taken for that of another call. Cost: the calls behind it end
+   * without their replies.
    */
   void onMalformedReply() {
     CounterCall call = owed.poll();
--- a/src/main/java/quotagateway/counter/CounterReply.java
+++ b/src/main/java/quotagateway/counter/CounterReply.java
@@ -20,7 +20,7 @@
     REJECTED,
     /** The reply to a ping. */
     PONG,
-    /** It is no reply. The amount of the call that waits for it was added all the same. */
+    /** It is no reply. The amount of the call that waits for it may have been added. */
     MALFORMED
   }
 
--- a/src/main/java/quotagateway/driver/AttemptStarter.java
+++ b/src/main/java/quotagateway/driver/AttemptStarter.java
@@ -100,11 +100,11 @@
     }
 
     @Override
-    public boolean isWanted() {
-      if (!hasEnded() && !request.isFinished() && request.listener.isDisconnected()) {
+    public boolean endUnlessWanted() {
+      if (!hasEnded() && !request.isFinished() && request.listener.endIfDisconnected()) {
         onClientDisconnected.accept(request.id());
       }
-      return super.isWanted();
+      return super.endUnlessWanted();
     }
 
     @Override
--- a/src/main/java/quotagateway/driver/ResponseListener.java
+++ b/src/main/java/quotagateway/driver/ResponseListener.java
@@ -12,8 +12,13 @@
  */
 public interface ResponseListener {
 
-  /** Whether the client has closed its connection, as far as this machine can know by now. */
-  boolean isDisconnected();
+  /**
+   * Ends the request if the client has closed its connection, as far as this machine can know by
+   * now.
+   *
+   * @return whether it has
+   */
+  boolean endIfDisconnected();
 
   /** A whole response; it is only lent. */
   void onResponse(FullHttpResponse response);
@@ -27,7 +32,7 @@
   /** No more of a streamed response comes; one that is not complete must be seen to be so. */
   void onResponseEnd(boolean complete);
 
-  /** Rejected: nothing was executed. */
+  /** Rejected: its client may safely send it again. */
   void onRejected(double retryAfterMs);
 
   /** Failed: it may have been executed. */
--- a/src/main/java/quotagateway/policy/GatewayPolicy.java
+++ b/src/main/java/quotagateway/policy/GatewayPolicy.java
@@ -32,7 +32,7 @@
 import quotagateway.policy.retry.AttemptTimeout;
 import quotagateway.policy.retry.RetryBudget;
 import quotagateway.policy.retry.RetryPolicy;
-import quotagateway.policy.routing.Attempt;
+import quotagateway.policy.routing.AttemptRecord;
 import quotagateway.policy.routing.BackendRouter;
 import quotagateway.policy.routing.BackendStatus;
 import quotagateway.policy.settings.Capabilities;
@@ -57,16 +57,22 @@
   /** Between checks of open requests: short against any latency objective. */
   private static final double CHECK_INTERVAL_MS = 25;
 
-  /** Between checks without open requests, which only show when this gateway stood still. */
+  /** Between checks without open requests, which only show when this gateway stalled. */
   private static final double IDLE_CHECK_INTERVAL_MS = 250;
 
   /** After a stall, until the open requests are checked. */
   private static final double CHECK_AFTER_STALL_MS = 1;
 
-  /** Of the latency objective, for how long a request waits for the counter; backends need most. */
+  /**
+   * Of the latency objective, how long after its receipt a request waits for the counter at most;
+   * backends need most of it.
+   */
   private static final double MAX_COUNTER_WAIT_PER_OBJECTIVE = 0.06;
 
-  /** Of the latency objective, for how long a request waits for any backend that can be used. */
+  /**
+   * Of the latency objective, how long after its receipt a request waits for any backend that can
+   * be used at most.
+   */
   private static final double MAX_BACKEND_WAIT_PER_OBJECTIVE = 0.4;
 
   private final DecisionContext context;
@@ -204,7 +210,10 @@
     }
   }
 
-  /** Over quota, a request is forwarded only where its plan earns by it and backends are idle. */
+  /**
+   * Over quota, a request is forwarded only where its plan earns by it and backends are idle. While
+   * the decision is pending nothing is done: the counter's reply, or the end of the wait, decides.
+   */
   private void apply(QuotaDecision decision, OpenRequest request) {
     if (decision instanceof QuotaDecision.Admitted) {
       forward(request);
@@ -251,7 +260,7 @@
       return;
     }
     int number = request.attempts.started();
-    Attempt attempt = router.startAttempt(request.routing, number, backend);
+    AttemptRecord attempt = router.startAttempt(request.routing, number, backend);
     retryPolicy.recordStart(request.attempts);
     request.liveAttempt = attempt;
     if (!request.receivingBody) {
@@ -303,7 +312,7 @@
     if (request == null) {
       return;
     }
-    Attempt attempt = request.liveAttempt;
+    AttemptRecord attempt = request.liveAttempt;
     request.liveAttempt = null;
     recordOutcome(request, attempt, event);
     if (event.requestFinished()) {
@@ -317,7 +326,7 @@
    * Each class learns from an attempt what it decides by. The load shedder comes before the router,
    * as it measures by the mean service time that was known while the attempt was in flight.
    */
-  private void recordOutcome(OpenRequest request, Attempt attempt, AttemptEnded event) {
+  private void recordOutcome(OpenRequest request, AttemptRecord attempt, AttemptEnded event) {
     if (attempt.reachedBackend()) {
       quotaLimiter.attemptEnded(request.quota);
       if (!request.attempts.hasResponseStarted()) {
@@ -391,9 +400,9 @@
 
   /** Cancels an attempt that looks lost, if another one may follow. */
   private void cancelIfLost(OpenRequest request) {
-    double patienceMs = attemptTimeout.patienceMs(request.latencyObjectiveMs());
-    Attempt attempt = request.liveAttempt;
-    if (attempt.looksLost(patienceMs, context.nowMs())
+    double lossTimeoutMs = attemptTimeout.lossTimeoutMs(request.latencyObjectiveMs());
+    AttemptRecord attempt = request.liveAttempt;
+    if (attempt.looksLost(lossTimeoutMs, context.nowMs())
         && attemptTimeout.mayCancel(request.attempts)) {
       request.attempts.recordCancellation();
       context.emit(new CancelAttempt(request.id, attempt.number()));
--- a/src/main/java/quotagateway/policy/OpenRequest.java
+++ b/src/main/java/quotagateway/policy/OpenRequest.java
@@ -3,7 +3,7 @@
 import quotagateway.policy.event.RequestReceived;
 import quotagateway.policy.quota.QuotaReservation;
 import quotagateway.policy.retry.RequestAttempts;
-import quotagateway.policy.routing.Attempt;
+import quotagateway.policy.routing.AttemptRecord;
 import quotagateway.policy.routing.RequestRouting;
 import quotagateway.policy.settings.Capabilities;
 import quotagateway.policy.settings.DeduplicationScope;
@@ -39,7 +39,7 @@
   boolean receivingBody;
 
   /** The attempt that is in progress, or null. */
-  Attempt liveAttempt;
+  AttemptRecord liveAttempt;
 
   /** It waits, as no backend can be used now. */
   boolean awaitingBackend;
--- a/src/main/java/quotagateway/policy/OpenRequests.java
+++ b/src/main/java/quotagateway/policy/OpenRequests.java
@@ -71,7 +71,7 @@
   }
 
   /**
-   * Ends a request by a rejection, which promises that it had no effect.
+   * Ends a request by a rejection, which promises that its client may safely send it again.
    *
    * @param retryAfterMs when its client had better come back; 0 gives no advice
    */
--- a/src/main/java/quotagateway/policy/WakeUpTimer.java
+++ b/src/main/java/quotagateway/policy/WakeUpTimer.java
@@ -3,8 +3,8 @@
 /**
  * The timer by which a policy checks its open requests, and what its lateness shows.
  *
- * <p>A wake-up that is long overdue shows that this gateway stood still: its process was stopped or
- * got no processor time. What came meanwhile is then read first, and no time seen over the stall is
+ * <p>A wake-up that is long overdue shows that this gateway stalled: its process was stopped or got
+ * no processor time. What came meanwhile is then read first, and no time seen over the stall is
  * counted against a backend or the counter. Prevents working backends and a working counter from
  * being blamed, which would show as ejections at this gateway alone. Cost: none but a later check.
  *
--- a/src/main/java/quotagateway/policy/action/RejectRequest.java
+++ b/src/main/java/quotagateway/policy/action/RejectRequest.java
@@ -1,7 +1,8 @@
 package quotagateway.policy.action;
 
 /**
- * Final response: rejected, and promised to have had no effect.
+ * Final response: rejected; its client may safely send it again, as it was not executed or is
+ * idempotent.
  *
  * @param requestId the request
  * @param retryAfterMs after which to come back; 0 gives no advice
--- a/src/main/java/quotagateway/policy/admission/LoadShedder.java
+++ b/src/main/java/quotagateway/policy/admission/LoadShedder.java
@@ -15,7 +15,7 @@
  *
  * <p>Prevents queues at the backends from growing until every response is late, whatever the cause
  * of the overload. It would show as responses that all miss their objective. Cost: after this
- * gateway has stood still, the first responses have to correct the measure.
+ * gateway has stalled, the first responses have to correct the measure.
  *
  * <p>One instance for each gateway, owned by the thread of its policy.
  */
@@ -119,8 +119,8 @@
    * @param event how it ended
    * @param sentAtMs when the backend had all of its request
    * @param latencyObjectiveMs of its request
-   * @param stalledMs for how long this gateway itself stood still since then, which is not latency
-   *     of the backends
+   * @param stalledMs for how long this gateway itself stalled since then, which is not latency of
+   *     the backends
    * @param meanServiceMs mean service time of all backends, the least latency that counts
    */
   public void recordOutcome(
--- a/src/main/java/quotagateway/policy/quota/CounterCallThrottle.java
+++ b/src/main/java/quotagateway/policy/quota/CounterCallThrottle.java
@@ -73,10 +73,10 @@
 
   /**
    * Takes in how a call ended. A connection that was reset shows nothing of the counter, nor does
-   * any failure seen while this gateway itself stood still.
+   * any failure seen while this gateway itself stalled.
    *
    * @param status how it ended
-   * @param gatewayStalled whether this gateway has just stood still
+   * @param gatewayStalled whether this gateway has just stalled
    */
   void recordOutcome(Status status, boolean gatewayStalled) {
     if (status == Status.OK) {
--- a/src/main/java/quotagateway/policy/quota/CustomerAccount.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerAccount.java
@@ -38,11 +38,11 @@
   /** Lifetime of the measured rates of a bucket: longer than a burst, a few refills. */
   private static final double RATE_LIFETIME_MS = 5_000;
 
-  /** How long a rarely met customer is taken to go on as last seen: heavy use comes in spells. */
-  private static final double SPELL_LIFETIME_MS = 15_000;
+  /** How long a rarely met customer is taken to go on as last seen: heavy use lasts for a while. */
+  private static final double HEAVY_USE_LIFETIME_MS = 15_000;
 
   /** Lifetime of the measured rates in fixed windows. */
-  private static final double FIXED_WINDOW_RATE_LIFETIME_MS = SPELL_LIFETIME_MS / 3;
+  private static final double FIXED_WINDOW_RATE_LIFETIME_MS = HEAVY_USE_LIFETIME_MS / 3;
 
   private final DecisionContext context;
 
@@ -247,7 +247,7 @@
     double defaultUse = DEFAULT_USE_RATIO * plan.unitsPerSecond();
     double confidence = 0;
     if (!Double.isNaN(syncedAtMs)) {
-      confidence = Math.exp((syncedAtMs - nowMs) / SPELL_LIFETIME_MS);
+      confidence = Math.exp((syncedAtMs - nowMs) / HEAVY_USE_LIFETIME_MS);
     }
     double expectedUse = defaultUse + confidence * (rates.peerUnitsPerSecond() - defaultUse);
     availableUnits -= expectedUse * spanMs / 1000;
--- a/src/main/java/quotagateway/policy/quota/QuotaDecision.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaDecision.java
@@ -10,7 +10,8 @@
   record PendingCounterReply() implements QuotaDecision {}
 
   /**
-   * It is over a limit of its customer's plan.
+   * It is over a limit of its customer's plan, or the counter has not confirmed that it is within
+   * them while backends are loaded.
    *
    * @param retryAfterMs when the limit is expected to have room for it
    */
--- a/src/main/java/quotagateway/policy/quota/QuotaLimiter.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaLimiter.java
@@ -81,8 +81,7 @@
    * Takes in a reply of the counter.
    *
    * @param reply the reply
-   * @param gatewayStalled whether this gateway has just stood still, so that a failure may be its
-   *     own
+   * @param gatewayStalled whether this gateway has just stalled, so that a failure may be its own
    * @return what it decides, if a request waits for it
    */
   public Optional<CounterReplyDecision> onCounterReplied(
--- a/src/main/java/quotagateway/policy/retry/AttemptTimeout.java
+++ b/src/main/java/quotagateway/policy/retry/AttemptTimeout.java
@@ -12,7 +12,7 @@
 public final class AttemptTimeout {
 
   /** Of the latency objective, what the first attempt may use: a second one needs the rest. */
-  private static final double PATIENCE_PER_OBJECTIVE = 0.65;
+  private static final double LOSS_TIMEOUT_PER_OBJECTIVE = 0.65;
 
   private final RetryBudget budget;
 
@@ -22,8 +22,8 @@
   }
 
   /** After which time an attempt may look lost. */
-  public double patienceMs(double latencyObjectiveMs) {
-    return latencyObjectiveMs * PATIENCE_PER_OBJECTIVE;
+  public double lossTimeoutMs(double latencyObjectiveMs) {
+    return latencyObjectiveMs * LOSS_TIMEOUT_PER_OBJECTIVE;
   }
 
   /**
--- a/src/main/java/quotagateway/policy/routing/Attempt.java
+++ b/src/main/java/quotagateway/policy/routing/AttemptRecord.java
@@ -5,14 +5,14 @@
  *
  * <p>No record: sets of attempts go by identity.
  */
-public final class Attempt {
+public final class AttemptRecord {
 
   private final int number;
   private final BackendStatus backend;
   private double sentAtMs;
   private boolean reachedBackend;
 
-  Attempt(int number, BackendStatus backend, double sentAtMs) {
+  AttemptRecord(int number, BackendStatus backend, double sentAtMs) {
     this.number = number;
     this.backend = backend;
     this.sentAtMs = sentAtMs;
@@ -52,12 +52,12 @@
    * answered nothing since it was sent, or has already answered an attempt that was sent later by
    * more than that time.
    *
-   * @param patienceMs time after which a wait is unusual
+   * @param lossTimeoutMs time after which a wait is unusual
    * @param nowMs the present time
    */
-  public boolean looksLost(double patienceMs, double nowMs) {
-    boolean overtaken = backend.latestAnsweredSentAtMs > sentAtMs + patienceMs;
+  public boolean looksLost(double lossTimeoutMs, double nowMs) {
+    boolean overtaken = backend.latestAnsweredSentAtMs > sentAtMs + lossTimeoutMs;
     boolean silent = backend.lastResponseAtMs <= sentAtMs;
-    return (overtaken || silent) && nowMs - sentAtMs > patienceMs;
+    return (overtaken || silent) && nowMs - sentAtMs > lossTimeoutMs;
   }
 }
--- a/src/main/java/quotagateway/policy/routing/BackendRouter.java
+++ b/src/main/java/quotagateway/policy/routing/BackendRouter.java
@@ -88,14 +88,14 @@
   }
 
   /** Starts the attempt of that number at a backend that was selected. */
-  public Attempt startAttempt(RequestRouting request, int number, BackendStatus backend) {
+  public AttemptRecord startAttempt(RequestRouting request, int number, BackendStatus backend) {
     slowStart.recordAttempt(backend);
     request.attemptStarted(backend);
-    return new Attempt(number, backend, context.nowMs());
+    return new AttemptRecord(number, backend, context.nowMs());
   }
 
   /** The backend has the whole request: the attempt is part of its load from now on. */
-  public void attemptReachedBackend(Attempt attempt) {
+  public void attemptReachedBackend(AttemptRecord attempt) {
     attempt.markReachedBackend();
     attempt.backend().outstanding.add(attempt);
   }
@@ -104,13 +104,13 @@
    * The last byte of a request that was forwarded while it came in has come: its backend begins
    * only now, and its time counts from here.
    */
-  public void requestBodyComplete(Attempt attempt) {
+  public void requestBodyComplete(AttemptRecord attempt) {
     attempt.bodyComplete(context.nowMs());
     attemptReachedBackend(attempt);
   }
 
   /** A response streams: its backend has done its work, and the rest is up to the client. */
-  public void responseStarted(Attempt attempt) {
+  public void responseStarted(AttemptRecord attempt) {
     BackendStatus backend = attempt.backend();
     backend.outstanding.remove(attempt);
     backend.recordResponse(attempt, context.nowMs());
@@ -119,9 +119,9 @@
   /**
    * Learns from an attempt that has ended.
    *
-   * @param stalledUntilMs when this gateway last stood still, up to its end
+   * @param stalledUntilMs when this gateway last stalled, up to its end
    */
-  public void attemptEnded(Attempt attempt, AttemptEnded event, double stalledUntilMs) {
+  public void attemptEnded(AttemptRecord attempt, AttemptEnded event, double stalledUntilMs) {
     BackendStatus backend = attempt.backend();
     Status status = event.status();
     backend.outstanding.remove(attempt);
@@ -151,7 +151,7 @@
     }
   }
 
-  private void recordReachability(Attempt attempt, boolean responded, boolean failed) {
+  private void recordReachability(AttemptRecord attempt, boolean responded, boolean failed) {
     BackendStatus backend = attempt.backend();
     double nowMs = context.nowMs();
     backend.zoneReachability.record(attempt.sentAtMs(), responded, failed, nowMs);
--- a/src/main/java/quotagateway/policy/routing/BackendStatus.java
+++ b/src/main/java/quotagateway/policy/routing/BackendStatus.java
@@ -35,7 +35,7 @@
 
   // BackendRouter: attempts that it has, oldest first; its last response, and when the latest-sent
   // of the answered attempts was sent.
-  final LinkedHashSet<Attempt> outstanding = new LinkedHashSet<>();
+  final LinkedHashSet<AttemptRecord> outstanding = new LinkedHashSet<>();
   double lastResponseAtMs;
   double latestAnsweredSentAtMs = Double.NEGATIVE_INFINITY;
 
@@ -96,7 +96,7 @@
   }
 
   /** Notes that it has answered an attempt. */
-  void recordResponse(Attempt attempt, double nowMs) {
+  void recordResponse(AttemptRecord attempt, double nowMs) {
     lastResponseAtMs = nowMs;
     latestAnsweredSentAtMs = Math.max(latestAnsweredSentAtMs, attempt.sentAtMs());
   }
--- a/src/main/java/quotagateway/policy/routing/EndpointSelector.java
+++ b/src/main/java/quotagateway/policy/routing/EndpointSelector.java
@@ -143,7 +143,8 @@
     if (index.hasLeft(backend.slot) || outliers.isPaused(backend)) {
       return false;
     }
-    boolean open = ejectedToo || !outliers.isEjected(backend, request.requestClass().idempotency());
+    boolean open =
+        ejectedToo || !outliers.isClosedTo(backend, request.requestClass().idempotency());
     return open && slowStart.admits(backend);
   }
 }
--- a/src/main/java/quotagateway/policy/routing/OutlierDetector.java
+++ b/src/main/java/quotagateway/policy/routing/OutlierDetector.java
@@ -44,11 +44,12 @@
 
   /**
    * Whether an outcome is a failure of the backend. A time-out counts only where the backend has
-   * answered nothing since, and this gateway did not stand still meanwhile.
+   * answered nothing since, and this gateway did not stall meanwhile.
    *
-   * @param stalledUntilMs when this gateway last stood still, up to its end
+   * @param stalledUntilMs when this gateway last stalled, up to its end
    */
-  boolean isFailure(BackendStatus backend, Attempt attempt, Status status, double stalledUntilMs) {
+  boolean isFailure(
+      BackendStatus backend, AttemptRecord attempt, Status status, double stalledUntilMs) {
     return switch (status) {
       case ERROR, RESET, CONNECT_FAILED -> true;
       case TIMED_OUT, CANCELLED ->
@@ -75,7 +76,10 @@
     }
   }
 
-  /** Ejects a backend after a failure, if it fails too often or this was its probe. */
+  /**
+   * Ejects a backend after a failure, if it fails too often, or while half-open: as its probe, or
+   * as an attempt from before the ejection.
+   */
   void ejectIfFailing(BackendStatus backend) {
     if (backend.failureShare > MAX_FAILURE_SHARE || backend.halfOpen) {
       double ejectionMs = EJECTION_MS * (1 << Math.min(backend.ejections, MAX_DOUBLINGS));
@@ -100,7 +104,7 @@
    * Whether a backend is closed to a request: ejected, half-open with its probe under way or a
    * request that must not be executed twice, or in a zone or cell that cannot be reached.
    */
-  boolean isEjected(BackendStatus backend, Idempotency idempotency) {
+  boolean isClosedTo(BackendStatus backend, Idempotency idempotency) {
     double nowMs = context.nowMs();
     boolean probeBarred =
         backend.halfOpen
--- a/src/main/java/quotagateway/policy/routing/RestartDetector.java
+++ b/src/main/java/quotagateway/policy/routing/RestartDetector.java
@@ -34,7 +34,7 @@
   }
 
   /** Ends the suspicion if the successful attempt was sent before it. */
-  void recordSuccess(BackendStatus backend, Attempt attempt) {
+  void recordSuccess(BackendStatus backend, AttemptRecord attempt) {
     if (attempt.sentAtMs() < backend.restartSuspectedAtMs) {
       tracker.assumeStarted(backend, backend.listedStartMs);
       backend.restartSuspectedAtMs = Double.NEGATIVE_INFINITY;
--- a/src/main/java/quotagateway/server/GracefulShutdown.java
+++ b/src/main/java/quotagateway/server/GracefulShutdown.java
@@ -17,7 +17,7 @@
 
   /**
    * For how long connections are still accepted: after SIGTERM new ones go on coming for up to 0.4
-   * s, until the balancer in front has noticed.
+   * s, until the upstream load balancer has noticed.
    */
   private static final long ACCEPT_MS = (long) ClientServer.DRAIN_NOTICE_MS;
 
@@ -75,8 +75,8 @@
 
   /**
    * Where another process serves at the same address, it gets all new connections as soon as this
-   * one stops accepting, and it is the one that the balancer in front asks; so there is nothing to
-   * wait for.
+   * one stops accepting, and it is the one that the upstream load balancer asks; so there is
+   * nothing to wait for.
    */
   private void stopAccepting() {
     long delayMs = serving.isOtherProcessPresent() ? 0 : ACCEPT_MS;
--- a/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
+++ b/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
@@ -150,7 +150,7 @@
         RequestBody.of(Unpooled.EMPTY_BUFFER),
         new ResponseListener() {
           @Override
-          public boolean isDisconnected() {
+          public boolean endIfDisconnected() {
             return disconnected;
           }
 
--- a/src/test/java/quotagateway/policy/retry/AttemptTimeoutTest.java
+++ b/src/test/java/quotagateway/policy/retry/AttemptTimeoutTest.java
@@ -40,7 +40,7 @@
 
   @Test
   void leavesAThirdOfTheObjectiveToASecondAttempt() {
-    assertEquals(650, timeout.patienceMs(1_000));
+    assertEquals(650, timeout.lossTimeoutMs(1_000));
   }
 
   // One slow request looks like a lost one; cancelled again and again it would never be served.
--- a/src/test/java/quotagateway/policy/routing/BackendRouterTest.java
+++ b/src/test/java/quotagateway/policy/routing/BackendRouterTest.java
@@ -45,14 +45,14 @@
     context.begin(START_MS + 10);
   }
 
-  private Attempt start() {
-    Attempt attempt = router.startAttempt(request, 0, backend);
+  private AttemptRecord start() {
+    AttemptRecord attempt = router.startAttempt(request, 0, backend);
     router.attemptReachedBackend(attempt);
     context.begin(context.nowMs() + 10);
     return attempt;
   }
 
-  private void end(Attempt attempt, Status status, LoadReport report) {
+  private void end(AttemptRecord attempt, Status status, LoadReport report) {
     router.attemptEnded(
         attempt, new AttemptEnded("r", 0, 0, status, 200, true, 0, report), NEVER_STALLED);
   }
@@ -67,7 +67,7 @@
 
   @Test
   void countsAnAttemptAsOutstandingUntilItEnds() {
-    Attempt attempt = start();
+    AttemptRecord attempt = start();
     assertEquals(1, backend.outstanding.size());
     assertTrue(attempt.reachedBackend());
     assertSame(backend, request.lastBackend());
@@ -78,7 +78,7 @@
   // A backend that sends a long response is not busy, and it has answered.
   @Test
   void countsAnAttemptAsOutstandingUntilItsResponseStarts() {
-    Attempt attempt = start();
+    AttemptRecord attempt = start();
     router.responseStarted(attempt);
     assertTrue(backend.outstanding.isEmpty());
     assertEquals(context.nowMs(), backend.lastResponseAtMs);
@@ -88,7 +88,7 @@
   // An upload takes as long as its client: the backend's time begins with the last byte.
   @Test
   void countsAForwardedRequestFromItsLastByte() {
-    Attempt attempt = router.startAttempt(request, 0, backend);
+    AttemptRecord attempt = router.startAttempt(request, 0, backend);
     assertTrue(backend.outstanding.isEmpty());
     context.begin(START_MS + 500);
     router.requestBodyComplete(attempt);
@@ -129,7 +129,7 @@
     "CONNECT_FAILED, 0.6"
   })
   void movesTheFailureShareByASuccessOrAFailureOnly(Status status, double expected) {
-    Attempt attempt = start();
+    AttemptRecord attempt = start();
     backend.lastResponseAtMs = attempt.sentAtMs();
     backend.failureShare = 0.5 / backend.learnedWeight(context.nowMs());
     if (expected == 0.5) {
@@ -165,7 +165,7 @@
   // A refused connection is how a restart shows first; an answer to something older disproves it.
   @Test
   void suspectsARestartUntilAnEarlierAttemptSucceeds() {
-    Attempt earlier = start();
+    AttemptRecord earlier = start();
     end(Status.RESET);
     assertFalse(isWarmingUp());
     end(Status.CONNECT_FAILED);
--- a/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
+++ b/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
@@ -224,7 +224,7 @@
   void keepsTheSlotOfARemovedBackendWhileAnAttemptIsOutstanding() {
     RoutingFixture fixture = RoutingFixture.of(2, 4);
     BackendStatus backend = fixture.backend(1);
-    Attempt attempt = fixture.attemptAt(backend);
+    AttemptRecord attempt = fixture.attemptAt(backend);
     update(fixture, EndpointListForm.DELTA, endpoint(1, "b", EndpointState.REMOVED, 1));
     assertTrue(fixture.index.isUsed(backend.slot));
     backend.outstanding.remove(attempt);
--- a/src/test/java/quotagateway/policy/routing/OutlierDetectorTest.java
+++ b/src/test/java/quotagateway/policy/routing/OutlierDetectorTest.java
@@ -21,10 +21,10 @@
   private final BackendStatus backend = fixture.backend(0);
 
   private boolean isEjected() {
-    return outliers.isEjected(backend, Idempotency.IDEMPOTENT);
+    return outliers.isClosedTo(backend, Idempotency.IDEMPOTENT);
   }
 
-  private boolean isFailure(Attempt attempt, Status status, double stalledUntilMs) {
+  private boolean isFailure(AttemptRecord attempt, Status status, double stalledUntilMs) {
     return outliers.isFailure(backend, attempt, status, stalledUntilMs);
   }
 
@@ -56,7 +56,7 @@
     fixture.fail(backend, 3);
     fixture.pass(1_301);
     assertFalse(isEjected());
-    assertTrue(outliers.isEjected(backend, Idempotency.NOT_IDEMPOTENT));
+    assertTrue(outliers.isClosedTo(backend, Idempotency.NOT_IDEMPOTENT));
     fixture.attemptAt(backend);
     assertTrue(isEjected());
   }
@@ -78,7 +78,7 @@
     fixture.pass(1_301);
     outliers.recordSample(backend, false, 1);
     outliers.close(backend);
-    assertFalse(outliers.isEjected(backend, Idempotency.NOT_IDEMPOTENT));
+    assertFalse(outliers.isClosedTo(backend, Idempotency.NOT_IDEMPOTENT));
     assertEquals(1, backend.ejections);
     backend.failureShare = 0.099;
     outliers.close(backend);
@@ -117,7 +117,7 @@
       names = {"TIMED_OUT", "CANCELLED"})
   void countsATimeoutOnlyOfABackendThatAnsweredNothing(Status status) {
     fixture.pass(10);
-    Attempt attempt = fixture.attemptAt(backend);
+    AttemptRecord attempt = fixture.attemptAt(backend);
     assertTrue(isFailure(attempt, status, NEVER_STALLED));
     assertFalse(isFailure(attempt, status, attempt.sentAtMs()));
     backend.lastResponseAtMs = attempt.sentAtMs() + 1;
@@ -131,8 +131,8 @@
       backend.zoneReachability.record(
           fixture.context.nowMs(), false, true, fixture.context.nowMs());
     }
-    assertTrue(outliers.isEjected(fixture.backend(2), Idempotency.IDEMPOTENT));
-    assertFalse(outliers.isEjected(fixture.backend(1), Idempotency.IDEMPOTENT));
+    assertTrue(outliers.isClosedTo(fixture.backend(2), Idempotency.IDEMPOTENT));
+    assertFalse(outliers.isClosedTo(fixture.backend(1), Idempotency.IDEMPOTENT));
   }
 
   @Test
--- a/src/test/java/quotagateway/policy/routing/RestartDetectorTest.java
+++ b/src/test/java/quotagateway/policy/routing/RestartDetectorTest.java
@@ -32,7 +32,7 @@
   // A few connections that fail for any other cause would leave a whole fleet taken for cold.
   @Test
   void endsTheSuspicionWhenAnEarlierAttemptSucceeds() {
-    Attempt earlier = fixture.attemptAt(backend);
+    AttemptRecord earlier = fixture.attemptAt(backend);
     fixture.pass(10);
     restarts.recordConnectFailure(backend);
     restarts.recordSuccess(backend, earlier);
@@ -77,7 +77,7 @@
 
   @Test
   void endsASuspicionOnce() {
-    Attempt earlier = fixture.attemptAt(backend);
+    AttemptRecord earlier = fixture.attemptAt(backend);
     fixture.pass(10);
     restarts.recordConnectFailure(backend);
     restarts.recordSuccess(backend, earlier);
--- a/src/test/java/quotagateway/policy/routing/RoutingFixture.java
+++ b/src/test/java/quotagateway/policy/routing/RoutingFixture.java
@@ -79,8 +79,8 @@
   }
 
   /** An attempt sent now that its backend has in whole. */
-  Attempt attemptAt(BackendStatus backend) {
-    Attempt attempt = new Attempt(0, backend, context.nowMs());
+  AttemptRecord attemptAt(BackendStatus backend) {
+    AttemptRecord attempt = new AttemptRecord(0, backend, context.nowMs());
     attempt.markReachedBackend();
     backend.outstanding.add(attempt);
     return attempt;
