--- a/src/main/java/quotagateway/policy/GatewayPolicy.java
+++ b/src/main/java/quotagateway/policy/GatewayPolicy.java
@@ -49,6 +49,9 @@
  * another one ({@link RetryPolicy})? Each request gets one final response: that of a backend, a
  * rejection, or a failure.
  *
+ * <p>Longer than other classes, so that the order of all questions about a request stands on one
+ * page; the answers are given elsewhere.
+ *
  * <p>One instance for each gateway, called by one thread. Time comes with the events, in Unix
  * milliseconds; nothing here blocks.
  */
--- a/src/main/java/quotagateway/policy/quota/CustomerAccount.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerAccount.java
@@ -14,6 +14,9 @@
  * <p>Where a window would hold fewer than two refills of the bucket, the bucket is not replicated:
  * each window then allows one burst.
  *
+ * <p>Longer than other classes: time, replies and use all change the same few figures, which no
+ * part could keep without the others.
+ *
  * <p>Owned by the thread of its policy. Units are those of requests' estimates.
  */
 final class CustomerAccount {
--- a/src/main/java/quotagateway/policy/quota/QuotaLimiter.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaLimiter.java
@@ -15,6 +15,9 @@
  * in time, this gateway's replica of the customer's bucket decides. Differences between estimated
  * and charged units are added with the next call.
  *
+ * <p>Longer than other classes: a reservation goes through all of its steps here, in the order in
+ * which they stand below, so that what each step has left to settle can be followed.
+ *
  * <p>One instance for each gateway, owned by the thread of its policy.
  */
 public final class QuotaLimiter {
