--- a/src/test/java/quotagateway/backend/StalledResponseTest.java
+++ b/src/test/java/quotagateway/backend/StalledResponseTest.java
@@ -8,7 +8,9 @@
 import io.netty.channel.embedded.EmbeddedChannel;
 import io.netty.handler.codec.http.DefaultHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.ArrayList;
 import java.util.List;
@@ -35,6 +37,7 @@
 
   private final EmbeddedChannel connection = new EmbeddedChannel();
   private final List<String> ends = new ArrayList<>();
+  private final StringBuilder streamed = new StringBuilder();
   private long nanos;
 
   private void startAttempt() {
@@ -64,6 +67,17 @@
           5_000);
     }
 
+    @Override
+    public boolean onResponseStart(HttpResponse response) {
+      return true;
+    }
+
+    @Override
+    public boolean onResponseContent(HttpContent piece) {
+      streamed.append(piece.content().toString(US_ASCII));
+      return true;
+    }
+
     @Override
     public void onEnd(Status status, FullHttpResponse response) {
       ends.add(
@@ -95,6 +109,21 @@
     assertEquals(List.of("OK xxxxxxxx"), ends);
   }
 
+  /** Without an announced length it is streamed once it is slow, as its client may wait for it. */
+  @ParameterizedTest
+  @ValueSource(longs = {100, MAX_STALL_MS - 1})
+  void chunkedResponseInPiecesWithinTheLimitIsServedWhole(long pauseMs) {
+    startAttempt();
+    receive("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    for (int i = 0; i < 8; i++) {
+      advance(pauseMs);
+      receive("1\r\nx\r\n");
+    }
+    receive("0\r\n\r\n");
+    assertEquals("xxxxxxxx", streamed.toString());
+    assertEquals(List.of("OK"), ends);
+  }
+
   /** It is looked at once in 250 ms, so that twice the limit is the latest time. */
   @Test
   void responseThatStopsIsGivenUpAsMalformed() {
