--- a/src/main/java/quotagateway/policy/admission/LoadShedder.java
+++ b/src/main/java/quotagateway/policy/admission/LoadShedder.java
@@ -8,56 +8,60 @@
 
 /**
  * Sheds requests that the backends would not answer within their latency objective, the least
- * valuable ones first.
+ * valuable requests first.
  *
- * <p>The measure is the expected latency ratio: latency divided by the latency objective of the
- * request, as measured lately, scaled by how many more attempts are in flight now than were then.
+ * <p>Decisions are based on the expected latency ratio: the recently measured ratio of latency to
+ * the request's latency objective, scaled by the growth of the number of attempts in flight since
+ * the measurement.
  *
- * <p>Prevents queues at the backends from growing until every response is late, whatever the cause
- * of the overload. It would show as responses that all miss their objective. Cost: after this
- * gateway has stalled, the first responses have to correct the measure.
+ * <p>Without load shedding, queues at the backends would grow, whatever the cause of the overload,
+ * until every response missed its objective. The drawback is that after a stall of this gateway the
+ * measured ratio is wrong until the first responses have corrected it.
  *
- * <p>One instance for each gateway, owned by the thread of its policy.
+ * <p>Each gateway has one instance, owned by the thread of its policy.
  */
 public final class LoadShedder {
 
   /**
-   * Expected latency ratio above which requests of the lowest priority are shed. It is a mean:
-   * single responses take longer, and have to meet their objective, too.
+   * Expected latency ratio above which requests of the lowest priority are shed. The ratio is a
+   * mean, and responses that are slower than the mean have to meet their objective, too.
    */
   static final double MAX_LATENCY_RATIO_LOWEST_PRIORITY = 0.25;
 
-  /** Expected latency ratio above which requests of the highest priority are shed as well. */
+  /** Expected latency ratio above which requests of all priorities are shed. */
   static final double MAX_LATENCY_RATIO_HIGHEST_PRIORITY = 0.4;
 
   /**
-   * Subtracted from these for a request whose quota no reply of the counter has confirmed, so that
-   * capacity goes first to customers known to be within their quota.
+   * Margin subtracted from both maximum ratios for a request whose quota the counter has not
+   * confirmed, so that customers known to be within their quota are served first.
    */
   static final double UNCONFIRMED_LATENCY_RATIO_MARGIN = 0.1;
 
-  /** A latency counts as at most so many objectives, so that few slow attempts do not decide. */
+  /** Maximum of a measured latency ratio, so that a few slow attempts do not dominate the mean. */
   private static final double MAX_MEASURED_LATENCY_RATIO = 2;
 
-  /** Least weight of the newest response in the measure: about the last twenty count. */
-  private static final double NEWEST_RESPONSE_WEIGHT = 0.05;
+  /**
+   * Minimum weight of the newest response in the mean ratio, which then covers about the last
+   * twenty responses.
+   */
+  private static final double MIN_NEWEST_RESPONSE_WEIGHT = 0.05;
 
-  /** Lifetime of the measure where responses are rare. */
-  private static final double MEASURE_LIFETIME_MS = 4_000;
+  /** Lifetime of the measured ratio when responses are rare. */
+  private static final double LATENCY_RATIO_LIFETIME_MS = 4_000;
 
-  /** Least weight of the newest request in the mean number of attempts in flight. */
-  private static final double NEWEST_IN_FLIGHT_WEIGHT = 0.3;
+  /** Minimum weight of the newest request in the mean number of attempts in flight. */
+  private static final double MIN_NEWEST_IN_FLIGHT_WEIGHT = 0.3;
 
-  /** Lifetime of that mean where requests are rare. */
+  /** Lifetime of the mean number of attempts in flight when requests are rare. */
   private static final double IN_FLIGHT_LIFETIME_MS = 1_000;
 
   /** Weight of the newest request in the mean priority weight. */
   private static final double NEWEST_PRIORITY_WEIGHT = 0.01;
 
-  /** A backend with fewer requests than this, of all gateways, is taken not to queue any. */
+  /** Number of requests, from all gateways, below which a backend is assumed not to queue any. */
   private static final double MIN_QUEUEING_REQUESTS = 3;
 
-  /** Least mean priority weight that others are compared with: keeps the quotient finite. */
+  /** Minimum mean priority weight used as a divisor, so that the quotient is finite. */
   private static final double MIN_MEAN_PRIORITY_WEIGHT = 1e-9;
 
   private final DecisionContext context;
@@ -66,25 +70,25 @@
   private final ExponentialMean inFlightWhenMeasured;
   private final ExponentialMean inFlight;
   private int attemptsInFlight;
-  private double lastOkAtMs = Double.NEGATIVE_INFINITY;
+  private double lastSuccessAtMs = Double.NEGATIVE_INFINITY;
   private double meanPriorityWeight = Double.NaN;
 
   /**
-   * A measure of nothing yet, which sheds nothing.
+   * Creates a shedder that sheds nothing until a latency has been measured.
    *
-   * @param context time and settings
-   * @param servingBackends how many backends serve at present
+   * @param context provides the time and the settings
+   * @param servingBackends supplies the number of backends that are serving
    */
   public LoadShedder(DecisionContext context, IntSupplier servingBackends) {
     this.context = context;
     this.servingBackends = servingBackends;
     double nowMs = context.nowMs();
-    latencyRatio = new ExponentialMean(NEWEST_RESPONSE_WEIGHT, MEASURE_LIFETIME_MS, nowMs);
-    inFlightWhenMeasured = new ExponentialMean(NEWEST_RESPONSE_WEIGHT, MEASURE_LIFETIME_MS, nowMs);
-    inFlight = new ExponentialMean(NEWEST_IN_FLIGHT_WEIGHT, IN_FLIGHT_LIFETIME_MS, nowMs);
+    latencyRatio = new ExponentialMean(MIN_NEWEST_RESPONSE_WEIGHT, LATENCY_RATIO_LIFETIME_MS, nowMs);
+    inFlightWhenMeasured = new ExponentialMean(MIN_NEWEST_RESPONSE_WEIGHT, LATENCY_RATIO_LIFETIME_MS, nowMs);
+    inFlight = new ExponentialMean(MIN_NEWEST_IN_FLIGHT_WEIGHT, IN_FLIGHT_LIFETIME_MS, nowMs);
   }
 
-  /** Notes a request that has come, before any decision about it. */
+  /** Records a received request, before any decision on it. */
   public void recordRequest(double priorityWeight) {
     inFlight.add(attemptsInFlight, context.nowMs());
     if (Double.isNaN(meanPriorityWeight)) {
@@ -94,34 +98,38 @@
     }
   }
 
-  /** Notes that a backend has all of an attempt's request and works on it. */
+  /** Records that a backend has received an attempt's complete request and is processing it. */
   public void attemptStarted() {
     attemptsInFlight++;
   }
 
-  /** Notes that a backend has done its work for an attempt noted as started. */
+  /** Records that a backend has finished processing an attempt that was recorded as started. */
   public void attemptEnded() {
     attemptsInFlight--;
   }
 
-  /** Attempts of this gateway in flight, as a mean over the latest requests; only to be read. */
+  /**
+   * Returns the mean number of this gateway's attempts in flight over the latest requests. Callers
+   * must not modify it.
+   */
   public ExponentialMean attemptsInFlight() {
     return inFlight;
   }
 
   /**
-   * Measures the latency of an attempt that has ended, in objectives of its request. A rejection by
-   * the backend counts as one whole objective.
+   * Measures the latency of an attempt that has ended, as a ratio to the latency objective of its
+   * request. A rejection by the backend counts as a ratio of 1.
    *
-   * <p>An attempt that timed out although others were answered since it was sent has lost its
-   * response on the way, which says nothing of load. Cost: a few slow backends remain unseen here.
+   * <p>If an attempt timed out although another one succeeded after it was sent, its response is
+   * assumed to be lost, which is not a sign of load. The drawback is that a few slow backends
+   * remain undetected here.
    *
-   * @param event how it ended
-   * @param sentAtMs when the backend had all of its request
-   * @param latencyObjectiveMs of its request
-   * @param stalledMs for how long this gateway itself stalled since then, which is not latency of
-   *     the backends
-   * @param meanServiceMs mean service time of all backends, the least latency that counts
+   * @param event the end of the attempt
+   * @param sentAtMs when the backend had received the complete request
+   * @param latencyObjectiveMs latency objective of the request
+   * @param stalledMs how long this gateway has stalled since then, which is not latency of the
+   *     backends
+   * @param meanServiceMs mean service time of all backends, used as the minimum latency
    */
   public void recordOutcome(
       AttemptEnded event,
@@ -130,9 +138,9 @@
       double stalledMs,
       double meanServiceMs) {
     Status status = event.status();
-    boolean responseLost = status == Status.TIMED_OUT && lastOkAtMs > sentAtMs;
+    boolean responseLost = status == Status.TIMED_OUT && lastSuccessAtMs > sentAtMs;
     if (status == Status.OK) {
-      lastOkAtMs = context.nowMs();
+      lastSuccessAtMs = context.nowMs();
     }
     boolean measurable =
         status == Status.OK || status == Status.REJECTED || status == Status.TIMED_OUT;
@@ -147,39 +155,48 @@
     inFlightWhenMeasured.add(attemptsInFlight, context.nowMs());
   }
 
-  /** Whether the backends are too loaded for a request of that priority weight. */
+  /** Returns whether the backends are too loaded for a request with the given priority weight. */
   public boolean isOverloaded(double priorityWeight) {
     return expectedLatencyRatio() > maxLatencyRatio(priorityWeight);
   }
 
-  /** As {@link #isOverloaded}, for a request whose quota the counter has not confirmed. */
+  /**
+   * Returns the same as {@link #isOverloaded}, but for a request whose quota the counter has not
+   * confirmed.
+   */
   public boolean isOverloadedForUnconfirmed(double priorityWeight) {
     return expectedLatencyRatio()
         > maxLatencyRatio(priorityWeight) - UNCONFIRMED_LATENCY_RATIO_MARGIN;
   }
 
-  /** Whether the backends can serve requests over quota without delay to those within theirs. */
+  /**
+   * Returns whether the backends can serve requests over quota without delaying requests within
+   * quota.
+   */
   public boolean hasSpareCapacity() {
     return expectedLatencyRatio()
         < MAX_LATENCY_RATIO_LOWEST_PRIORITY - UNCONFIRMED_LATENCY_RATIO_MARGIN;
   }
 
-  /** Rises from half of the mean priority weight on to one and a half of it. */
+  /**
+   * Returns the maximum latency ratio for a priority weight. The maximum rises linearly between
+   * half and one and a half times the mean priority weight.
+   */
   private double maxLatencyRatio(double priorityWeight) {
     double relativeWeight = priorityWeight / Math.max(MIN_MEAN_PRIORITY_WEIGHT, meanPriorityWeight);
-    double rank = Math.min(1, Math.max(0, relativeWeight - 0.5));
+    double relativePriority = Math.min(1, Math.max(0, relativeWeight - 0.5));
     return MAX_LATENCY_RATIO_LOWEST_PRIORITY
-        + (MAX_LATENCY_RATIO_HIGHEST_PRIORITY - MAX_LATENCY_RATIO_LOWEST_PRIORITY) * rank;
+        + (MAX_LATENCY_RATIO_HIGHEST_PRIORITY - MAX_LATENCY_RATIO_LOWEST_PRIORITY) * relativePriority;
   }
 
   private double expectedLatencyRatio() {
     int backends = Math.max(1, servingBackends.getAsInt());
     double gatewaysPerBackend = context.settings().gatewayCount() / (double) backends;
-    double idleShare = MIN_QUEUEING_REQUESTS / backends;
-    double heldNow = inFlight.value() * gatewaysPerBackend;
-    double heldWhenMeasured =
+    double smoothing = MIN_QUEUEING_REQUESTS / backends;
+    double requestsNow = inFlight.value() * gatewaysPerBackend;
+    double requestsWhenMeasured =
         Math.max(inFlightWhenMeasured.value() * gatewaysPerBackend, MIN_QUEUEING_REQUESTS);
-    double growth = (heldNow + idleShare) / (heldWhenMeasured + idleShare);
+    double growth = (requestsNow + smoothing) / (requestsWhenMeasured + smoothing);
     return latencyRatio.fadedValue(context.nowMs()) * growth;
   }
 }
--- a/src/main/java/quotagateway/policy/admission/package-info.java
+++ b/src/main/java/quotagateway/policy/admission/package-info.java
@@ -1,2 +1,2 @@
-/** Admission by load: which requests are shed while the backends are overloaded. */
+/** Load-based admission: decides which requests are shed while the backends are overloaded. */
 package quotagateway.policy.admission;
--- a/src/main/java/quotagateway/policy/quota/ConcurrencyLimiter.java
+++ b/src/main/java/quotagateway/policy/quota/ConcurrencyLimiter.java
@@ -4,30 +4,30 @@
 import quotagateway.policy.event.Status;
 
 /**
- * Bounds the open requests of a customer over all gateways by permits.
+ * Limits a customer's open requests over all gateways by permits.
  *
- * <p>With no more gateways than permits, each gateway has an even part of them, which needs no
- * call. With more, a permit is acquired by adding 1 to a shared count, and released by taking it
- * off again. Where the counter does not reply, the even part decides: also how many requests can
- * follow each other in it.
+ * <p>If there are at least as many permits as gateways, each gateway has an even share of the
+ * permits, which needs no call. Otherwise a permit is acquired by adding 1 to a shared count and
+ * released by subtracting 1. If the counter does not reply, the even share decides; it then also
+ * limits the rate at which requests start.
  *
- * <p>One instance for each gateway, owned by the thread of its policy.
+ * <p>Each gateway has one instance, owned by the thread of its policy.
  */
 final class ConcurrencyLimiter {
 
   /**
-   * Length of the window that a count of permits is for. A permit of a gateway that was killed is
-   * lost until its window ends.
+   * Length of the window of a count of permits. A permit of a gateway that was killed is lost until
+   * its window ends.
    */
   private static final double PERMIT_WINDOW_MS = 10_000;
 
-  /** What a reply to a call for a permit shows. */
+  /** Result of a call that acquires a permit. */
   enum PermitReply {
     /** The request has its permit. */
     GRANTED,
     /** All permits are in use. */
     EXHAUSTED,
-    /** The call failed: the even part has to decide. */
+    /** The call failed, and the even share has to decide. */
     UNKNOWN,
     /** The request no longer waits. */
     NOT_AWAITED
@@ -41,7 +41,7 @@
     this.pendingCalls = pendingCalls;
   }
 
-  /** Whether a call to the counter could grant a permit that an even split cannot. */
+  /** Returns whether a call to the counter could grant a permit that an even share cannot. */
   boolean needsSharedPermit(CustomerAccount account) {
     int limit = account.plan().concurrencyLimit();
     return hasFewerPermitsThanGateways(account)
@@ -62,7 +62,7 @@
         new PendingCounterCalls.PermitAcquisition(account, reservation));
   }
 
-  /** Takes a request into this gateway's even part of the permits, if that has room. */
+  /** Admits a request to this gateway's even share of the permits if the share has room. */
   boolean tryAcquireLocally(CustomerAccount account) {
     int limit = account.plan().concurrencyLimit();
     if (limit <= 0) {
@@ -71,10 +71,10 @@
     if (account.attemptsInFlight() >= Math.max(1, limit / account.gateways())) {
       return false;
     }
-    return !hasFewerPermitsThanGateways(account) || account.localShare().tryTakeStart();
+    return !hasFewerPermitsThanGateways(account) || account.localShare().tryAcquireStart();
   }
 
-  /** Takes in the reply to a call for a permit. */
+  /** Processes the reply to a call for a permit. */
   PermitReply onReply(QuotaReservation reservation, Status status, double totalPermits) {
     reservation.permitCallPending = false;
     if (status.provesNotExecuted()) {
@@ -99,8 +99,8 @@
   }
 
   /**
-   * Ends a request's use of its permit. While the call for it has no reply yet, it is not known
-   * whether there is a permit to release; that reply then releases it.
+   * Ends a request's use of its permit. If the call for the permit has no reply yet, it is unknown
+   * whether there is a permit to release, and the reply triggers the release.
    */
   void end(QuotaReservation reservation) {
     reservation.ended = true;
--- a/src/main/java/quotagateway/policy/quota/CounterCallThrottle.java
+++ b/src/main/java/quotagateway/policy/quota/CounterCallThrottle.java
@@ -4,47 +4,51 @@
 import quotagateway.policy.event.Status;
 
 /**
- * Decides how many requests call the shared counter, by additive increase and multiplicative
- * decrease (AIMD) of the probability of a call, as in TCP. After several failures in a row the
- * counter is taken to be away, and only spaced probe calls remain.
+ * Limits the share of requests that call the shared counter, by additive increase and
+ * multiplicative decrease (AIMD) of the call probability, as in TCP. After several consecutive
+ * failures the counter is treated as unavailable, and only spaced probe calls are made.
  *
- * <p>Prevents a slow, full, silent or refusing counter from being overrun by calls; it would show
- * as calls that time out at all gateways. Cost: where calls fail for a cause that calling less does
- * not help, customers are held to the gateways' replicas for longer than needed.
+ * <p>Without this, calls would overload a slow, full, silent or refusing counter, and calls would
+ * time out at all gateways. The drawback is that if calls fail for a cause other than load,
+ * requests are decided by the gateways' replicas for longer than necessary.
  *
- * <p>One instance for each gateway, owned by the thread of its policy.
+ * <p>Each gateway has one instance, owned by the thread of its policy.
  */
 final class CounterCallThrottle {
 
-  /** Failures in a row after which the counter is taken to be away; fewer are lost packets. */
+  /**
+   * Number of consecutive failures after which the counter is treated as unavailable. Fewer
+   * failures are assumed to be lost packets.
+   */
   static final int MAX_CONSECUTIVE_FAILURES = 4;
 
-  /** Least spacing of one gateway's probe calls while the counter is away. */
+  /** Minimum interval between one gateway's probe calls while the counter is unavailable. */
   private static final double MIN_PROBE_SPACING_MS = 250;
 
-  /** Least spacing of the probe calls of all gateways together. */
+  /** Minimum mean interval between the probe calls of all gateways together. */
   private static final double MIN_FLEET_PROBE_SPACING_MS = 5;
 
-  /** By which the call probability is multiplied once in a time limit of calls that fail. */
+  /** Factor applied to the call probability at most once per call timeout while calls fail. */
   private static final double DECREASE_FACTOR = 0.7;
 
-  /** Increase of the call probability with each reply. */
+  /** Increase of the call probability per reply. */
   private static final double INCREASE_PER_REPLY = 0.02;
 
   /**
-   * Increase for each second between replies: gateways with few calls recover as soon as others.
+   * Increase of the call probability per second between replies, so that gateways with few calls
+   * recover as fast as others.
    */
   private static final double INCREASE_PER_SECOND = 0.05;
 
-  /** Longest time between replies that counts for that increase. */
+  /** Maximum time between replies that counts for {@link #INCREASE_PER_SECOND}. */
   private static final double MAX_INCREASE_SECONDS = 1;
 
-  /** Least call probability, so that replies can raise it again. */
+  /** Minimum call probability. It is above 0 so that replies can raise it again. */
   private static final double MIN_CALL_PROBABILITY = 0.02;
 
   /**
-   * Call probability once an absent counter replies again, so that all gateways together do not
-   * overrun it.
+   * Call probability after the first reply of a counter that was unavailable. It is below 1 so that
+   * all gateways together do not overload the counter.
    */
   private static final double RECOVERY_CALL_PROBABILITY = 0.3;
 
@@ -59,9 +63,12 @@
     this.context = context;
   }
 
-  /** Whether the counter may be called now; draws a random number unless a probe is not yet due. */
-  boolean acquireCall() {
-    if (!isCounterAway()) {
+  /**
+   * Returns whether the counter may be called now. Draws a random number unless the counter is
+   * unavailable and no probe is due.
+   */
+  boolean tryAcquireCall() {
+    if (!isCounterUnavailable()) {
       return context.nextRandom() < callProbability;
     }
     if (context.nowMs() < nextProbeAtMs) {
@@ -72,10 +79,10 @@
   }
 
   /**
-   * Takes in how a call ended. A connection that was reset shows nothing of the counter, nor does
-   * any failure seen while this gateway itself stalled.
+   * Records the outcome of a call. A connection reset does not show the state of the counter, nor
+   * does a failure during a stall of this gateway, so neither counts.
    *
-   * @param status how it ended
+   * @param status how the call ended
    * @param gatewayStalled whether this gateway has just stalled
    */
   void recordOutcome(Status status, boolean gatewayStalled) {
@@ -87,7 +94,7 @@
   }
 
   private void recordReply() {
-    if (isCounterAway()) {
+    if (isCounterUnavailable()) {
       callProbability = RECOVERY_CALL_PROBABILITY;
     } else {
       double seconds = Math.min(MAX_INCREASE_SECONDS, (context.nowMs() - lastReplyAtMs) / 1000);
@@ -98,7 +105,9 @@
     lastReplyAtMs = context.nowMs();
   }
 
-  /** Calls that were under way together fail together: they decrease the probability once. */
+  /**
+   * Records a failure. Concurrent calls fail together, so they decrease the probability only once.
+   */
   private void recordFailure() {
     consecutiveFailures++;
     double timeoutMs = context.settings().capabilities().counterTimeoutMs();
@@ -111,13 +120,14 @@
     }
   }
 
-  private boolean isCounterAway() {
+  private boolean isCounterUnavailable() {
     return consecutiveFailures >= MAX_CONSECUTIVE_FAILURES;
   }
 
   /**
-   * Spread by chance, so that the gateways do not probe together; over the whole fleet the probes
-   * are bounded, and each gateway's come within seconds.
+   * Schedules the next probe with random jitter, so that the gateways do not probe at the same
+   * time. The spacing grows with the number of gateways, which limits the probe rate of the fleet:
+   * each of 1,000 gateways probes about every 5 s.
    */
   private void scheduleProbe() {
     double fleetSpacingMs = MIN_FLEET_PROBE_SPACING_MS * context.settings().gatewayCount();
--- a/src/main/java/quotagateway/policy/quota/CounterReplyDecision.java
+++ b/src/main/java/quotagateway/policy/quota/CounterReplyDecision.java
@@ -1,7 +1,7 @@
 package quotagateway.policy.quota;
 
 /**
- * What a reply of the counter decides for the request that waited for it.
+ * Decision made by a reply of the counter on the request that waited for it.
  *
  * @param requestId the request
  * @param decision the decision, which may be to wait for another reply
--- a/src/main/java/quotagateway/policy/quota/CounterSettlement.java
+++ b/src/main/java/quotagateway/policy/quota/CounterSettlement.java
@@ -1,15 +1,15 @@
 package quotagateway.policy.quota;
 
-/** What a customer's shared count and this gateway's own record of its use differ by. */
+/** Difference between a customer's shared count and this gateway's record of its own use. */
 final class CounterSettlement {
 
-  /** Units to be added to the shared count with the next call; negative to take units off. */
+  /** Units to add to the shared count with the next call; negative units are subtracted. */
   private double unsettledUnits;
 
   /** Units that calls without a reply may have added to the shared count. */
   private double unconfirmedUnits;
 
-  /** Estimates of the requests whose calls are under way. */
+  /** Estimated units of the requests whose calls have no reply yet. */
   private double inFlightUnits;
 
   double inFlightUnits() {
@@ -17,39 +17,40 @@
   }
 
   /**
-   * Begins a call that settles all that is unsettled.
+   * Begins a call that also adds all unsettled units.
    *
-   * @param askedUnits what the call adds for the request that waits for it
-   * @return what the call adds in all
+   * @param requestedUnits the units that the call adds for the request that waits for it
+   * @return the units that the call adds in total
    */
-  double beginCall(double askedUnits) {
+  double beginCall(double requestedUnits) {
     double settledUnits = unsettledUnits;
-    inFlightUnits += askedUnits;
+    inFlightUnits += requestedUnits;
     unsettledUnits = 0;
-    return askedUnits + settledUnits;
+    return requestedUnits + settledUnits;
   }
 
-  /** Ends the wait for a call that asked for so many units. */
-  void endCall(double askedUnits) {
-    inFlightUnits -= askedUnits;
+  /** Ends a call that was begun with the same {@code requestedUnits}. */
+  void endCall(double requestedUnits) {
+    inFlightUnits -= requestedUnits;
   }
 
-  /** Has the next call add so many units; negative ones are taken off. */
+  /** Schedules units to be added with the next call; negative units are subtracted. */
   void addUnsettled(double units) {
     unsettledUnits += units;
   }
 
-  /** Notes units that a call without a reply may have added. */
+  /** Records units that a call without a reply may have added. */
   void addUnconfirmed(double units) {
     unconfirmedUnits += units;
   }
 
   /**
-   * Finds the unconfirmed units in the growth of a total: those that it has room for were added.
+   * Determines from the growth of a total how many unconfirmed units were added: as many as the
+   * growth accounts for.
    *
-   * @param growthUnits growth beyond what the call with this total added
-   * @param settleMissing whether the others are to be added with the next call
-   * @return how many were added
+   * @param growthUnits growth beyond what the call that returned the total added
+   * @param settleMissing whether the remaining unconfirmed units are added with the next call
+   * @return the units that were added
    */
   double confirm(double growthUnits, boolean settleMissing) {
     double confirmedUnits = Math.min(unconfirmedUnits, Math.max(0, growthUnits));
--- a/src/main/java/quotagateway/policy/quota/CustomerAccount.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerAccount.java
@@ -4,52 +4,59 @@
 import quotagateway.policy.settings.Plan;
 
 /**
- * What one gateway knows of one customer: a replica of the token bucket of its plan, fed by the
- * totals of shared counts.
+ * One gateway's state for one customer: a replica of the token bucket of the customer's plan,
+ * synchronized by the totals of shared counts.
  *
- * <p>The counter has no buckets, only counts. All gateways add a customer's units to one count for
- * each window of time. From the growth of its total a gateway learns what its peers have used, and
- * takes it off its replica. Between replies it assumes that they go on as before.
+ * <p>The counter stores only counts, not buckets. All gateways add a customer's units to one count
+ * per time window. From the growth of its total a gateway derives what its peers have used and
+ * subtracts that from its replica. Between replies, the gateway assumes that its peers continue to
+ * use units at the same rate.
  *
- * <p>Where a window would hold fewer than two refills of the bucket, the bucket is not replicated:
- * each window then allows one burst.
+ * <p>If a window would span fewer than two refills of the bucket, the bucket is not replicated, and
+ * each window allows one burst.
  *
- * <p>Longer than other classes: time, replies and use all change the same few figures, which no
- * part could keep without the others.
+ * <p>This class is larger than others on purpose: elapsed time, replies and use all change the same
+ * few figures, so it cannot be split without sharing them.
  *
- * <p>Owned by the thread of its policy. Units are those of requests' estimates.
+ * <p>Owned by the thread of its policy. Units are the estimated units of requests.
  */
 final class CustomerAccount {
 
-  /** Share of its rate that a customer is taken to use before anything is known of it. */
+  /** Fraction of its rate that a customer is assumed to use before any use has been measured. */
   private static final double DEFAULT_USE_RATIO = 0.5;
 
   /**
-   * Share of the rate that each gateway is taken to use at least, so that idle ones keep a part.
+   * Minimum fraction of the rate that each gateway is assumed to use, so that idle gateways keep a
+   * share of the refill.
    */
   private static final double MIN_GATEWAY_USE_RATIO = 0.05;
 
   /**
-   * A fixed window estimated to be overdrawn by this share of its burst is exhausted without a call
-   * to show it.
+   * Fraction of the burst by which a fixed window must be overdrawn, as estimated, to be treated as
+   * exhausted without a call that confirms it.
    */
   private static final double MAX_ESTIMATED_OVERDRAFT_RATIO = 0.5;
 
-  /** A customer known to be exhausted is asked for so often, as others may have returned units. */
+  /**
+   * Interval at which the counter is called again for an exhausted customer, because other gateways
+   * may have returned units.
+   */
   private static final double EXHAUSTED_RECHECK_MS = 400;
 
-  /** Lifetime of the measured rates of a bucket: longer than a burst, a few refills. */
+  /** Lifetime of the measured rates of a bucket: longer than a burst, and a few refills long. */
   private static final double RATE_LIFETIME_MS = 5_000;
 
-  /** How long a rarely met customer is taken to go on as last seen: heavy use lasts for a while. */
+  /**
+   * Lifetime of the measured peer use of a rarely seen customer. It is long because heavy use
+   * usually continues for some time.
+   */
   private static final double HEAVY_USE_LIFETIME_MS = 15_000;
 
-  /** Lifetime of the measured rates in fixed windows. */
   private static final double FIXED_WINDOW_RATE_LIFETIME_MS = HEAVY_USE_LIFETIME_MS / 3;
 
   private final DecisionContext context;
 
-  /** Through how many gateways its requests may come. */
+  /** Number of gateways through which the customer's requests may arrive. */
   private final int gateways;
 
   private final CounterWindows windows;
@@ -59,30 +66,30 @@
   private final UseRates rates;
   private Plan plan;
 
-  /** Units in the bucket, or left in the window, as estimated at {@link #advancedAtMs}. */
+  /** Estimated units in the bucket, or remaining in the fixed window, at {@link #advancedAtMs}. */
   private double availableUnits;
 
   private double advancedAtMs;
 
-  /** Units assumed to have been used by other gateways since the last reply. */
+  /** Units that other gateways are assumed to have used since the last reply. */
   private double assumedPeerUnits;
 
-  /** When the last reply came; NaN before the first. */
-  private double syncedAtMs = Double.NaN;
+  /** Time of the last reply; NaN before the first reply. */
+  private double lastReplyAtMs = Double.NaN;
 
-  /** The window that the last reply was for, and its total then. */
-  private long syncedWindow = Long.MIN_VALUE;
+  /** Window that the last reply was for. */
+  private long lastReplyWindow = Long.MIN_VALUE;
 
-  private double syncedTotalUnits;
+  private double lastReplyTotalUnits;
   private int attemptsInFlight;
 
   /**
-   * A customer that this gateway meets for the first time.
+   * Creates an account for a customer that this gateway has not seen before.
    *
-   * @param context time, settings, and one random draw
-   * @param customer its number
-   * @param plan its plan
-   * @param gatewaysOfCustomer through how many gateways its requests may come
+   * @param context provides the time, the settings and one random draw
+   * @param customer the customer's number
+   * @param plan the customer's plan
+   * @param gatewaysOfCustomer number of gateways through which the customer's requests may arrive
    */
   CustomerAccount(DecisionContext context, long customer, Plan plan, int gatewaysOfCustomer) {
     this.context = context;
@@ -90,9 +97,10 @@
     advancedAtMs = context.nowMs();
     windows = new CounterWindows(customer);
     hardLimit = new HardLimit(context, plan, gateways);
-    follow(plan);
+    applyPlan(plan);
     availableUnits = bucketSizeUnits();
-    // A gateway that has just started may follow one that has used the hard limit up.
+    // This gateway may replace one that has just used up the hard limit, so the hard limit starts
+    // with the refill since the policy's start only.
     hardLimit.refill((context.nowMs() - context.startedAtMs()) / 1000);
     localShare = new LocalShare(context, gateways);
     double peerUseRatio = usesFixedWindow() ? DEFAULT_USE_RATIO : 1 - 1.0 / gateways;
@@ -131,12 +139,14 @@
     return availableUnits;
   }
 
-  /** When the account was last used. */
+  /** Returns the time up to which the account was last refilled, which is when it was last used. */
   double advancedAtMs() {
     return advancedAtMs;
   }
 
-  /** Attempts of this customer that backends work on, from this gateway. */
+  /**
+   * Returns the number of this customer's attempts from this gateway that backends are processing.
+   */
   int attemptsInFlight() {
     return attemptsInFlight;
   }
@@ -156,56 +166,57 @@
     rates.recordLocalUse(units);
   }
 
-  /** Corrects a charge by so many units, negative ones being returned, here and at the counter. */
+  /** Adds units to a charge, here and at the counter. Negative units are returned. */
   void correctCharge(double units) {
     availableUnits -= units;
     settlement.addUnsettled(units);
   }
 
-  /** How many units a call for a request should add: none where the bucket has no room for it. */
-  double unitsToAsk(double units) {
+  /**
+   * Returns the units that a call for a request should add: 0 if the bucket does not have enough
+   * units.
+   */
+  double unitsToRequest(double units) {
     return usesFixedWindow() || availableUnits >= units ? units : 0;
   }
 
   /**
-   * Whether the quota surely has no room for so many units, so that a call would only add to the
-   * load of the counter.
+   * Returns whether the quota certainly has fewer units left than requested, so that a call would
+   * only add load to the counter.
    */
   boolean isKnownExhausted(double units) {
     if (usesFixedWindow()) {
       boolean confirmed =
-          syncedWindow == windows.windowAt(context.nowMs())
-              && syncedTotalUnits >= plan.burstUnits();
+          lastReplyWindow == windows.windowAt(context.nowMs())
+              && lastReplyTotalUnits >= plan.burstUnits();
       double leastUnits = confirmed ? units : -MAX_ESTIMATED_OVERDRAFT_RATIO * plan.burstUnits();
       return availableUnits < leastUnits;
     }
-    // The most that the bucket holds if the others have used nothing since the last reply.
+    // Upper bound: the units in the bucket if the peers have used nothing since the last reply.
     double maxUnits =
         Math.min(plan.burstUnits(), availableUnits + assumedPeerUnits) - settlement.inFlightUnits();
-    return maxUnits < units && context.nowMs() - syncedAtMs < EXHAUSTED_RECHECK_MS;
+    return maxUnits < units && context.nowMs() - lastReplyAtMs < EXHAUSTED_RECHECK_MS;
   }
 
-  /**
-   * Takes another form of the plan; the units available are kept, as far as its bucket has room.
-   */
-  void changePlan(Plan changed, double meanServiceMs) {
+  /** Changes the plan. The available units are kept up to the size of the new bucket. */
+  void changePlan(Plan newPlan, double meanServiceMs) {
     advance(meanServiceMs);
-    follow(changed);
-    availableUnits = Math.min(availableUnits, changed.burstUnits());
+    applyPlan(newPlan);
+    availableUnits = Math.min(availableUnits, newPlan.burstUnits());
   }
 
-  /** Binds the account to a plan, which determines its windows. */
-  private void follow(Plan followed) {
-    plan = followed;
-    hardLimit.follow(followed);
-    windows.follow(followed, gateways, hasSharedCounter());
+  /** Applies a plan and derives the length of the windows from it. */
+  private void applyPlan(Plan newPlan) {
+    plan = newPlan;
+    hardLimit.applyPlan(newPlan);
+    windows.applyPlan(newPlan, gateways, hasSharedCounter());
   }
 
-  // ---- Time goes by ----
+  // Advancing time
 
   /**
-   * Refills to the present. The other gateways are assumed to go on as they did, but not beyond
-   * their share of the refill, so that this gateway keeps its own.
+   * Refills up to the current time. The other gateways are assumed to continue at their measured
+   * rate, but at most at their share of the refill, so that this gateway keeps its own share.
    *
    * @param meanServiceMs mean service time of all backends
    */
@@ -226,20 +237,22 @@
 
   private void advanceBucket(double seconds) {
     double unitsPerSecond = plan.unitsPerSecond();
-    double peerUse = rates.peerUnitsPerSecond();
+    double peerUnitsPerSecond = rates.peerUnitsPerSecond();
     if (hasSharedCounter()) {
-      double minUse = unitsPerSecond * MIN_GATEWAY_USE_RATIO;
-      double localUse = rates.localUnitsPerSecond();
-      double localUseShare = (localUse + minUse) / (localUse + peerUse + minUse * gateways);
-      peerUse = Math.min(peerUse, unitsPerSecond * (1 - localUseShare));
+      double minUnitsPerSecond = unitsPerSecond * MIN_GATEWAY_USE_RATIO;
+      double localUnitsPerSecond = rates.localUnitsPerSecond();
+      double localUseShare = (localUnitsPerSecond + minUnitsPerSecond) / (localUnitsPerSecond + peerUnitsPerSecond + minUnitsPerSecond * gateways);
+      peerUnitsPerSecond = Math.min(peerUnitsPerSecond, unitsPerSecond * (1 - localUseShare));
     }
-    double sizeUnits = bucketSizeUnits();
-    double withoutPeers = Math.min(sizeUnits, availableUnits + unitsPerSecond * seconds);
-    availableUnits = Math.min(sizeUnits, availableUnits + (unitsPerSecond - peerUse) * seconds);
-    assumedPeerUnits += withoutPeers - availableUnits;
+    double bucketSizeUnits = bucketSizeUnits();
+    double unitsWithoutPeerUse = Math.min(bucketSizeUnits, availableUnits + unitsPerSecond * seconds);
+    availableUnits = Math.min(bucketSizeUnits, availableUnits + (unitsPerSecond - peerUnitsPerSecond) * seconds);
+    assumedPeerUnits += unitsWithoutPeerUse - availableUnits;
   }
 
-  /** A new window begins with a whole burst; what peers are expected to use is taken off. */
+  /**
+   * Starts a new window with a full burst, and subtracts the units that peers are expected to use.
+   */
   private void advanceFixedWindow(double seconds) {
     double nowMs = context.nowMs();
     double elapsedMs = nowMs - windows.startMs(windows.windowAt(nowMs));
@@ -247,80 +260,84 @@
     if (spanMs == elapsedMs) {
       availableUnits = plan.burstUnits();
     }
-    double defaultUse = DEFAULT_USE_RATIO * plan.unitsPerSecond();
-    double confidence = 0;
-    if (!Double.isNaN(syncedAtMs)) {
-      confidence = Math.exp((syncedAtMs - nowMs) / HEAVY_USE_LIFETIME_MS);
+    double defaultUnitsPerSecond = DEFAULT_USE_RATIO * plan.unitsPerSecond();
+    double measuredRateWeight = 0;
+    if (!Double.isNaN(lastReplyAtMs)) {
+      measuredRateWeight = Math.exp((lastReplyAtMs - nowMs) / HEAVY_USE_LIFETIME_MS);
     }
-    double expectedUse = defaultUse + confidence * (rates.peerUnitsPerSecond() - defaultUse);
-    availableUnits -= expectedUse * spanMs / 1000;
+    double expectedUnitsPerSecond = defaultUnitsPerSecond + measuredRateWeight * (rates.peerUnitsPerSecond() - defaultUnitsPerSecond);
+    availableUnits -= expectedUnitsPerSecond * spanMs / 1000;
   }
 
-  // ---- Replies of the counter ----
+  // Replies of the counter
 
   /**
-   * Replays the growth of a shared total into the replica. Growth beyond what this gateway added is
-   * its peers'.
+   * Updates the replica by the growth of a shared total. Growth beyond what this gateway added is
+   * attributed to its peers.
    *
    * @param window the window of the count
-   * @param addedUnits what the call added, settlements included
-   * @param askedUnits of them, the estimate of the request that waits
-   * @param totalUnits the total after that
+   * @param addedUnits the units that the call added, settlements included
+   * @param requestedUnits the part of {@code addedUnits} that is the estimate of the waiting request
+   * @param totalUnits the total after the call
    */
-  void recordTotal(long window, double addedUnits, double askedUnits, double totalUnits) {
+  void recordTotal(long window, double addedUnits, double requestedUnits, double totalUnits) {
     double nowMs = context.nowMs();
-    boolean firstOfWindow = syncedWindow != window;
-    boolean synced = !Double.isNaN(syncedAtMs);
-    double sinceMs = nowMs - syncedAtMs;
-    if (firstOfWindow || !synced) {
-      sinceMs = nowMs - windows.startMs(window);
+    boolean isFirstReplyOfWindow = lastReplyWindow != window;
+    boolean hasEarlierReply = !Double.isNaN(lastReplyAtMs);
+    double elapsedMs = nowMs - lastReplyAtMs;
+    if (isFirstReplyOfWindow || !hasEarlierReply) {
+      elapsedMs = nowMs - windows.startMs(window);
     }
-    double peerUnits = growthByPeers(firstOfWindow, addedUnits, totalUnits);
+    double peerUnits = peerGrowth(isFirstReplyOfWindow, addedUnits, totalUnits);
     peerUnits -= settlement.confirm(peerUnits, !usesFixedWindow());
-    syncedWindow = window;
-    syncedTotalUnits = totalUnits;
+    lastReplyWindow = window;
+    lastReplyTotalUnits = totalUnits;
     if (usesFixedWindow()) {
       if (window == windows.windowAt(nowMs)) {
-        availableUnits = plan.burstUnits() - (totalUnits - askedUnits);
+        availableUnits = plan.burstUnits() - (totalUnits - requestedUnits);
       }
-      double ageMs = synced ? nowMs - syncedAtMs : sinceMs;
-      rates.update(Math.max(0, peerUnits), sinceMs, ageMs, FIXED_WINDOW_RATE_LIFETIME_MS);
+      double ageMs = hasEarlierReply ? nowMs - lastReplyAtMs : elapsedMs;
+      rates.update(Math.max(0, peerUnits), elapsedMs, ageMs, FIXED_WINDOW_RATE_LIFETIME_MS);
     } else {
-      replay(peerUnits, sinceMs, synced);
-      rates.update(peerUnits, sinceMs, sinceMs, RATE_LIFETIME_MS);
+      applyMeasuredPeerUse(peerUnits, elapsedMs, hasEarlierReply);
+      rates.update(peerUnits, elapsedMs, elapsedMs, RATE_LIFETIME_MS);
     }
-    syncedAtMs = nowMs;
+    lastReplyAtMs = nowMs;
   }
 
   /**
-   * Growth of a total beyond what this gateway added with the call.
+   * Returns the growth of a total beyond what this gateway added with the call.
    *
-   * <p>A total that has more than halved shows a counter that was emptied, not fresh quota: only
-   * what it holds beyond the call counts. Prevents a counter that restarts from giving every
-   * customer a second burst. Cost: what peers had added since the reply before is not seen.
+   * <p>If a total has more than halved, the counter has lost its counts, and no quota was returned:
+   * only the units that it holds beyond those of the call count as growth. Without this, a
+   * restarted counter would give every customer a second burst. The drawback is that units added by
+   * peers between the previous reply and the restart are not seen.
    */
-  private double growthByPeers(boolean firstOfWindow, double addedUnits, double totalUnits) {
-    double growthUnits = firstOfWindow ? totalUnits : totalUnits - syncedTotalUnits;
+  private double peerGrowth(boolean isFirstReplyOfWindow, double addedUnits, double totalUnits) {
+    double growthUnits = isFirstReplyOfWindow ? totalUnits : totalUnits - lastReplyTotalUnits;
     double peerUnits = growthUnits - addedUnits;
-    boolean emptied = !firstOfWindow && peerUnits < 0 && totalUnits < syncedTotalUnits / 2;
-    return emptied ? Math.max(0, totalUnits - addedUnits) : peerUnits;
+    boolean countsLost = !isFirstReplyOfWindow && peerUnits < 0 && totalUnits < lastReplyTotalUnits / 2;
+    return countsLost ? Math.max(0, totalUnits - addedUnits) : peerUnits;
   }
 
-  /** Puts what the peers are seen to have used in the place of what they were assumed to use. */
-  private void replay(double peerUnits, double sinceMs, boolean synced) {
+  /** Replaces the assumed use of the peers by their measured use. */
+  private void applyMeasuredPeerUse(double peerUnits, double elapsedMs, boolean hasEarlierReply) {
     double returnedUnits;
-    if (synced) {
-      double replacedShare = Math.min(1, sinceMs / Math.max(1, context.nowMs() - syncedAtMs));
+    if (hasEarlierReply) {
+      double replacedShare = Math.min(1, elapsedMs / Math.max(1, context.nowMs() - lastReplyAtMs));
       returnedUnits = assumedPeerUnits * replacedShare;
     } else {
-      returnedUnits = plan.unitsPerSecond() * sinceMs / 1000;
+      returnedUnits = plan.unitsPerSecond() * elapsedMs / 1000;
     }
     availableUnits = Math.min(plan.burstUnits(), availableUnits + returnedUnits - peerUnits);
     hardLimit.recordPeerUse(peerUnits);
     assumedPeerUnits = 0;
   }
 
-  /** Without a shared counter each gateway has an even part of the bucket. */
+  /**
+   * Returns the size of this gateway's bucket. Without a shared counter, each gateway has an even
+   * share of the burst.
+   */
   private double bucketSizeUnits() {
     return hasSharedCounter() ? plan.burstUnits() : plan.burstUnits() / gateways;
   }
--- a/src/main/java/quotagateway/policy/quota/CustomerAccounts.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerAccounts.java
@@ -9,13 +9,16 @@
 import quotagateway.policy.settings.Plan;
 
 /**
- * The accounts of the customers that a gateway has met, in order of use. Each time that another
- * customer is met, the longest unused account is dropped if it has become worthless, so that memory
- * does not grow with all customers ever seen.
+ * The accounts of the customers that a gateway has seen, in order of last use. When a new account
+ * is added, the least recently used one is dropped if it has expired, so that memory does not grow
+ * with the number of all customers ever seen.
  */
 final class CustomerAccounts {
 
-  /** An account unused for so long is worthless: its shared counts have been forgotten, too. */
+  /**
+   * Idle time after which an account has expired. By then the counter has also removed the
+   * customer's shared counts.
+   */
   private static final double MAX_IDLE_MS = PendingCounterCalls.COUNT_TTL_MS;
 
   private final DecisionContext context;
@@ -24,22 +27,25 @@
 
   CustomerAccounts(DecisionContext context) {
     this.context = context;
-    this.accounts = new AccountsByUse(context);
+    this.accounts = new LruAccounts(context);
     indexPlans();
   }
 
   /**
-   * The account of the customer of a request, brought to the present. A customer with a plan that
-   * the settings do not have gets the strictest one.
+   * Returns the account of a request's customer, refilled up to the current time. A customer whose
+   * plan is not in the settings gets the plan with the lowest rate.
    */
   CustomerAccount forRequest(RequestReceived request, double meanServiceMs) {
     CustomerAccount account =
-        accounts.computeIfAbsent(request.customer(), missing -> open(request));
+        accounts.computeIfAbsent(request.customer(), customer -> createAccount(request));
     account.advance(meanServiceMs);
     return account;
   }
 
-  /** Applies the plans of new settings to all accounts; a plan that is gone stays as it was. */
+  /**
+   * Applies the plans of new settings to all accounts. An account whose plan no longer exists keeps
+   * it unchanged.
+   */
   void applySettings(double meanServiceMs) {
     indexPlans();
     for (CustomerAccount account : accounts.values()) {
@@ -56,7 +62,7 @@
     context.settings().plans().forEach(plan -> plansByName.put(plan.name(), plan));
   }
 
-  private CustomerAccount open(RequestReceived request) {
+  private CustomerAccount createAccount(RequestReceived request) {
     Plan plan = plansByName.getOrDefault(request.planName(), strictestPlan());
     return new CustomerAccount(context, request.customer(), plan, request.gatewaysOfCustomer());
   }
@@ -68,13 +74,13 @@
         .orElse(new Plan("", 0, 0, 0, 0, 0, 0, 0, 0, 0));
   }
 
-  /** Orders accounts by their last use, and drops the eldest once it is worthless. */
-  private static final class AccountsByUse extends LinkedHashMap<Long, CustomerAccount> {
+  /** Orders accounts by last use, and drops the least recently used one if it has expired. */
+  private static final class LruAccounts extends LinkedHashMap<Long, CustomerAccount> {
     private static final long serialVersionUID = 1;
 
     private final transient DecisionContext context;
 
-    AccountsByUse(DecisionContext context) {
+    LruAccounts(DecisionContext context) {
       super(16, 0.75f, true);
       this.context = context;
     }
--- a/src/main/java/quotagateway/policy/quota/HardLimit.java
+++ b/src/main/java/quotagateway/policy/quota/HardLimit.java
@@ -7,17 +7,20 @@
  * One gateway's view of a customer's hard limit: a second bucket of units that all gateways
  * together must never overdraw by more than the plan's slack.
  *
- * <p>The bucket is split. The local part belongs to this gateway alone and needs no counter. The
- * shared part is drawn on only by requests that the counter has replied for. Neither part is ever
- * larger than its share of the bucket, so the sum holds whatever the counter replies or forgets.
- * Prevents a hard limit from being broken by gateways that lose the counter, or each other's use,
- * all at once. Cost: units that one gateway does not use of its local part are not used at all.
+ * <p>The bucket is split. The local part belongs to this gateway alone and needs no counter. Only
+ * requests for which the counter has replied may draw on the shared part. Neither part is ever
+ * larger than its share of the bucket, so the sum stays within the limit whatever the counter
+ * replies or forgets.
+ *
+ * <p>Without this split, gateways could break the hard limit if they all lost the counter, or
+ * knowledge of each other's use, at the same time. The drawback is that units of a local part that
+ * its gateway does not use are not used at all.
  */
 final class HardLimit {
 
   private final DecisionContext context;
 
-  /** Through how many gateways the customer's requests may come. */
+  /** Number of gateways through which the customer's requests may arrive. */
   private final int gateways;
 
   private Plan plan;
@@ -30,35 +33,36 @@
     this.gateways = gateways;
   }
 
-  void follow(Plan changed) {
-    plan = changed;
+  void applyPlan(Plan newPlan) {
+    plan = newPlan;
   }
 
-  /** Whether the plan has a hard limit. */
+  /** Returns whether the plan has a hard limit. */
   boolean isSet() {
     return plan.hardLimitUnitsPerSecond() > 0;
   }
 
-  /** Adds what the bucket gains in so many seconds, up to its size. */
+  /** Adds the refill of the given number of seconds, up to the size of each part. */
   void refill(double seconds) {
     double burstUnits = plan.hardLimitBurstUnits() + plan.hardLimitSlackUnits() / 2;
     double unitsPerSecond = plan.hardLimitUnitsPerSecond();
-    double localShare = localShare();
+    double localFraction = localFraction();
     sharedUnits =
         Math.min(
-            burstUnits * (1 - localShare),
-            sharedUnits + unitsPerSecond * (1 - localShare) * seconds);
+            burstUnits * (1 - localFraction),
+            sharedUnits + unitsPerSecond * (1 - localFraction) * seconds);
     localUnits =
         Math.min(
-            burstUnits * localShare / gateways,
-            localUnits + unitsPerSecond * localShare / gateways * seconds);
+            burstUnits * localFraction / gateways,
+            localUnits + unitsPerSecond * localFraction / gateways * seconds);
   }
 
   /**
-   * Takes the units of a request, if the part that it may draw on has them.
+   * Takes the units of a request if a part that the request may draw on has enough.
    *
-   * @param units of the request
-   * @param confirmed whether the counter replied for it, so that it may draw on the shared part
+   * @param units the units of the request
+   * @param confirmed whether the counter replied for the request, so that it may draw on the shared
+   *     part
    */
   boolean tryAcquire(double units, boolean confirmed) {
     if (!isSet()) {
@@ -75,33 +79,39 @@
     return false;
   }
 
-  /** Takes off what the other gateways are seen to have used. */
+  /**
+   * Subtracts the units that the other gateways have used, according to the counter, from the
+   * shared part.
+   */
   void recordPeerUse(double units) {
     sharedUnits -= units;
     refill(0);
   }
 
   /**
-   * How many of the units that a request did not need may be returned to the shared count. Others
-   * may use what is returned, so as much is taken off the local part.
+   * Deducts unneeded units of a request from the local part so that they can be returned to the
+   * shared count, where other gateways may use them.
+   *
+   * @return how many of the units may be returned: at most as many as the local part has
    */
-  double coverReturn(double units) {
-    if (!isSet() || localShare() >= 1) {
+  double deductReturnedUnits(double units) {
+    if (!isSet() || localFraction() >= 1) {
       return units;
     }
-    double coveredUnits = Math.min(units, localUnits);
-    localUnits -= coveredUnits;
-    return coveredUnits;
+    double returnableUnits = Math.min(units, localUnits);
+    localUnits -= returnableUnits;
+    return returnableUnits;
   }
 
   /**
-   * The local parts of all gateways together, as a share of the bucket: all of it for up to two
-   * gateways; for more, less with each, but enough for one largest request at each gateway.
+   * Returns the size of the local parts of all gateways together, as a fraction of the bucket. It
+   * is 1 for up to two gateways. For more gateways it falls with their number, but each local part
+   * has room for at least one request of the maximum size, unless the fraction reaches 1.
    */
-  private double localShare() {
-    double evenShare = 2.0 / gateways;
-    double largestRequests =
+  private double localFraction() {
+    double minFraction = 2.0 / gateways;
+    double maxRequestsFraction =
         gateways * context.settings().maxRequestUnits() / plan.hardLimitBurstUnits();
-    return Math.min(1, Math.max(evenShare, largestRequests));
+    return Math.min(1, Math.max(minFraction, maxRequestsFraction));
   }
 }
--- a/src/main/java/quotagateway/policy/quota/LocalShare.java
+++ b/src/main/java/quotagateway/policy/quota/LocalShare.java
@@ -4,62 +4,65 @@
 import quotagateway.policy.settings.Plan;
 
 /**
- * One gateway's even part of a customer's plan, from which it admits requests that the counter has
- * not replied for: units, and starts of open requests.
+ * One gateway's even share of a customer's plan, from which the gateway admits requests without a
+ * reply of the counter. The share consists of units and of starts of open requests.
  */
 final class LocalShare {
 
   private final DecisionContext context;
 
-  /** Through how many gateways the customer's requests may come. */
+  /** Number of gateways through which the customer's requests may arrive. */
   private final int gateways;
 
-  private double quotaUnits;
+  private double availableUnits;
 
-  /** Most customers use little of their concurrency limit, so a first request is admitted. */
-  private double concurrencyStarts = 1;
+  /**
+   * Starts available at present. The initial value admits a first request, because most customers
+   * use little of their concurrency limit.
+   */
+  private double availableStarts = 1;
 
   /**
-   * The part of a customer that is met for the first time.
+   * Creates the share of a customer that this gateway has not seen before.
    *
-   * @param context time and settings; one random draw, so that not all gateways admit a first
-   *     request at once
+   * @param context provides the time, the settings and one random draw, so that not all gateways
+   *     admit a first request at the same time
    */
   LocalShare(DecisionContext context, int gateways) {
     this.context = context;
     this.gateways = gateways;
-    this.quotaUnits = context.nextRandom() * context.settings().maxRequestUnits();
+    this.availableUnits = context.nextRandom() * context.settings().maxRequestUnits();
   }
 
   /**
-   * Adds what so many seconds bring. Units may add up to one largest request at least, so that
-   * every request can be admitted at some time.
+   * Adds the refill of the given number of seconds. The maximum of the units is at least one
+   * request of the maximum size, so that every request can be admitted eventually.
    *
-   * @param meanServiceMs mean service time of all backends: so many requests can follow each other
-   *     in this gateway's part of the concurrency limit
+   * @param meanServiceMs mean service time of all backends, which determines how many requests per
+   *     second can use this gateway's share of the concurrency limit one after another
    */
   void refill(Plan plan, double seconds, double meanServiceMs) {
     double maxUnits = Math.max(plan.burstUnits() / gateways, context.settings().maxRequestUnits());
-    quotaUnits = Math.min(maxUnits, quotaUnits + plan.unitsPerSecond() / gateways * seconds);
+    availableUnits = Math.min(maxUnits, availableUnits + plan.unitsPerSecond() / gateways * seconds);
     double startsPerSecond = plan.concurrencyLimit() / (meanServiceMs / 1000) / gateways;
-    concurrencyStarts = Math.min(1, concurrencyStarts + startsPerSecond * seconds);
+    availableStarts = Math.min(1, availableStarts + startsPerSecond * seconds);
   }
 
   boolean hasUnits(double units) {
-    return quotaUnits >= units;
+    return availableUnits >= units;
   }
 
-  /** Takes off the units of an admitted request, confirmed or not. */
+  /** Subtracts the units of an admitted request, confirmed or not. */
   void charge(double units) {
-    quotaUnits = Math.max(0, quotaUnits - units);
+    availableUnits = Math.max(0, availableUnits - units);
   }
 
-  /** Takes a start of an open request, if there is one. */
-  boolean tryTakeStart() {
-    if (concurrencyStarts < 1) {
+  /** Takes one start of an open request, if one is available. */
+  boolean tryAcquireStart() {
+    if (availableStarts < 1) {
       return false;
     }
-    concurrencyStarts -= 1;
+    availableStarts -= 1;
     return true;
   }
 }
--- a/src/main/java/quotagateway/policy/quota/PendingCounterCalls.java
+++ b/src/main/java/quotagateway/policy/quota/PendingCounterCalls.java
@@ -8,27 +8,27 @@
 import quotagateway.policy.context.DecisionContext;
 
 /**
- * The calls to the shared counter that wait for their replies. Replies for one counter name come in
+ * The calls to the shared counter that have no reply yet. Replies for one counter name arrive in
  * the order of its calls.
  */
 final class PendingCounterCalls {
 
-  /** After which the counter forgets a name: longer than the longest window of a bucket. */
+  /** Time after which the counter removes a count: longer than the longest window of a bucket. */
   static final double COUNT_TTL_MS = 60_000;
 
-  /** One call to the counter. */
+  /** A call to the counter. */
   sealed interface Call {
-    /** The customer that it is for. */
+    /** Returns the account of the customer that the call is for. */
     CustomerAccount account();
   }
 
   /**
-   * Adds units to the count of a window, or reads it.
+   * Adds units to the count of a window, or reads that count.
    *
-   * @param account the customer
+   * @param account the customer's account
    * @param reservation the request that waits for the reply
    * @param window the window of the count
-   * @param units what it adds
+   * @param units the units that the call adds; 0 to read the count
    */
   record UnitsCall(CustomerAccount account, QuotaReservation reservation, long window, double units)
       implements Call {}
@@ -36,15 +36,15 @@
   /**
    * Acquires a concurrency permit.
    *
-   * @param account the customer
+   * @param account the customer's account
    * @param reservation the request that waits for the reply
    */
   record PermitAcquisition(CustomerAccount account, QuotaReservation reservation) implements Call {}
 
   /**
-   * Releases a concurrency permit; nothing waits for the reply.
+   * Releases a concurrency permit. No request waits for the reply.
    *
-   * @param account the customer
+   * @param account the customer's account
    */
   record PermitRelease(CustomerAccount account) implements Call {}
 
@@ -55,13 +55,16 @@
     this.context = context;
   }
 
-  /** Makes a call that adds an amount to a named count. */
+  /** Emits a call that adds an amount to a named count. */
   void submit(String counterName, double amount, Call call) {
-    callsByCounterName.computeIfAbsent(counterName, missing -> new ArrayDeque<>()).add(call);
+    callsByCounterName.computeIfAbsent(counterName, name -> new ArrayDeque<>()).add(call);
     context.emit(new IncrementCounter(counterName, amount, COUNT_TTL_MS));
   }
 
-  /** Takes out the call that a reply for a name belongs to; null where none waits. */
+  /**
+   * Removes and returns the oldest pending call for a counter name, which a reply for that name
+   * belongs to; null if there is none.
+   */
   Call poll(String counterName) {
     Queue<Call> calls = callsByCounterName.get(counterName);
     if (calls == null) {
--- a/src/main/java/quotagateway/policy/quota/QuotaDecision.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaDecision.java
@@ -1,19 +1,19 @@
 package quotagateway.policy.quota;
 
-/** What a customer's quota allows for one request. */
+/** Decision of a customer's quota on one request. */
 public sealed interface QuotaDecision {
 
-  /** It is within all limits of its customer's plan. */
+  /** The request is within all limits of its customer's plan. */
   record Admitted() implements QuotaDecision {}
 
-  /** A reply of the counter, or the end of the wait for it, decides. */
+  /** The decision is made by a reply of the counter, or when the request stops waiting for it. */
   record PendingCounterReply() implements QuotaDecision {}
 
   /**
-   * It is over a limit of its customer's plan, or the counter has not confirmed that it is within
-   * them while backends are loaded.
+   * The request exceeds a limit of its customer's plan, or the backends are loaded and the counter
+   * has not confirmed that the request is within the limits.
    *
-   * @param retryAfterMs when the limit is expected to have room for it
+   * @param retryAfterMs time after which the limit is expected to have room for the request
    */
   record OverQuota(double retryAfterMs) implements QuotaDecision {}
 }
--- a/src/main/java/quotagateway/policy/quota/QuotaLimiter.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaLimiter.java
@@ -8,21 +8,22 @@
 
 /**
  * Checks each request against the limits of its customer's plan: first the concurrency limit, then
- * rate and hard limit.
+ * the rate limit and the hard limit.
  *
- * <p>In the ordinary case a request's estimated units are added to a shared count; the reply shows
- * what all gateways have used, and the request is admitted or over quota by that. Without a reply
- * in time, this gateway's replica of the customer's bucket decides. Differences between estimated
- * and charged units are added with the next call.
+ * <p>Normally the gateway adds a request's estimated units to a shared count. The reply contains
+ * the total used through all gateways, and the limiter admits the request or rejects it as over
+ * quota by that total. If no reply arrives in time, this gateway's replica of the customer's bucket
+ * decides. The difference between estimated and charged units is added to the shared count with the
+ * next call.
  *
- * <p>Longer than other classes: a reservation goes through all of its steps here, in the order in
- * which they stand below, so that what each step has left to settle can be followed.
+ * <p>This class is larger than others on purpose: it contains all steps of a reservation in the
+ * order in which they occur, so that a reader can follow what each step leaves to settle.
  *
- * <p>One instance for each gateway, owned by the thread of its policy.
+ * <p>Each gateway has one instance, owned by the thread of its policy.
  */
 public final class QuotaLimiter {
 
-  /** Least advice on when to come back: with less, clients would only ask again at once. */
+  /** Minimum retry-after time. With a shorter one, clients would only retry immediately. */
   private static final double MIN_RETRY_AFTER_MS = 25;
 
   private static final QuotaDecision ADMITTED = new QuotaDecision.Admitted();
@@ -36,10 +37,10 @@
   private final ConcurrencyLimiter concurrencyLimiter;
 
   /**
-   * A limiter that has met no customer yet.
+   * Creates a limiter without any customer accounts.
    *
-   * @param context time, settings, random draws and actions
-   * @param backendLoad what decisions depend on beside quotas
+   * @param context provides the time, the settings and random draws, and collects actions
+   * @param backendLoad the state of the backends that decisions depend on in addition to quotas
    */
   public QuotaLimiter(DecisionContext context, BackendLoad backendLoad) {
     this.context = context;
@@ -51,26 +52,27 @@
   }
 
   /**
-   * Opens the reservation of a request that has come; it holds nothing yet.
+   * Opens a reservation for a request that was just received. The reservation holds neither units
+   * nor a permit yet.
    *
-   * @param request the request
-   * @param classPriorityWeight the priority weight of its class
+   * @param request the received request
+   * @param classPriorityWeight the priority weight of the request's class
    */
   public QuotaReservation open(RequestReceived request, double classPriorityWeight) {
     CustomerAccount account = accounts.forRequest(request, backendLoad.meanServiceMs());
     return new QuotaReservation(request.requestId(), account, request.units(), classPriorityWeight);
   }
 
-  /** Decides on a request, or calls the counter for it. */
+  /** Decides on a request, or calls the counter for it and returns a pending decision. */
   public QuotaDecision acquire(QuotaReservation reservation) {
-    if (concurrencyLimiter.needsSharedPermit(reservation.account) && throttle.acquireCall()) {
+    if (concurrencyLimiter.needsSharedPermit(reservation.account) && throttle.tryAcquireCall()) {
       concurrencyLimiter.acquirePermit(reservation);
       return PENDING;
     }
     return acquireWithLocalPermit(reservation);
   }
 
-  /** Ends the wait of a request for a reply that has not come in time. */
+  /** Decides on a request whose counter reply has not arrived in time, without that reply. */
   public QuotaDecision stopWaiting(QuotaReservation reservation) {
     if (reservation.awaitingPermit) {
       reservation.awaitingPermit = false;
@@ -81,11 +83,12 @@
   }
 
   /**
-   * Takes in a reply of the counter.
+   * Processes a reply of the counter.
    *
    * @param reply the reply
-   * @param gatewayStalled whether this gateway has just stalled, so that a failure may be its own
-   * @return what it decides, if a request waits for it
+   * @param gatewayStalled whether this gateway has just stalled, so that the stall may have caused
+   *     a failure
+   * @return the decision on the request that waits for this reply; empty if no request waits for it
    */
   public Optional<CounterReplyDecision> onCounterReplied(
       CounterReplied reply, boolean gatewayStalled) {
@@ -104,48 +107,54 @@
     return Optional.empty();
   }
 
-  /** Corrects the charge of a request by the units that the backend charged; 0 are unknown. */
+  /**
+   * Adjusts the charge of a request to the units that the backend charged. Does nothing if {@code
+   * chargedUnits} is 0, which means unknown.
+   */
   public void settle(QuotaReservation reservation, double chargedUnits) {
     if (reservation.charged && chargedUnits > 0) {
       CustomerAccount account = reservation.account;
       account.advance(backendLoad.meanServiceMs());
-      double correction = chargedUnits - reservation.units;
+      double correction = chargedUnits - reservation.estimatedUnits;
       if (correction < 0) {
-        correction = -account.hardLimit().coverReturn(-correction);
+        correction = -account.hardLimit().deductReturnedUnits(-correction);
       }
       account.correctCharge(correction);
     }
   }
 
-  /** Returns the units of a request of which no attempt was started. */
+  /** Returns the units of a request for which no attempt was started. */
   public void refund(QuotaReservation reservation) {
     if (reservation.charged) {
-      reservation.account.correctCharge(-reservation.units);
+      reservation.account.correctCharge(-reservation.estimatedUnits);
       reservation.charged = false;
     }
   }
 
-  /** Ends the wait of a request whose client has gone: a later reply must not admit it. */
+  /**
+   * Ends the wait for the units of a request whose client has disconnected, so that a later reply
+   * does not admit it.
+   */
   public void cancelWait(QuotaReservation reservation) {
     reservation.awaitingUnits = false;
   }
 
-  /** Ends a reservation, as no attempt will follow: its concurrency permit is free for others. */
+  /** Ends a reservation after its last attempt and releases its concurrency permit. */
   public void end(QuotaReservation reservation) {
     concurrencyLimiter.end(reservation);
   }
 
-  /** Notes that a backend has all of an attempt's request and works on it. */
+  /** Records that a backend has received an attempt's complete request and is processing it. */
   public void attemptStarted(QuotaReservation reservation) {
     reservation.account.attemptStarted();
   }
 
-  /** Notes the end of an attempt noted as started. */
+  /** Records the end of an attempt that was recorded as started. */
   public void attemptEnded(QuotaReservation reservation) {
     reservation.account.attemptEnded();
   }
 
-  /** Applies the plans of settings that have just come into force; what was used stays used. */
+  /** Applies the plans of newly loaded settings. Units that were already used remain used. */
   public void applySettings() {
     accounts.applySettings(backendLoad.meanServiceMs());
   }
@@ -160,9 +169,9 @@
   private Optional<CounterReplyDecision> onPermitReply(
       QuotaReservation reservation, CounterReplied reply) {
     return switch (concurrencyLimiter.onReply(reservation, reply.status(), reply.total())) {
-      case GRANTED -> decided(reservation, acquireUnits(reservation));
-      case EXHAUSTED -> decided(reservation, overConcurrencyLimit());
-      case UNKNOWN -> decided(reservation, acquireWithLocalPermit(reservation));
+      case GRANTED -> replyDecision(reservation, acquireUnits(reservation));
+      case EXHAUSTED -> replyDecision(reservation, overConcurrencyLimit());
+      case UNKNOWN -> replyDecision(reservation, acquireWithLocalPermit(reservation));
       case NOT_AWAITED -> Optional.empty();
     };
   }
@@ -175,23 +184,23 @@
     if (!hasSharedCounter()) {
       return decide(reservation, false);
     }
-    if (account.isKnownExhausted(reservation.units)) {
+    if (account.isKnownExhausted(reservation.estimatedUnits)) {
       return overQuota(reservation);
     }
-    if (!throttle.acquireCall()) {
+    if (!throttle.tryAcquireCall()) {
       return decide(reservation, false);
     }
-    callForUnits(reservation);
+    submitUnitsCall(reservation);
     return PENDING;
   }
 
-  private void callForUnits(QuotaReservation reservation) {
+  private void submitUnitsCall(QuotaReservation reservation) {
     CustomerAccount account = reservation.account;
     reservation.awaitingUnits = true;
     reservation.unitsCallPending = true;
-    reservation.askedUnits = account.unitsToAsk(reservation.units);
+    reservation.requestedUnits = account.unitsToRequest(reservation.estimatedUnits);
     long window = account.windows().windowAt(context.nowMs());
-    double units = account.settlement().beginCall(reservation.askedUnits);
+    double units = account.settlement().beginCall(reservation.requestedUnits);
     pendingCalls.submit(
         account.windows().unitsCounterName(window),
         units,
@@ -203,19 +212,19 @@
     QuotaReservation reservation = call.reservation();
     CustomerAccount account = call.account();
     Status status = reply.status();
-    if (isBrokenConnection(status) && reservation.awaitingUnits && !reservation.readAgain) {
-      readAgain(reply.counterName(), call);
+    if (isBrokenConnection(status) && reservation.awaitingUnits && !reservation.rereadTotal) {
+      rereadTotal(reply.counterName(), call);
       return Optional.empty();
     }
-    account.settlement().endCall(reservation.askedUnits);
+    account.settlement().endCall(reservation.requestedUnits);
     throttle.recordOutcome(status, gatewayStalled);
-    boolean mayBeCounted = reservation.readAgain || !status.provesNotExecuted();
+    boolean mayBeCounted = reservation.rereadTotal || !status.provesNotExecuted();
     if (status == Status.OK) {
-      account.recordTotal(call.window(), call.units(), reservation.askedUnits, reply.total());
+      account.recordTotal(call.window(), call.units(), reservation.requestedUnits, reply.total());
     } else if (mayBeCounted) {
       account.settlement().addUnconfirmed(call.units());
     } else {
-      account.settlement().addUnsettled(call.units() - reservation.askedUnits);
+      account.settlement().addUnsettled(call.units() - reservation.requestedUnits);
     }
     reservation.unitsCallPending = false;
     if (!reservation.awaitingUnits) {
@@ -223,35 +232,40 @@
       return Optional.empty();
     }
     reservation.awaitingUnits = false;
-    reservation.unitsCounted = mayBeCounted && reservation.askedUnits > 0;
-    return decided(reservation, decide(reservation, status == Status.OK));
+    reservation.unitsCounted = mayBeCounted && reservation.requestedUnits > 0;
+    return replyDecision(reservation, decide(reservation, status == Status.OK));
   }
 
-  private static Optional<CounterReplyDecision> decided(
+  private static Optional<CounterReplyDecision> replyDecision(
       QuotaReservation reservation, QuotaDecision decision) {
     return Optional.of(new CounterReplyDecision(reservation.requestId, decision));
   }
 
-  /** Brings the count in line with what was decided before the reply came. */
+  /** Settles the shared count with the decision that was made before the reply arrived. */
   private static void settleLateReply(QuotaReservation reservation, boolean mayBeCounted) {
-    double chargedUnits = reservation.charged ? reservation.units : 0;
-    double countedUnits = mayBeCounted ? reservation.askedUnits : 0;
+    double chargedUnits = reservation.charged ? reservation.estimatedUnits : 0;
+    double countedUnits = mayBeCounted ? reservation.requestedUnits : 0;
     reservation.account.settlement().addUnsettled(chargedUnits - countedUnits);
   }
 
-  /** A broken connection shows nothing of the counter, which may have added the amount. */
+  /**
+   * Returns whether the connection broke or its response could not be read. Neither shows the state
+   * of the counter, which may have added the amount.
+   */
   private static boolean isBrokenConnection(Status status) {
     return status == Status.MALFORMED_RESPONSE || status == Status.RESET;
   }
 
   /**
-   * Reads the total once more, as if the reply came late; its growth shows whether the amount was
-   * added. Prevents connections that break or bring junk from leaving requests to the replica while
-   * the counter works and can be reached over another connection. Cost: one more call for each that
-   * broke.
+   * Reads the total once more and treats the first call as unconfirmed: the growth of the total
+   * shows whether the amount was added.
+   *
+   * <p>Without this, connections that break or return malformed data would leave requests to the
+   * replica although the counter works and is reachable over another connection. The drawback is
+   * one additional call for each call whose connection broke.
    */
-  private void readAgain(String counterName, PendingCounterCalls.UnitsCall call) {
-    call.reservation().readAgain = true;
+  private void rereadTotal(String counterName, PendingCounterCalls.UnitsCall call) {
+    call.reservation().rereadTotal = true;
     call.account().settlement().addUnconfirmed(call.units());
     pendingCalls.submit(
         counterName,
@@ -260,17 +274,17 @@
   }
 
   /**
-   * Decides by the units available, and charges them. Without a reply, units that other requests
-   * wait for are not available, fixed windows admit no more than this gateway's part of the quota,
-   * and the backends need more spare capacity.
+   * Decides by the available units and charges them if the request is admitted. Without a reply,
+   * units requested by other pending calls are not available, fixed windows admit no more than this
+   * gateway's share of the quota, and the backends must have more spare capacity.
    *
    * @param confirmed whether the counter has replied with a total for this request
    */
   private QuotaDecision decide(QuotaReservation reservation, boolean confirmed) {
     CustomerAccount account = reservation.account;
-    double units = reservation.units;
+    double units = reservation.estimatedUnits;
     boolean unconfirmed = hasSharedCounter() && !confirmed;
-    boolean hasUnits = unitsFor(reservation, confirmed) >= units;
+    boolean hasUnits = availableUnitsFor(reservation, confirmed) >= units;
     if (unconfirmed && account.usesFixedWindow() && !account.localShare().hasUnits(units)) {
       hasUnits = false;
     }
@@ -292,23 +306,26 @@
     return ADMITTED;
   }
 
-  private static double unitsFor(QuotaReservation reservation, boolean confirmed) {
+  private static double availableUnitsFor(QuotaReservation reservation, boolean confirmed) {
     CustomerAccount account = reservation.account;
     if (confirmed || account.usesFixedWindow()) {
       return account.availableUnits();
     }
-    double ownAskedUnits = reservation.unitsCallPending ? reservation.askedUnits : 0;
-    return account.availableUnits() - account.settlement().inFlightUnits() + ownAskedUnits;
+    double ownRequestedUnits = reservation.unitsCallPending ? reservation.requestedUnits : 0;
+    return account.availableUnits() - account.settlement().inFlightUnits() + ownRequestedUnits;
   }
 
-  /** Expects room for a request when an open one ends, which takes about a service time. */
+  /**
+   * Rejects a request at its customer's concurrency limit. An open request is expected to end, and
+   * to free its permit, within about one service time.
+   */
   private QuotaDecision overConcurrencyLimit() {
     return new QuotaDecision.OverQuota(backendLoad.meanServiceMs());
   }
 
   /**
-   * Expects room for the request when its missing units are refilled; where a plan has no rate, as
-   * at a concurrency limit.
+   * Rejects a request until its missing units are expected to be refilled. If the plan has no rate,
+   * the retry-after time is the same as at a concurrency limit.
    */
   private QuotaDecision overQuota(QuotaReservation reservation) {
     CustomerAccount account = reservation.account;
@@ -316,7 +333,7 @@
     if (unitsPerSecond <= 0) {
       return overConcurrencyLimit();
     }
-    double missingUnits = reservation.units - account.availableUnits();
+    double missingUnits = reservation.estimatedUnits - account.availableUnits();
     return new QuotaDecision.OverQuota(
         Math.max(MIN_RETRY_AFTER_MS, missingUnits / unitsPerSecond * 1000));
   }
--- a/src/main/java/quotagateway/policy/quota/QuotaReservation.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaReservation.java
@@ -1,74 +1,83 @@
 package quotagateway.policy.quota;
 
 /**
- * What one request has of its customer's quota, or waits for, from its arrival to its end. Changed
- * by {@link QuotaLimiter} and {@link ConcurrencyLimiter} alone, on the thread of the policy.
+ * The units and the concurrency permit that one request holds or waits for, from its arrival to its
+ * end. Only {@link QuotaLimiter} and {@link ConcurrencyLimiter} change it, on the thread of the
+ * policy.
  */
 public final class QuotaReservation {
 
   final String requestId;
   final CustomerAccount account;
 
-  /** Estimated units of the request. */
-  final double units;
+  final double estimatedUnits;
 
   private final double classPriorityWeight;
 
-  // Units.
+  // Units
 
-  /** It waits for the reply to the call that adds its units. */
+  /** Whether the request waits for the reply to the call that adds its units. */
   boolean awaitingUnits;
 
-  /** The call that adds its units has no reply yet, whether or not the request still waits. */
+  /**
+   * Whether the call that adds the request's units has no reply yet. This may be true after the
+   * request has stopped waiting.
+   */
   boolean unitsCallPending;
 
-  /** Units that this call adds for it: its estimate, or 0. */
-  double askedUnits;
+  /** Units that the call adds for the request: its estimate, or 0. */
+  double requestedUnits;
 
-  /** The total is being read a second time, as the first call broke with its connection. */
-  boolean readAgain;
+  /** Whether the total is read a second time because the connection of the first call broke. */
+  boolean rereadTotal;
 
-  /** Its units are, or may be, in the shared count. */
+  /** Whether the request's units are, or may be, in the shared count. */
   boolean unitsCounted;
 
-  /** Its units are charged to its customer. */
+  /** Whether the request's units are charged to its customer. */
   boolean charged;
 
-  // Concurrency permit.
+  // Concurrency permit
 
-  /** The count in which it has, or may have, a permit; null where it has none. */
+  /** Name of the count in which the request has, or may have, a permit; null if it has none. */
   String permitCounterName;
 
-  /** It waits for the reply to the call for a permit. */
+  /** Whether the request waits for the reply to the call for a permit. */
   boolean awaitingPermit;
 
-  /** The call for a permit has no reply yet, whether or not the request still waits. */
+  /**
+   * Whether the call for a permit has no reply yet. This may be true after the request has stopped
+   * waiting.
+   */
   boolean permitCallPending;
 
-  /** No attempt will follow. */
+  /** Whether the request has ended, so that no further attempt follows. */
   boolean ended;
 
   QuotaReservation(
-      String requestId, CustomerAccount account, double units, double classPriorityWeight) {
+      String requestId, CustomerAccount account, double estimatedUnits, double classPriorityWeight) {
     this.requestId = requestId;
     this.account = account;
-    this.units = units;
+    this.estimatedUnits = estimatedUnits;
     this.classPriorityWeight = classPriorityWeight;
   }
 
-  /** The priority weight of its class, times the factor of its customer's plan. */
+  /**
+   * Returns the priority weight of the request's class, multiplied by the priority factor of its
+   * customer's plan.
+   */
   public double priorityWeight() {
     return classPriorityWeight * account.plan().priorityFactor();
   }
 
-  /** Whether it waits for a reply of the counter. */
+  /** Returns whether the request waits for a reply of the counter. */
   public boolean isAwaitingCounter() {
     return awaitingPermit || awaitingUnits;
   }
 
   /**
-   * Whether its plan earns more by a unit over quota than that costs, and has no hard limit that it
-   * would break.
+   * Returns whether the plan earns more from a unit over quota than that unit costs, and has no
+   * hard limit.
    */
   public boolean mayExceedQuota() {
     return account.plan().overQuotaRevenue() > account.plan().overQuotaCost()
--- a/src/main/java/quotagateway/policy/quota/UseRates.java
+++ b/src/main/java/quotagateway/policy/quota/UseRates.java
@@ -1,12 +1,12 @@
 package quotagateway.policy.quota;
 
 /**
- * How fast a customer uses its quota, in units a second: through this gateway, and through its
- * peers. Exponentially weighted means, updated with each reply of the counter.
+ * Rates at which a customer uses units per second, through this gateway and through its peers. The
+ * rates are exponentially weighted means, updated with each reply of the counter.
  */
 final class UseRates {
 
-  /** Shortest time that a rate is measured over. */
+  /** Minimum time over which a rate is measured. */
   private static final double MIN_SECONDS = 0.001;
 
   private double peerUnitsPerSecond;
@@ -15,7 +15,7 @@
   /** Units admitted by this gateway since the last reply. */
   private double localUnitsSinceReply;
 
-  /** Rates of which only an assumption about the peers is known. */
+  /** Creates rates that start from an assumed peer rate and a local rate of 0. */
   UseRates(double assumedPeerUnitsPerSecond) {
     peerUnitsPerSecond = assumedPeerUnitsPerSecond;
   }
@@ -28,24 +28,24 @@
     return localUnitsPerSecond;
   }
 
-  /** Notes units that this gateway has admitted. */
+  /** Records units that this gateway has admitted. */
   void recordLocalUse(double units) {
     localUnitsSinceReply += units;
   }
 
   /**
-   * Takes in what a reply shows.
+   * Updates the rates after a reply of the counter.
    *
-   * @param peerUnits used through the other gateways
-   * @param measuredMs the time in which they were used
-   * @param ageMs the time in which the old rates have lost weight
-   * @param lifetimeMs after which the old rates keep 1/e of their weight
+   * @param peerUnits units used through the other gateways
+   * @param measuredMs time in which the units were used
+   * @param ageMs time by which the old rates have aged
+   * @param lifetimeMs age at which the old rates keep 1/e of their weight
    */
   void update(double peerUnits, double measuredMs, double ageMs, double lifetimeMs) {
-    double keep = Math.exp(-ageMs / lifetimeMs);
+    double oldWeight = Math.exp(-ageMs / lifetimeMs);
     double seconds = Math.max(MIN_SECONDS, measuredMs / 1000);
-    peerUnitsPerSecond = Math.max(0, keep * peerUnitsPerSecond + (1 - keep) * peerUnits / seconds);
-    localUnitsPerSecond = keep * localUnitsPerSecond + (1 - keep) * localUnitsSinceReply / seconds;
+    peerUnitsPerSecond = Math.max(0, oldWeight * peerUnitsPerSecond + (1 - oldWeight) * peerUnits / seconds);
+    localUnitsPerSecond = oldWeight * localUnitsPerSecond + (1 - oldWeight) * localUnitsSinceReply / seconds;
     localUnitsSinceReply = 0;
   }
 }
--- a/src/main/java/quotagateway/policy/quota/package-info.java
+++ b/src/main/java/quotagateway/policy/quota/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Customers' quotas: each gateway's replica of a customer's token bucket, kept in step by shared
- * counts; hard limits, concurrency limits, and when the shared counter is called.
+ * Customers' quotas: each gateway's replica of a customer's token bucket, synchronized by shared
+ * counts; hard limits; concurrency limits; and the throttle of calls to the shared counter.
  */
 package quotagateway.policy.quota;
--- a/src/main/java/quotagateway/policy/retry/AttemptTimeout.java
+++ b/src/main/java/quotagateway/policy/retry/AttemptTimeout.java
@@ -3,35 +3,40 @@
 import quotagateway.policy.settings.Idempotency;
 
 /**
- * When an attempt that looks lost is cancelled, so that another fits before the client's latency
- * objective. Owned by the policy's thread.
+ * Decides when an attempt that is probably lost is cancelled, so that a second attempt can finish
+ * within the client's latency objective. Owned by the policy's thread.
  *
- * <p>Prevents waiting to the end for backends that are dead, cut off or stalled, and for responses
- * that were lost on their way. Cost: a slow request looks the same; the retry budget bounds that.
+ * <p>Without this, requests would wait until their deadline for backends that are dead, unreachable
+ * or stalled, and for lost responses. The drawback is that a slow attempt cannot be told from a
+ * lost one; the retry budget limits the additional attempts.
  */
 public final class AttemptTimeout {
 
-  /** Of the latency objective, what the first attempt may use: a second one needs the rest. */
-  private static final double LOSS_TIMEOUT_PER_OBJECTIVE = 0.65;
+  /**
+   * Fraction of the latency objective after which an attempt is treated as lost. A second attempt
+   * needs the rest.
+   */
+  private static final double LOSS_TIMEOUT_OBJECTIVE_RATIO = 0.65;
 
   private final RetryBudget budget;
 
-  /** A time limit that is bounded by a budget. */
+  /** Creates a timeout whose cancellations are limited by a retry budget. */
   public AttemptTimeout(RetryBudget budget) {
     this.budget = budget;
   }
 
-  /** After which time an attempt may look lost. */
+  /** Returns the time after which an attempt may be treated as lost. */
   public double lossTimeoutMs(double latencyObjectiveMs) {
-    return latencyObjectiveMs * LOSS_TIMEOUT_PER_OBJECTIVE;
+    return latencyObjectiveMs * LOSS_TIMEOUT_OBJECTIVE_RATIO;
   }
 
   /**
-   * Whether an attempt of a request may be cancelled: once for a request, while nothing of its
-   * response has gone to the client, where its body can be sent again and a retry is allowed.
+   * Returns whether an attempt of a request may be cancelled. This is allowed once per request, if
+   * no part of the response has been sent to the client, the body can be sent again and a retry is
+   * allowed.
    */
   public boolean mayCancel(RequestAttempts attempts) {
-    return !attempts.isCancelled()
+    return !attempts.hasCancelledAttempt()
         && !attempts.hasResponseStarted()
         && !attempts.forwardsBody()
         && attempts.capabilities().cancellation()
--- a/src/main/java/quotagateway/policy/retry/RequestAttempts.java
+++ b/src/main/java/quotagateway/policy/retry/RequestAttempts.java
@@ -6,7 +6,7 @@
 import quotagateway.policy.settings.RequestClass;
 
 /**
- * What the attempts of one request came to, as far as it bears on a further one. Owned by the
+ * Outcome of a request's attempts so far, as needed to decide on another attempt. Owned by the
  * policy's thread.
  */
 public final class RequestAttempts {
@@ -19,15 +19,16 @@
   private double deduplicatedUntilMs = Double.POSITIVE_INFINITY;
   private boolean exemptFromBudget;
   private boolean bodyPartlySent;
-  private boolean cancelled;
+  private boolean hasCancelledAttempt;
   private boolean responseStarted;
 
   /**
-   * A request without attempts.
+   * Creates the state of a request without attempts.
    *
-   * @param requestClass that it is served by
-   * @param capabilities by the settings that it was read by
-   * @param forwardsBody whether its body goes to the backend while it comes in, and is not kept
+   * @param requestClass the class of the request
+   * @param capabilities the capabilities of the settings under which the request was read
+   * @param forwardsBody whether the body is forwarded to the backend while it arrives and is not
+   *     buffered
    */
   public RequestAttempts(
       RequestClass requestClass, Capabilities capabilities, boolean forwardsBody) {
@@ -36,38 +37,40 @@
     this.forwardsBody = forwardsBody;
   }
 
-  /** How many attempts were started, which is the number of the next one. */
+  /**
+   * Returns the number of attempts started so far, which is also the number of the next attempt.
+   */
   public int started() {
     return started;
   }
 
-  /** Whether its response has begun to go to the client. */
+  /** Returns whether the response has started to be sent to the client. */
   public boolean hasResponseStarted() {
     return responseStarted;
   }
 
-  /** Notes that an attempt is started. */
+  /** Records the start of an attempt. */
   public void recordStart() {
     started++;
     exemptFromBudget = false;
   }
 
-  /** Notes that its response begins to go to the client. */
+  /** Records that the response starts to be sent to the client. */
   public void recordResponseStart() {
     responseStarted = true;
   }
 
-  /** Notes that an attempt was cancelled so that another fits. */
+  /** Records that an attempt was cancelled to leave time for another one. */
   public void recordCancellation() {
-    cancelled = true;
+    hasCancelledAttempt = true;
   }
 
   /**
-   * Notes how an attempt ended.
+   * Records the end of an attempt.
    *
-   * @param status how
-   * @param sentAtMs when the attempt was sent; the deduplication window of the first one that may
-   *     have been executed begins there
+   * @param status how the attempt ended
+   * @param sentAtMs when the attempt was sent; the deduplication window begins when the first
+   *     attempt that may have been executed was sent
    */
   public void recordEnd(Status status, double sentAtMs) {
     boolean windowOpen = needsDeduplication();
@@ -75,7 +78,7 @@
     if (needsDeduplication() && !windowOpen) {
       deduplicatedUntilMs = sentAtMs + requestClass.deduplicationWindowMs();
     }
-    // None of these shows an overload, which is what the retry budget prevents.
+    // None of these statuses indicates an overload, which the retry budget protects against.
     exemptFromBudget =
         status == Status.CONNECT_FAILED
             || status == Status.WRITE_INCOMPLETE
@@ -86,8 +89,8 @@
   }
 
   /**
-   * Whether a further attempt is safe only where its idempotency key is recognised: the request may
-   * have been executed, and its class allows that again with a key.
+   * Returns whether another attempt is safe only if backends deduplicate it by its idempotency key:
+   * the request may have been executed, and its class allows repeated execution only with a key.
    */
   public boolean needsDeduplication() {
     return mayHaveExecuted && requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY;
@@ -105,28 +108,33 @@
     return forwardsBody;
   }
 
-  /** Whether any attempt ended without proof that it was not executed. */
+  /** Returns whether any attempt ended without proof that it was not executed. */
   boolean mayHaveExecuted() {
     return mayHaveExecuted;
   }
 
-  /** Until when backends drop repeated executions; infinite while that need not be known. */
+  /**
+   * Returns the time until which backends deduplicate executions of the request. Infinite while
+   * {@link #needsDeduplication} is false.
+   */
   double deduplicatedUntilMs() {
     return deduplicatedUntilMs;
   }
 
-  /** Whether the retry that follows on the last attempt is free of the budget. */
+  /** Returns whether a retry after the last attempt is exempt from the retry budget. */
   boolean isExemptFromBudget() {
     return exemptFromBudget;
   }
 
-  /** Whether a part of a body that is not kept has gone, so that it cannot be sent again. */
+  /**
+   * Returns whether a part of an unbuffered body was sent, so that the body cannot be sent again.
+   */
   boolean isBodyPartlySent() {
     return bodyPartlySent;
   }
 
-  /** Whether one of its attempts was cancelled so that another fits. */
-  boolean isCancelled() {
-    return cancelled;
+  /** Returns whether an attempt was cancelled to leave time for another one. */
+  boolean hasCancelledAttempt() {
+    return hasCancelledAttempt;
   }
 }
--- a/src/main/java/quotagateway/policy/retry/RetryBudget.java
+++ b/src/main/java/quotagateway/policy/retry/RetryBudget.java
@@ -1,42 +1,49 @@
 package quotagateway.policy.retry;
 
 /**
- * Limits retries to a share of all requests, with a token bucket: each first attempt earns a part
- * of a token, each retry spends one. Owned by the policy's thread.
+ * Limits retries to a share of all requests with a token bucket: each first attempt adds a fraction
+ * of a token, and each retry takes one token. Owned by the policy's thread.
  *
- * <p>Prevents a retry storm: backends that time out under load would get every request several
- * times. Cost: in a fault of many backends some requests fail that a retry would have served.
+ * <p>Without this, backends that time out under load would receive every request several times (a
+ * retry storm). The drawback is that in a fault of many backends some requests fail although a
+ * retry would have succeeded.
  */
 public final class RetryBudget {
 
-  /** Retries for each first attempt: enough for a fault of a few backends, no load of its own. */
-  private static final double EARNED_PER_REQUEST = 0.15;
+  /**
+   * Tokens added per first attempt: enough retries for a fault of a few backends, without
+   * significant load.
+   */
+  private static final double TOKENS_PER_REQUEST = 0.15;
 
-  /** Retries that the whole fleet may save up for a sudden fault, split among its gateways. */
+  /**
+   * Maximum number of tokens of all gateways together, kept for sudden faults and split evenly
+   * among the gateways.
+   */
   private static final double FLEET_MAX_TOKENS = 30;
 
   private final double maxTokens;
   private double tokens;
 
-  /** A full budget of one of so many gateways. */
+  /** Creates a full budget for one of the given number of gateways. */
   public RetryBudget(int gatewayCount) {
     maxTokens = Math.max(1, FLEET_MAX_TOKENS / Math.max(1, gatewayCount));
     tokens = maxTokens;
   }
 
-  /** Whether a retry may be spent. */
+  /** Returns whether the budget allows a retry. */
   boolean hasToken() {
     return tokens >= 1;
   }
 
-  /** A request's first attempt starts. */
+  /** Records the start of a request's first attempt. */
   void earn() {
-    tokens = Math.min(maxTokens, tokens + EARNED_PER_REQUEST);
+    tokens = Math.min(maxTokens, tokens + TOKENS_PER_REQUEST);
   }
 
   /**
-   * A retry starts. The budget may go below 0, as a retry that had to wait for a backend was
-   * allowed earlier.
+   * Records the start of a retry. The number of tokens may become negative, because a retry that
+   * has to wait for a backend was allowed earlier.
    */
   void spend() {
     tokens -= 1;
--- a/src/main/java/quotagateway/policy/retry/RetryPolicy.java
+++ b/src/main/java/quotagateway/policy/retry/RetryPolicy.java
@@ -4,43 +4,52 @@
 import quotagateway.policy.settings.DeduplicationScope;
 
 /**
- * Which requests get another attempt, and what the final response may promise where none follows.
+ * Decides which requests get another attempt, and whether a request that gets none may be rejected.
  * Owned by the policy's thread.
  */
 public final class RetryPolicy {
 
-  /** A response so long before the client's deadline is still in time for it. */
+  /**
+   * Minimum time before the client's deadline at which a response must be available to reach the
+   * client in time.
+   */
   public static final double RESPONSE_MARGIN_MS = 15;
 
-  /** In less than this share of a mean service time a retry would hardly be answered. */
-  private static final double MIN_REMAINING_SERVICE_TIMES = 0.5;
+  /**
+   * Minimum remaining time for a retry, as a fraction of the mean service time. With less, the
+   * retry would rarely be answered in time.
+   */
+  private static final double MIN_REMAINING_SERVICE_TIME_RATIO = 0.5;
 
   private final DecisionContext context;
   private final RetryBudget budget;
 
-  /** A policy that spends from a budget. */
+  /** Creates a policy that spends from a retry budget. */
   public RetryPolicy(DecisionContext context, RetryBudget budget) {
     this.context = context;
     this.budget = budget;
   }
 
   /**
-   * Whether a request gets another attempt after one that failed: its class allows it, its body can
-   * be sent again, the budget has a token, and there is time enough.
+   * Returns whether a request gets another attempt after a failed one: its class allows it, its
+   * body can be sent again, the budget allows a retry, and enough time remains.
    *
-   * @param deadlineAtMs when the client gives up
-   * @param fleetServiceMs mean service time over all backends
+   * @param deadlineAtMs the client's deadline
+   * @param meanServiceMs mean service time of all backends
    */
-  public boolean mayRetry(RequestAttempts attempts, double deadlineAtMs, double fleetServiceMs) {
+  public boolean mayRetry(RequestAttempts attempts, double deadlineAtMs, double meanServiceMs) {
     double remainingMs = deadlineAtMs - context.nowMs();
-    double neededMs = fleetServiceMs * MIN_REMAINING_SERVICE_TIMES + RESPONSE_MARGIN_MS;
+    double neededMs = meanServiceMs * MIN_REMAINING_SERVICE_TIME_RATIO + RESPONSE_MARGIN_MS;
     return !attempts.isBodyPartlySent()
         && mayExecuteAgain(attempts)
         && (budget.hasToken() || attempts.isExemptFromBudget())
         && remainingMs >= neededMs;
   }
 
-  /** Whether another execution does no harm; with a key, some time of its window must be left. */
+  /**
+   * Returns whether the request may be executed again. With an idempotency key, this requires that
+   * the deduplication window stays open for at least the response margin.
+   */
   private boolean mayExecuteAgain(RequestAttempts attempts) {
     if (!attempts.mayHaveExecuted()) {
       return true;
@@ -54,8 +63,8 @@
   }
 
   /**
-   * Whether an attempt may start now: there is time, and the number of attempts allowed when the
-   * request came, and now, is not used up.
+   * Returns whether an attempt may start now: time remains, and the number of attempts is below the
+   * limits of both the settings at the request's arrival and the current settings.
    */
   public boolean mayStart(RequestAttempts attempts, double deadlineAtMs) {
     int maxAttempts =
@@ -66,16 +75,20 @@
         && attempts.started() < maxAttempts;
   }
 
-  /** Time that an attempt has for its response to be in time. */
+  /**
+   * Returns the time within which an attempt has to be answered for the response to reach the
+   * client before its deadline.
+   */
   public double remainingMs(double deadlineAtMs) {
     return deadlineAtMs - context.nowMs() - RESPONSE_MARGIN_MS;
   }
 
   /**
-   * Within which time an attempt has to be written whole; infinite where any time will do.
+   * Returns the time within which an attempt has to be written completely; infinite if there is no
+   * limit.
    *
-   * <p>Prevents a second execution: a retry that waits for a backend, or for a connection to it,
-   * could outlast the deduplication window. Cost: none known.
+   * <p>Without this limit, a retry that waits for a backend or for a connection could outlast the
+   * deduplication window, and the request could be executed twice.
    */
   public double maxStartDelayMs(RequestAttempts attempts) {
     return attempts.needsDeduplication()
@@ -83,7 +96,7 @@
         : Double.POSITIVE_INFINITY;
   }
 
-  /** Earns or spends for an attempt that starts, and counts it. */
+  /** Records the start of an attempt, and adds to the retry budget or spends from it. */
   public void recordStart(RequestAttempts attempts) {
     if (attempts.started() == 0) {
       budget.earn();
@@ -94,8 +107,8 @@
   }
 
   /**
-   * Whether a request without a response may be rejected: it was not executed, or does no harm if
-   * its client sends it again.
+   * Returns whether a request without a response may be rejected: it was not executed, or repeating
+   * it does no harm if the client sends it again.
    */
   public boolean mayReject(RequestAttempts attempts) {
     if (!attempts.mayHaveExecuted()) {
@@ -103,7 +116,7 @@
     }
     return switch (attempts.requestClass().idempotency()) {
       case IDEMPOTENT -> true;
-      // What the client sends again may reach any backend.
+      // A request that the client sends again may reach any backend.
       case IDEMPOTENT_WITH_KEY ->
           attempts.requestClass().deduplicationScope() == DeduplicationScope.ALL
               && context.nowMs() < attempts.deduplicatedUntilMs();
--- a/src/test/java/quotagateway/policy/quota/CounterCallThrottleTest.java
+++ b/src/test/java/quotagateway/policy/quota/CounterCallThrottleTest.java
@@ -19,7 +19,7 @@
   private double callShare() {
     int calls = 0;
     for (int i = 0; i < DRAWS; i++) {
-      calls += throttle.acquireCall() ? 1 : 0;
+      calls += throttle.tryAcquireCall() ? 1 : 0;
     }
     return calls / (double) DRAWS;
   }
@@ -52,10 +52,10 @@
     fail(CounterCallThrottle.MAX_CONSECUTIVE_FAILURES);
     assertEquals(0, callShare());
     fixture.pass(187);
-    assertFalse(throttle.acquireCall(), "probes are at least three quarters of 250 ms apart");
+    assertFalse(throttle.tryAcquireCall(), "probes are at least three quarters of 250 ms apart");
     fixture.pass(313 - 187);
-    assertTrue(throttle.acquireCall());
-    assertFalse(throttle.acquireCall(), "one probe at a time");
+    assertTrue(throttle.tryAcquireCall());
+    assertFalse(throttle.tryAcquireCall(), "one probe at a time");
   }
 
   @Test
@@ -66,9 +66,9 @@
       oneOfMany.recordOutcome(Status.TIMED_OUT, false);
     }
     large.pass(3_749);
-    assertFalse(oneOfMany.acquireCall(), "5 ms for each of 1,000 gateways, less a quarter");
+    assertFalse(oneOfMany.tryAcquireCall(), "5 ms for each of 1,000 gateways, less a quarter");
     large.pass(6_251 - 3_749);
-    assertTrue(oneOfMany.acquireCall());
+    assertTrue(oneOfMany.tryAcquireCall());
   }
 
   /** All gateways together must not overrun a counter that has just come back. */
--- a/src/test/java/quotagateway/policy/quota/CounterWindowsTest.java
+++ b/src/test/java/quotagateway/policy/quota/CounterWindowsTest.java
@@ -24,7 +24,7 @@
   @Test
   void aWindowEndsWhereTheNextOneBegins() {
     CounterWindows windows = new CounterWindows(42);
-    windows.follow(QuotaFixture.BUCKET, 30, true);
+    windows.applyPlan(QuotaFixture.BUCKET, 30, true);
     long window = windows.windowAt(NOW_MS);
     assertEquals(window, windows.windowAt(windows.startMs(window)));
     assertEquals(window, windows.windowAt(windows.startMs(window + 1) - 0.01));
--- a/src/test/java/quotagateway/policy/quota/CustomerAccountTest.java
+++ b/src/test/java/quotagateway/policy/quota/CustomerAccountTest.java
@@ -132,8 +132,8 @@
   @Test
   void asksForNothingWhereTheBucketHasNoRoom() {
     account.charge(8);
-    assertEquals(2, account.unitsToAsk(2));
-    assertEquals(0, account.unitsToAsk(3));
+    assertEquals(2, account.unitsToRequest(2));
+    assertEquals(0, account.unitsToRequest(3));
   }
 
   /** The call without a reply added 3 units if the next total has room for them. */
--- a/src/test/java/quotagateway/policy/quota/HardLimitTest.java
+++ b/src/test/java/quotagateway/policy/quota/HardLimitTest.java
@@ -68,18 +68,18 @@
   @Test
   void returnedUnitsAreCoveredByTheLocalPart() {
     HardLimit limit = full(4);
-    assertEquals(3, limit.coverReturn(3));
-    assertEquals(1.2, limit.coverReturn(3), 1e-9, "no more than the local part has");
+    assertEquals(3, limit.deductReturnedUnits(3));
+    assertEquals(1.2, limit.deductReturnedUnits(3), 1e-9, "no more than the local part has");
     assertFalse(limit.tryAcquire(0.1, false));
   }
 
   @Test
   void returnsNeedNoCoverWhereNothingIsShared() {
     HardLimit limit = full(2);
-    assertEquals(30, limit.coverReturn(30));
+    assertEquals(30, limit.deductReturnedUnits(30));
     assertTrue(limit.tryAcquire(10.5, false));
     HardLimit none = new HardLimit(fixture.context, QuotaFixture.BUCKET, 4);
-    assertEquals(30, none.coverReturn(30));
+    assertEquals(30, none.deductReturnedUnits(30));
     assertTrue(none.tryAcquire(1_000, false), "no hard limit bounds nothing");
   }
 }
--- a/src/test/java/quotagateway/policy/quota/LocalShareTest.java
+++ b/src/test/java/quotagateway/policy/quota/LocalShareTest.java
@@ -47,15 +47,15 @@
 
   @Test
   void allowsAFirstStartAndThenOneForEachServiceTime() {
-    assertTrue(share.tryTakeStart());
-    assertFalse(share.tryTakeStart());
+    assertTrue(share.tryAcquireStart());
+    assertFalse(share.tryAcquireStart());
     share.refill(QuotaFixture.CONCURRENCY, 0.49, QuotaFixture.MEAN_SERVICE_MS);
-    assertFalse(share.tryTakeStart());
+    assertFalse(share.tryAcquireStart());
     share.refill(QuotaFixture.CONCURRENCY, 0.02, QuotaFixture.MEAN_SERVICE_MS);
-    assertTrue(share.tryTakeStart(), "2 permits, 10 requests a second each, 10 gateways");
+    assertTrue(share.tryAcquireStart(), "2 permits, 10 requests a second each, 10 gateways");
     share.refill(QuotaFixture.CONCURRENCY, 3_600, QuotaFixture.MEAN_SERVICE_MS);
-    assertTrue(share.tryTakeStart());
-    assertFalse(share.tryTakeStart(), "starts are not saved up");
+    assertTrue(share.tryAcquireStart());
+    assertFalse(share.tryAcquireStart(), "starts are not saved up");
     assertEquals(0, fixture.context.actions().size());
   }
 }
