--- a/src/main/java/quotagateway/policy/admission/LoadShedder.java
+++ b/src/main/java/quotagateway/policy/admission/LoadShedder.java
@@ -83,8 +83,10 @@
     this.context = context;
     this.servingBackends = servingBackends;
     double nowMs = context.nowMs();
-    latencyRatio = new ExponentialMean(MIN_NEWEST_RESPONSE_WEIGHT, LATENCY_RATIO_LIFETIME_MS, nowMs);
-    inFlightWhenMeasured = new ExponentialMean(MIN_NEWEST_RESPONSE_WEIGHT, LATENCY_RATIO_LIFETIME_MS, nowMs);
+    latencyRatio =
+        new ExponentialMean(MIN_NEWEST_RESPONSE_WEIGHT, LATENCY_RATIO_LIFETIME_MS, nowMs);
+    inFlightWhenMeasured =
+        new ExponentialMean(MIN_NEWEST_RESPONSE_WEIGHT, LATENCY_RATIO_LIFETIME_MS, nowMs);
     inFlight = new ExponentialMean(MIN_NEWEST_IN_FLIGHT_WEIGHT, IN_FLIGHT_LIFETIME_MS, nowMs);
   }
 
@@ -186,7 +188,8 @@
     double relativeWeight = priorityWeight / Math.max(MIN_MEAN_PRIORITY_WEIGHT, meanPriorityWeight);
     double relativePriority = Math.min(1, Math.max(0, relativeWeight - 0.5));
     return MAX_LATENCY_RATIO_LOWEST_PRIORITY
-        + (MAX_LATENCY_RATIO_HIGHEST_PRIORITY - MAX_LATENCY_RATIO_LOWEST_PRIORITY) * relativePriority;
+        + (MAX_LATENCY_RATIO_HIGHEST_PRIORITY - MAX_LATENCY_RATIO_LOWEST_PRIORITY)
+            * relativePriority;
   }
 
   private double expectedLatencyRatio() {
--- a/src/main/java/quotagateway/policy/quota/CustomerAccount.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerAccount.java
@@ -241,12 +241,17 @@
     if (hasSharedCounter()) {
       double minUnitsPerSecond = unitsPerSecond * MIN_GATEWAY_USE_RATIO;
       double localUnitsPerSecond = rates.localUnitsPerSecond();
-      double localUseShare = (localUnitsPerSecond + minUnitsPerSecond) / (localUnitsPerSecond + peerUnitsPerSecond + minUnitsPerSecond * gateways);
+      double localUseShare =
+          (localUnitsPerSecond + minUnitsPerSecond)
+              / (localUnitsPerSecond + peerUnitsPerSecond + minUnitsPerSecond * gateways);
       peerUnitsPerSecond = Math.min(peerUnitsPerSecond, unitsPerSecond * (1 - localUseShare));
     }
     double bucketSizeUnits = bucketSizeUnits();
-    double unitsWithoutPeerUse = Math.min(bucketSizeUnits, availableUnits + unitsPerSecond * seconds);
-    availableUnits = Math.min(bucketSizeUnits, availableUnits + (unitsPerSecond - peerUnitsPerSecond) * seconds);
+    double unitsWithoutPeerUse =
+        Math.min(bucketSizeUnits, availableUnits + unitsPerSecond * seconds);
+    availableUnits =
+        Math.min(
+            bucketSizeUnits, availableUnits + (unitsPerSecond - peerUnitsPerSecond) * seconds);
     assumedPeerUnits += unitsWithoutPeerUse - availableUnits;
   }
 
@@ -265,7 +270,9 @@
     if (!Double.isNaN(lastReplyAtMs)) {
       measuredRateWeight = Math.exp((lastReplyAtMs - nowMs) / HEAVY_USE_LIFETIME_MS);
     }
-    double expectedUnitsPerSecond = defaultUnitsPerSecond + measuredRateWeight * (rates.peerUnitsPerSecond() - defaultUnitsPerSecond);
+    double expectedUnitsPerSecond =
+        defaultUnitsPerSecond
+            + measuredRateWeight * (rates.peerUnitsPerSecond() - defaultUnitsPerSecond);
     availableUnits -= expectedUnitsPerSecond * spanMs / 1000;
   }
 
@@ -277,7 +284,8 @@
    *
    * @param window the window of the count
    * @param addedUnits the units that the call added, settlements included
-   * @param requestedUnits the part of {@code addedUnits} that is the estimate of the waiting request
+   * @param requestedUnits the part of {@code addedUnits} that is the estimate of the waiting
+   *     request
    * @param totalUnits the total after the call
    */
   void recordTotal(long window, double addedUnits, double requestedUnits, double totalUnits) {
@@ -316,7 +324,8 @@
   private double peerGrowth(boolean isFirstReplyOfWindow, double addedUnits, double totalUnits) {
     double growthUnits = isFirstReplyOfWindow ? totalUnits : totalUnits - lastReplyTotalUnits;
     double peerUnits = growthUnits - addedUnits;
-    boolean countsLost = !isFirstReplyOfWindow && peerUnits < 0 && totalUnits < lastReplyTotalUnits / 2;
+    boolean countsLost =
+        !isFirstReplyOfWindow && peerUnits < 0 && totalUnits < lastReplyTotalUnits / 2;
     return countsLost ? Math.max(0, totalUnits - addedUnits) : peerUnits;
   }
 
--- a/src/main/java/quotagateway/policy/quota/HardLimit.java
+++ b/src/main/java/quotagateway/policy/quota/HardLimit.java
@@ -90,9 +90,10 @@
 
   /**
    * Deducts unneeded units of a request from the local part so that they can be returned to the
-   * shared count, where other gateways may use them.
+   * shared count, where other gateways may use them. Without a hard limit, or if the local parts
+   * are the complete bucket, all units may be returned and nothing is deducted.
    *
-   * @return how many of the units may be returned: at most as many as the local part has
+   * @return how many of the units may be returned
    */
   double deductReturnedUnits(double units) {
     if (!isSet() || localFraction() >= 1) {
@@ -104,9 +105,9 @@
   }
 
   /**
-   * Returns the size of the local parts of all gateways together, as a fraction of the bucket. It
-   * is 1 for up to two gateways. For more gateways it falls with their number, but each local part
-   * has room for at least one request of the maximum size, unless the fraction reaches 1.
+   * Returns the size of the local parts of all gateways together, as a fraction of the bucket. The
+   * fraction is 1 for up to two gateways. For more gateways it is two gateways' even shares, or
+   * room for one request of the maximum size at each gateway if that is larger, and at most 1.
    */
   private double localFraction() {
     double minFraction = 2.0 / gateways;
--- a/src/main/java/quotagateway/policy/quota/LocalShare.java
+++ b/src/main/java/quotagateway/policy/quota/LocalShare.java
@@ -43,7 +43,8 @@
    */
   void refill(Plan plan, double seconds, double meanServiceMs) {
     double maxUnits = Math.max(plan.burstUnits() / gateways, context.settings().maxRequestUnits());
-    availableUnits = Math.min(maxUnits, availableUnits + plan.unitsPerSecond() / gateways * seconds);
+    availableUnits =
+        Math.min(maxUnits, availableUnits + plan.unitsPerSecond() / gateways * seconds);
     double startsPerSecond = plan.concurrencyLimit() / (meanServiceMs / 1000) / gateways;
     availableStarts = Math.min(1, availableStarts + startsPerSecond * seconds);
   }
--- a/src/main/java/quotagateway/policy/quota/QuotaReservation.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaReservation.java
@@ -55,7 +55,10 @@
   boolean ended;
 
   QuotaReservation(
-      String requestId, CustomerAccount account, double estimatedUnits, double classPriorityWeight) {
+      String requestId,
+      CustomerAccount account,
+      double estimatedUnits,
+      double classPriorityWeight) {
     this.requestId = requestId;
     this.account = account;
     this.estimatedUnits = estimatedUnits;
--- a/src/main/java/quotagateway/policy/quota/UseRates.java
+++ b/src/main/java/quotagateway/policy/quota/UseRates.java
@@ -44,8 +44,10 @@
   void update(double peerUnits, double measuredMs, double ageMs, double lifetimeMs) {
     double oldWeight = Math.exp(-ageMs / lifetimeMs);
     double seconds = Math.max(MIN_SECONDS, measuredMs / 1000);
-    peerUnitsPerSecond = Math.max(0, oldWeight * peerUnitsPerSecond + (1 - oldWeight) * peerUnits / seconds);
-    localUnitsPerSecond = oldWeight * localUnitsPerSecond + (1 - oldWeight) * localUnitsSinceReply / seconds;
+    peerUnitsPerSecond =
+        Math.max(0, oldWeight * peerUnitsPerSecond + (1 - oldWeight) * peerUnits / seconds);
+    localUnitsPerSecond =
+        oldWeight * localUnitsPerSecond + (1 - oldWeight) * localUnitsSinceReply / seconds;
     localUnitsSinceReply = 0;
   }
 }
--- a/src/test/java/quotagateway/policy/quota/ConcurrencyLimiterTest.java
+++ b/src/test/java/quotagateway/policy/quota/ConcurrencyLimiterTest.java
@@ -9,7 +9,7 @@
 import quotagateway.policy.quota.ConcurrencyLimiter.PermitReply;
 import quotagateway.policy.settings.Plan;
 
-/** Permits of a plan with two open requests. */
+/** Tests {@link ConcurrencyLimiter} with a plan that allows two open requests. */
 class ConcurrencyLimiterTest {
 
   private static final int MANY_GATEWAYS = 5;
@@ -21,18 +21,20 @@
   private final QuotaReservation reservation = new QuotaReservation("r", account, 1, 1);
 
   @Test
-  void anEvenSplitNeedsNoCall() {
-    CustomerAccount few = fixture.account(QuotaFixture.CONCURRENCY, 2);
-    assertFalse(limiter.needsSharedPermit(few));
-    assertTrue(limiter.tryAcquireLocally(few));
-    few.attemptStarted();
-    assertFalse(limiter.tryAcquireLocally(few), "one of two permits is this gateway's");
-    few.attemptEnded();
-    assertTrue(limiter.tryAcquireLocally(few));
+  void admitsFromEvenShareWithoutCall() {
+    CustomerAccount fewGatewaysAccount = fixture.account(QuotaFixture.CONCURRENCY, 2);
+    assertFalse(limiter.needsSharedPermit(fewGatewaysAccount));
+    assertTrue(limiter.tryAcquireLocally(fewGatewaysAccount));
+    fewGatewaysAccount.attemptStarted();
+    assertFalse(
+        limiter.tryAcquireLocally(fewGatewaysAccount),
+        "one of two permits belongs to this gateway");
+    fewGatewaysAccount.attemptEnded();
+    assertTrue(limiter.tryAcquireLocally(fewGatewaysAccount));
   }
 
   @Test
-  void aPlanWithoutALimitNeedsNoPermit() {
+  void needsNoPermitWithoutConcurrencyLimit() {
     CustomerAccount unlimited = fixture.account(QuotaFixture.BUCKET, MANY_GATEWAYS);
     assertFalse(limiter.needsSharedPermit(unlimited));
     for (int i = 0; i < 100; i++) {
@@ -42,7 +44,7 @@
   }
 
   @Test
-  void aSharedPermitIsAskedForWhileThisGatewayHasNotAllOfThem() {
+  void needsSharedPermitUntilThisGatewayHoldsAllPermits() {
     assertTrue(limiter.needsSharedPermit(account));
     account.attemptStarted();
     account.attemptStarted();
@@ -54,100 +56,103 @@
             .needsSharedPermit(withoutCounter.account(QuotaFixture.CONCURRENCY, MANY_GATEWAYS)));
   }
 
-  /** With many gateways most requests are a customer's first; then the rate of starts decides. */
+  /**
+   * With more gateways than permits, most requests are a customer's first one at their gateway, so
+   * the rate of starts limits them.
+   */
   @Test
-  void withMoreGatewaysThanPermitsRequestsFollowEachOtherSlowly() {
+  void limitsStartRateWithMoreGatewaysThanPermits() {
     assertTrue(limiter.tryAcquireLocally(account), "a first request is admitted");
     assertFalse(limiter.tryAcquireLocally(account));
-    fixture.pass(249);
+    fixture.advanceTime(249);
     account.advance(QuotaFixture.MEAN_SERVICE_MS);
     assertFalse(limiter.tryAcquireLocally(account));
-    fixture.pass(2);
+    fixture.advanceTime(2);
     account.advance(QuotaFixture.MEAN_SERVICE_MS);
     assertTrue(
-        limiter.tryAcquireLocally(account), "2 permits, 10 requests a second each, 5 gateways");
+        limiter.tryAcquireLocally(account), "2 permits, 10 requests per second each, 5 gateways");
   }
 
   @Test
-  void aGrantedPermitIsReleasedAtTheEndAndOnlyOnce() {
+  void releasesGrantedPermitOnceWhenRequestEnds() {
     limiter.acquirePermit(reservation);
-    assertEquals(1, fixture.onlyCall().amount());
-    String counterName = fixture.onlyCall().counterName();
-    fixture.pass(2);
+    assertEquals(1, fixture.singleCall().amount());
+    String counterName = fixture.singleCall().counterName();
+    fixture.advanceTime(2);
     assertEquals(PermitReply.GRANTED, limiter.onReply(reservation, Status.OK, 2));
     assertTrue(fixture.calls().isEmpty());
     limiter.end(reservation);
-    assertEquals(-1, fixture.onlyCall().amount());
-    assertEquals(counterName, fixture.onlyCall().counterName());
+    assertEquals(-1, fixture.singleCall().amount());
+    assertEquals(counterName, fixture.singleCall().counterName());
     limiter.end(reservation);
     assertEquals(1, fixture.calls().size());
   }
 
   @Test
-  void aPermitBeyondTheLimitIsReleasedAtOnce() {
+  void releasesPermitImmediatelyWhenTotalExceedsLimit() {
     limiter.acquirePermit(reservation);
-    fixture.pass(2);
+    fixture.advanceTime(2);
     assertEquals(PermitReply.EXHAUSTED, limiter.onReply(reservation, Status.OK, 3));
-    assertEquals(-1, fixture.onlyCall().amount());
+    assertEquals(-1, fixture.singleCall().amount());
   }
 
-  /** It is not known whether it has a permit, which the reply then shows. */
+  /** Before the reply it is unknown whether the request has a permit to release. */
   @Test
-  void aRequestThatEndsBeforeTheReplyReleasesWithTheReply() {
+  void releasesPermitOnReplyWhenRequestEndedBeforeReply() {
     limiter.acquirePermit(reservation);
-    fixture.pass(2);
+    fixture.advanceTime(2);
     limiter.end(reservation);
     assertTrue(fixture.calls().isEmpty());
     assertEquals(PermitReply.NOT_AWAITED, limiter.onReply(reservation, Status.OK, 1));
-    assertEquals(-1, fixture.onlyCall().amount());
+    assertEquals(-1, fixture.singleCall().amount());
   }
 
   @Test
-  void aFailedCallMayHaveTakenAPermitUnlessItProvesOtherwise() {
+  void releasesPermitAfterFailedCallUnlessProvenNotExecuted() {
     limiter.acquirePermit(reservation);
-    fixture.pass(30);
+    fixture.advanceTime(30);
     assertEquals(PermitReply.UNKNOWN, limiter.onReply(reservation, Status.TIMED_OUT, 0));
     limiter.end(reservation);
-    assertEquals(-1, fixture.onlyCall().amount(), "it may have been added");
+    assertEquals(-1, fixture.singleCall().amount(), "the permit may have been counted");
 
     QuotaReservation rejected = new QuotaReservation("s", account, 1, 1);
     limiter.acquirePermit(rejected);
-    fixture.pass(30);
+    fixture.advanceTime(30);
     assertEquals(PermitReply.UNKNOWN, limiter.onReply(rejected, Status.REJECTED, 0));
     limiter.end(rejected);
-    assertTrue(fixture.calls().isEmpty(), "nothing was added");
+    assertTrue(fixture.calls().isEmpty(), "no permit was counted");
   }
 
-  /** It was admitted without the reply, and goes on; its permit is released when it ends. */
+  /** The request was admitted without the reply. Its permit is released when it ends. */
   @Test
-  void aReplyThatComesTooLateDecidesNothing() {
+  void ignoresLateReplyAndReleasesPermitAtEnd() {
     limiter.acquirePermit(reservation);
     reservation.awaitingPermit = false;
-    fixture.pass(100);
+    fixture.advanceTime(100);
     assertEquals(PermitReply.NOT_AWAITED, limiter.onReply(reservation, Status.OK, 9));
     assertTrue(fixture.calls().isEmpty());
     limiter.end(reservation);
-    assertEquals(-1, fixture.onlyCall().amount());
+    assertEquals(-1, fixture.singleCall().amount());
   }
 
   @Test
-  void countsOfPermitsBeginAnewEveryTenSeconds() {
+  void startsNewPermitCountEveryTenSeconds() {
     limiter.acquirePermit(reservation);
-    String first = fixture.onlyCall().counterName();
-    fixture.pass(9_999);
+    String first = fixture.singleCall().counterName();
+    fixture.advanceTime(9_999);
     limiter.acquirePermit(new QuotaReservation("s", account, 1, 1));
-    assertEquals(first, fixture.onlyCall().counterName());
-    fixture.pass(1);
+    assertEquals(first, fixture.singleCall().counterName());
+    fixture.advanceTime(1);
     limiter.acquirePermit(new QuotaReservation("t", account, 1, 1));
-    assertFalse(first.equals(fixture.onlyCall().counterName()));
+    assertFalse(first.equals(fixture.singleCall().counterName()));
   }
 
   @Test
-  void moreGatewaysThanPermitsLeaveEachAtLeastOne() {
-    Plan one = new Plan("one", 0, 0, 1, 1, 0, 1, 0, 0, 0);
-    CustomerAccount alone = fixture.account(one, MANY_GATEWAYS);
-    assertTrue(limiter.tryAcquireLocally(alone));
-    alone.attemptStarted();
-    assertFalse(limiter.tryAcquireLocally(alone));
+  void admitsOneRequestPerGatewayWithMoreGatewaysThanPermits() {
+    Plan onePermit = new Plan("one", 0, 0, 1, 1, 0, 1, 0, 0, 0);
+    CustomerAccount single = fixture.account(onePermit, MANY_GATEWAYS);
+    assertTrue(limiter.tryAcquireLocally(single));
+    single.attemptStarted();
+    assertFalse(limiter.tryAcquireLocally(single));
   }
 }
--- a/src/test/java/quotagateway/policy/quota/CounterCallThrottleTest.java
+++ b/src/test/java/quotagateway/policy/quota/CounterCallThrottleTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.api.Test;
 import quotagateway.policy.event.Status;
 
-/** Calls to a counter that fails become fewer, and come back with its replies. */
+/**
+ * Tests that failures decrease the share of requests that call the counter, and that replies
+ * increase it again.
+ */
 class CounterCallThrottleTest {
 
   private static final int DRAWS = 2_000;
@@ -15,7 +18,7 @@
   private final QuotaFixture fixture = new QuotaFixture(2, true);
   private final CounterCallThrottle throttle = new CounterCallThrottle(fixture.context);
 
-  /** Share of requests that may call. */
+  /** Returns the share of requests that may call the counter. */
   private double callShare() {
     int calls = 0;
     for (int i = 0; i < DRAWS; i++) {
@@ -24,67 +27,68 @@
     return calls / (double) DRAWS;
   }
 
-  private void fail(int times) {
+  private void recordTimeouts(int times) {
     for (int i = 0; i < times; i++) {
       throttle.recordOutcome(Status.TIMED_OUT, false);
     }
   }
 
   @Test
-  void allRequestsCallACounterThatReplies() {
+  void callsCounterForAllRequestsWhileItReplies() {
     throttle.recordOutcome(Status.OK, false);
     assertEquals(1, callShare());
   }
 
-  /** Calls that were under way together time out together; that is one sign of overload. */
+  /** Concurrent calls time out together and count as one sign of overload. */
   @Test
-  void failuresWithinOneTimeLimitDecreaseTheCallsOnce() {
-    fail(3);
+  void decreasesCallProbabilityOncePerTimeout() {
+    recordTimeouts(3);
     assertEquals(0.7, callShare(), 0.05);
-    fixture.pass(31);
+    fixture.advanceTime(31);
     throttle.recordOutcome(Status.OK, false);
-    fail(1);
+    recordTimeouts(1);
     assertEquals(0.7 * (0.7 + 0.02 + 0.05), callShare(), 0.05);
   }
 
   @Test
-  void callsStopAfterFourFailuresInARowButForSpacedProbes() {
-    fail(CounterCallThrottle.MAX_CONSECUTIVE_FAILURES);
+  void onlyProbesAfterFourConsecutiveFailures() {
+    recordTimeouts(CounterCallThrottle.MAX_CONSECUTIVE_FAILURES);
     assertEquals(0, callShare());
-    fixture.pass(187);
-    assertFalse(throttle.tryAcquireCall(), "probes are at least three quarters of 250 ms apart");
-    fixture.pass(313 - 187);
+    fixture.advanceTime(187);
+    assertFalse(throttle.tryAcquireCall(), "the interval is 250 ms, minus at most 25% jitter");
+    fixture.advanceTime(313 - 187);
     assertTrue(throttle.tryAcquireCall());
-    assertFalse(throttle.tryAcquireCall(), "one probe at a time");
+    assertFalse(throttle.tryAcquireCall(), "one probe per interval");
   }
 
   @Test
-  void probesOfAllGatewaysTogetherAreBounded() {
-    QuotaFixture large = new QuotaFixture(1_000, true);
-    CounterCallThrottle oneOfMany = new CounterCallThrottle(large.context);
+  void growsProbeIntervalWithNumberOfGateways() {
+    QuotaFixture largeFleet = new QuotaFixture(1_000, true);
+    CounterCallThrottle largeFleetThrottle = new CounterCallThrottle(largeFleet.context);
     for (int i = 0; i < CounterCallThrottle.MAX_CONSECUTIVE_FAILURES; i++) {
-      oneOfMany.recordOutcome(Status.TIMED_OUT, false);
+      largeFleetThrottle.recordOutcome(Status.TIMED_OUT, false);
     }
-    large.pass(3_749);
-    assertFalse(oneOfMany.tryAcquireCall(), "5 ms for each of 1,000 gateways, less a quarter");
-    large.pass(6_251 - 3_749);
-    assertTrue(oneOfMany.tryAcquireCall());
+    largeFleet.advanceTime(3_749);
+    assertFalse(
+        largeFleetThrottle.tryAcquireCall(), "5 ms for each of 1,000 gateways, minus 25% jitter");
+    largeFleet.advanceTime(6_251 - 3_749);
+    assertTrue(largeFleetThrottle.tryAcquireCall());
   }
 
-  /** All gateways together must not overrun a counter that has just come back. */
+  /** All gateways together must not overload a counter that has just become available again. */
   @Test
-  void aCounterThatComesBackGetsAPartOfTheCallsAndThenMore() {
-    fail(CounterCallThrottle.MAX_CONSECUTIVE_FAILURES);
+  void increasesCallsGraduallyAfterCounterRecovers() {
+    recordTimeouts(CounterCallThrottle.MAX_CONSECUTIVE_FAILURES);
     throttle.recordOutcome(Status.OK, false);
     assertEquals(0.3, callShare(), 0.05);
-    fixture.pass(2_000);
+    fixture.advanceTime(2_000);
     throttle.recordOutcome(Status.OK, false);
     assertEquals(0.3 + 0.02 + 0.05, callShare(), 0.05);
   }
 
-  /** A connection that breaks shows nothing of the counter, nor does a stall of this gateway. */
+  /** Neither a broken connection nor a stall of this gateway shows the state of the counter. */
   @Test
-  void resetConnectionsAndStallsOfTheGatewayCountAsNoFailure() {
+  void ignoresConnectionResetsAndFailuresDuringStalls() {
     for (int i = 0; i < 20; i++) {
       throttle.recordOutcome(Status.RESET, false);
       throttle.recordOutcome(Status.TIMED_OUT, true);
@@ -93,15 +97,15 @@
   }
 
   @Test
-  void someCallsRemainHoweverOftenTheyFail() {
+  void keepsMinimumCallProbabilityDespiteRepeatedFailures() {
     for (int i = 0; i < 100; i++) {
-      fixture.pass(31);
-      fail(1);
+      fixture.advanceTime(31);
+      recordTimeouts(1);
     }
     throttle.recordOutcome(Status.OK, false);
     for (int i = 0; i < 100; i++) {
-      fixture.pass(31);
-      fail(3);
+      fixture.advanceTime(31);
+      recordTimeouts(3);
       throttle.recordOutcome(Status.OK, false);
     }
     assertTrue(callShare() > 0.01);
--- a/src/test/java/quotagateway/policy/quota/CounterWindowsTest.java
+++ b/src/test/java/quotagateway/policy/quota/CounterWindowsTest.java
@@ -7,13 +7,15 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Windows and names of a customer's counts; the names are what all gateways have to agree on. */
+/**
+ * Tests the windows and the names of a customer's counts. All gateways have to use the same names.
+ */
 class CounterWindowsTest {
 
   private static final double NOW_MS = 1_000_000;
 
   @Test
-  void gatewaysOfDifferentStartsAgreeOnTheNames() {
+  void derivesSameNamesAndWindowsInEachInstance() {
     CounterWindows windows = new CounterWindows(42);
     assertEquals("16:39", windows.unitsCounterName(39));
     assertEquals("16:o39", windows.permitsCounterName(39));
@@ -22,7 +24,7 @@
   }
 
   @Test
-  void aWindowEndsWhereTheNextOneBegins() {
+  void endsWindowAtStartOfNextWindow() {
     CounterWindows windows = new CounterWindows(42);
     windows.applyPlan(QuotaFixture.BUCKET, 30, true);
     long window = windows.windowAt(NOW_MS);
@@ -32,9 +34,12 @@
     assertEquals(5_000, windows.startMs(window + 1) - windows.startMs(window));
   }
 
-  /** If all windows ended at once, all customers would have a new one at once. */
+  /**
+   * If the windows of all customers ended at once, all customers would get a new one at the same
+   * time.
+   */
   @Test
-  void windowsOfDifferentCustomersBeginAtDifferentTimes() {
+  void startsWindowsOfDifferentCustomersAtDifferentTimes() {
     Set<Double> starts = new HashSet<>();
     for (long customer = 0; customer < 100; customer++) {
       CounterWindows windows = new CounterWindows(customer);
--- a/src/test/java/quotagateway/policy/quota/CustomerAccountsTest.java
+++ b/src/test/java/quotagateway/policy/quota/CustomerAccountsTest.java
@@ -9,7 +9,7 @@
 import quotagateway.policy.settings.Plan;
 import quotagateway.policy.settings.PolicySettings;
 
-/** Which account a request gets, and how long it is kept. */
+/** Tests which account a request gets and how long the account is kept. */
 class CustomerAccountsTest {
 
   private static final long CUSTOMER = 1;
@@ -24,36 +24,39 @@
   }
 
   @Test
-  void anUnknownPlanIsTheStrictestOneWithARate() {
+  void usesPlanWithLowestRateForUnknownPlan() {
     Plan unknown = new Plan("unknown", 0, 0, 0, 1, 0, 1, 0, 0, 0);
     assertEquals(QuotaFixture.FIXED_WINDOW, account(CUSTOMER, unknown).plan());
   }
 
-  /** Memory must not grow with all customers that were ever seen. */
+  /** Without this, memory would grow with the number of all customers ever seen. */
   @Test
-  void anAccountUnusedForAMinuteIsDroppedWhenAnotherCustomerComes() {
+  void dropsExpiredAccountWhenAnotherAccountIsAdded() {
     CustomerAccount first = account(CUSTOMER, QuotaFixture.BUCKET);
-    fixture.pass(60_000);
+    fixture.advanceTime(60_000);
     account(OTHER, QuotaFixture.BUCKET);
-    assertSame(first, account(CUSTOMER, QuotaFixture.BUCKET), "just not long enough");
-    fixture.pass(60_001);
+    assertSame(
+        first,
+        account(CUSTOMER, QuotaFixture.BUCKET),
+        "60 s is not longer than the maximum idle time");
+    fixture.advanceTime(60_001);
     account(OTHER + 1, QuotaFixture.BUCKET);
     account(OTHER + 2, QuotaFixture.BUCKET);
     assertNotSame(first, account(CUSTOMER, QuotaFixture.BUCKET));
   }
 
-  /** The end of the attempt has to find the account that counts it. */
+  /** The end of the attempt must be recorded in the account that recorded its start. */
   @Test
-  void anAccountWithAnAttemptInFlightIsKept() {
+  void keepsExpiredAccountWithAttemptInFlight() {
     CustomerAccount busy = account(CUSTOMER, QuotaFixture.BUCKET);
     busy.attemptStarted();
-    fixture.pass(60_001);
+    fixture.advanceTime(60_001);
     account(OTHER, QuotaFixture.BUCKET);
     assertSame(busy, account(CUSTOMER, QuotaFixture.BUCKET));
   }
 
   @Test
-  void newSettingsChangeThePlansOfAllAccounts() {
+  void appliesChangedPlansToExistingAccounts() {
     CustomerAccount changing = account(CUSTOMER, QuotaFixture.BUCKET);
     CustomerAccount staying = account(OTHER, QuotaFixture.CONCURRENCY);
     Plan smaller = new Plan("bucket", 2, 6, 0, 1, 0, 1, 0, 0, 0);
@@ -73,6 +76,7 @@
     accounts.applySettings(QuotaFixture.MEAN_SERVICE_MS);
     assertEquals(smaller, changing.plan());
     assertEquals(6, changing.availableUnits());
-    assertEquals(QuotaFixture.CONCURRENCY, staying.plan(), "a plan that is gone stays as it was");
+    assertEquals(
+        QuotaFixture.CONCURRENCY, staying.plan(), "a removed plan remains in use unchanged");
   }
 }
--- a/src/test/java/quotagateway/policy/quota/HardLimitTest.java
+++ b/src/test/java/quotagateway/policy/quota/HardLimitTest.java
@@ -6,7 +6,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The two parts of a hard limit: 20 units and half of a slack of 2, with 4 units a second. */
+/**
+ * Tests the two parts of a hard limit of 20 units, plus half of a slack of 2, with 4 units per
+ * second.
+ */
 class HardLimitTest {
 
   private static final double ENOUGH_SECONDS = 60;
@@ -19,36 +22,39 @@
     return limit;
   }
 
-  /** A gateway that starts may follow one that has just used the limit up. */
+  /** A gateway that starts may replace one that has just used up the limit. */
   @Test
-  void beginsEmptyAndRefillsByItsRate() {
+  void startsEmptyAndRefillsAtItsRate() {
     HardLimit limit = new HardLimit(fixture.context, QuotaFixture.HARD_LIMIT, 2);
     assertFalse(limit.tryAcquire(1, true));
     limit.refill(0.5);
-    assertTrue(limit.tryAcquire(1, false), "half of 4 units a second, in half a second");
+    assertTrue(limit.tryAcquire(1, false), "half of 4 units per second, for half a second");
     assertFalse(limit.tryAcquire(1, false));
   }
 
   @Test
-  void twoGatewaysHaveHalfEachAndShareNothing() {
+  void splitsBucketEvenlyBetweenTwoGateways() {
     HardLimit limit = full(2);
     assertTrue(limit.tryAcquire(10.5, true), "half of 21");
     assertFalse(limit.tryAcquire(0.1, true));
   }
 
-  /** Four gateways: each largest request of 4 fits locally, which takes 16 of 20 units. */
+  /**
+   * Each of the four local parts has room for a request of the maximum size of 4 units, which uses
+   * 16 of the 20 units.
+   */
   @Test
-  void onlyConfirmedRequestsDrawOnTheSharedPart() {
+  void allowsSharedPartOnlyForConfirmedRequests() {
     HardLimit limit = full(4);
     assertFalse(limit.tryAcquire(4.25, false), "the local part is 21 * 0.8 / 4, or 4.2");
     assertTrue(limit.tryAcquire(4.1, true), "the shared part is 21 * 0.2, or 4.2");
-    assertTrue(limit.tryAcquire(4.1, false), "the local part was not touched");
+    assertTrue(limit.tryAcquire(4.1, false), "the local part is still full");
     assertFalse(limit.tryAcquire(0.15, false));
     assertFalse(limit.tryAcquire(0.15, true));
   }
 
   @Test
-  void confirmedRequestsFallBackOnTheLocalPart() {
+  void usesLocalPartForConfirmedRequestsWhenSharedPartIsEmpty() {
     HardLimit limit = full(4);
     assertTrue(limit.tryAcquire(4.1, true));
     assertTrue(limit.tryAcquire(4.1, true));
@@ -56,7 +62,7 @@
   }
 
   @Test
-  void whatPeersUseIsTakenOffTheSharedPart() {
+  void subtractsPeerUseFromSharedPart() {
     HardLimit limit = full(4);
     limit.recordPeerUse(4);
     assertTrue(limit.tryAcquire(4.1, false));
@@ -64,22 +70,23 @@
     assertTrue(limit.tryAcquire(0.15, true));
   }
 
-  /** Peers may use what is returned to the count, so the local part has to pay for it. */
+  /** Peers may use the units returned to the shared count, so the local part has to cover them. */
   @Test
-  void returnedUnitsAreCoveredByTheLocalPart() {
+  void deductsReturnedUnitsFromLocalPart() {
     HardLimit limit = full(4);
     assertEquals(3, limit.deductReturnedUnits(3));
-    assertEquals(1.2, limit.deductReturnedUnits(3), 1e-9, "no more than the local part has");
+    assertEquals(
+        1.2, limit.deductReturnedUnits(3), 1e-9, "at most as many units as the local part has");
     assertFalse(limit.tryAcquire(0.1, false));
   }
 
   @Test
-  void returnsNeedNoCoverWhereNothingIsShared() {
+  void deductsNoReturnedUnitsWithoutSharedPart() {
     HardLimit limit = full(2);
     assertEquals(30, limit.deductReturnedUnits(30));
     assertTrue(limit.tryAcquire(10.5, false));
     HardLimit none = new HardLimit(fixture.context, QuotaFixture.BUCKET, 4);
     assertEquals(30, none.deductReturnedUnits(30));
-    assertTrue(none.tryAcquire(1_000, false), "no hard limit bounds nothing");
+    assertTrue(none.tryAcquire(1_000, false), "without a hard limit, nothing is limited");
   }
 }
--- a/src/test/java/quotagateway/policy/quota/PendingCounterCallsTest.java
+++ b/src/test/java/quotagateway/policy/quota/PendingCounterCallsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import quotagateway.policy.action.IncrementCounter;
 
-/** Replies belong to calls by name, in the order of the calls. */
+/** Tests that replies are matched to calls by counter name, in the order of the calls. */
 class PendingCounterCallsTest {
 
   private final QuotaFixture fixture = new QuotaFixture(2, true);
@@ -15,7 +15,7 @@
   private final CustomerAccount account = fixture.account(QuotaFixture.BUCKET, 2);
 
   @Test
-  void repliesBelongToTheCallsOfTheirNameInOrder() {
+  void matchesRepliesToCallsByNameInOrder() {
     PendingCounterCalls.Call first = new PendingCounterCalls.PermitRelease(account);
     PendingCounterCalls.Call second = new PendingCounterCalls.PermitRelease(account);
     PendingCounterCalls.Call other = new PendingCounterCalls.PermitRelease(account);
@@ -30,9 +30,9 @@
   }
 
   @Test
-  void aCallIsAnActionWithItsAmount() {
+  void emitsIncrementWithAmount() {
     calls.submit("a", -1.5, new PendingCounterCalls.PermitRelease(account));
     assertEquals(
-        new IncrementCounter("a", -1.5, PendingCounterCalls.COUNT_TTL_MS), fixture.onlyCall());
+        new IncrementCounter("a", -1.5, PendingCounterCalls.COUNT_TTL_MS), fixture.singleCall());
   }
 }
--- a/src/test/java/quotagateway/policy/quota/QuotaFixture.java
+++ b/src/test/java/quotagateway/policy/quota/QuotaFixture.java
@@ -9,29 +9,32 @@
 import quotagateway.policy.settings.Plan;
 import quotagateway.policy.settings.PolicySettings;
 
-/** What the classes of this package need: a context with a clock, plans, and a load that is set. */
+/** Test fixture of this package: a context with a clock, plans, and a configurable backend load. */
 final class QuotaFixture implements BackendLoad {
 
   static final long SEED = 7;
   static final double START_MS = 1_000_000;
   static final double MEAN_SERVICE_MS = 100;
 
-  /** 2 units a second, bursts of 10: its bucket is replicated. */
+  /** A rate of 2 units per second and a burst of 10: the bucket is replicated. */
   static final Plan BUCKET = new Plan("bucket", 2, 10, 0, 1, 0, 1, 0, 0, 0);
 
-  /** 0.5 units a second, bursts of 10: a refill takes 20 s, so it has fixed windows. */
+  /**
+   * A rate of 0.5 units per second and a burst of 10: a refill takes 20 s, so the windows are
+   * fixed.
+   */
   static final Plan FIXED_WINDOW = new Plan("fixed window", 0.5, 10, 0, 1, 0, 1, 0, 0, 0);
 
-  /** Two open requests. */
+  /** A concurrency limit of two open requests, without a rate. */
   static final Plan CONCURRENCY = new Plan("concurrency", 0, 0, 2, 1, 0, 1, 0, 0, 0);
 
-  /** As {@link #BUCKET}, with two open requests. */
+  /** {@link #BUCKET} with a concurrency limit of two open requests. */
   static final Plan RATE_AND_CONCURRENCY = new Plan("both", 2, 10, 2, 1, 0, 1, 0, 0, 0);
 
-  /** As {@link #BUCKET}, with a hard limit of 4 units a second and bursts of 20. */
+  /** {@link #BUCKET} with a hard limit of 4 units per second and a burst of 20. */
   static final Plan HARD_LIMIT = new Plan("hard limit", 2, 10, 0, 1, 0, 1, 4, 20, 2);
 
-  /** As {@link #BUCKET}, with a hard limit of 40 units a second and bursts of 200. */
+  /** {@link #BUCKET} with a hard limit of 40 units per second and a burst of 200. */
   static final Plan WIDE_HARD_LIMIT = new Plan("wide", 2, 10, 0, 1, 0, 1, 40, 200, 20);
 
   final DecisionContext context;
@@ -44,23 +47,23 @@
   }
 
   static PolicySettings settings(int gateways, boolean sharedCounter) {
-    PolicySettings usual = PolicyFixture.settings(sharedCounter, gateways, false);
+    PolicySettings defaults = PolicyFixture.settings(sharedCounter, gateways, false);
     return new PolicySettings(
         gateways,
         0,
-        usual.zone(),
-        usual.maxRequestUnits(),
-        usual.crossZonePrice(),
-        usual.endpointWeightsTold(),
-        usual.requestClasses(),
+        defaults.zone(),
+        defaults.maxRequestUnits(),
+        defaults.crossZonePrice(),
+        defaults.endpointWeightsTold(),
+        defaults.requestClasses(),
         List.of(
             BUCKET, FIXED_WINDOW, CONCURRENCY, RATE_AND_CONCURRENCY, HARD_LIMIT, WIDE_HARD_LIMIT),
-        usual.capabilities(),
-        usual.rules());
+        defaults.capabilities(),
+        defaults.rules());
   }
 
-  /** Begins an event so much later; its actions are collected anew. */
-  QuotaFixture pass(double ms) {
+  /** Advances the clock and begins an event with an empty list of actions. */
+  QuotaFixture advanceTime(double ms) {
     nowMs += ms;
     context.begin(nowMs);
     return this;
@@ -80,7 +83,9 @@
         id, null, plan.name(), customer, gateways, units, nowMs + 4_000, null);
   }
 
-  /** The calls to the counter made in the present event. */
+  /**
+   * Returns the calls to the counter that the current event has emitted. Fails on any other action.
+   */
   List<IncrementCounter> calls() {
     return context.actions().stream()
         .map(
@@ -88,14 +93,14 @@
               if (action instanceof IncrementCounter call) {
                 return call;
               }
-              throw new AssertionError("no call to the counter: " + action);
+              throw new AssertionError("expected a call to the counter, got: " + action);
             })
         .toList();
   }
 
-  IncrementCounter onlyCall() {
+  IncrementCounter singleCall() {
     if (calls().size() != 1) {
-      throw new AssertionError("not one call: " + calls());
+      throw new AssertionError("expected exactly one call, got: " + calls());
     }
     return calls().get(0);
   }
--- a/src/test/java/quotagateway/policy/quota/QuotaLimiterTest.java
+++ b/src/test/java/quotagateway/policy/quota/QuotaLimiterTest.java
@@ -15,7 +15,7 @@
 import quotagateway.policy.quota.QuotaDecision.PendingCounterReply;
 import quotagateway.policy.settings.Plan;
 
-/** Decisions about single requests of one customer. */
+/** Tests the decisions on single requests of one customer. */
 class QuotaLimiterTest {
 
   private static final double EXACT = 1e-9;
@@ -23,15 +23,15 @@
 
   private QuotaFixture fixture = new QuotaFixture(2, true);
   private QuotaLimiter limiter = new QuotaLimiter(fixture.context, fixture);
-  private int requests;
+  private int requestCount;
 
   private QuotaReservation open(Plan plan, double units) {
-    return limiter.open(fixture.request("r" + requests++, plan, 42, units), 1);
+    return limiter.open(fixture.request("r" + requestCount++, plan, 42, units), 1);
   }
 
-  /** Opens a request whose quota waits for the reply to the only call of this event. */
+  /** Opens a request whose decision waits for the reply to the only call of the current event. */
   private QuotaReservation pending(Plan plan, double units) {
-    fixture.pass(1);
+    fixture.advanceTime(1);
     QuotaReservation reservation = open(plan, units);
     assertInstanceOf(PendingCounterReply.class, limiter.acquire(reservation));
     assertTrue(reservation.isAwaitingCounter());
@@ -39,12 +39,12 @@
   }
 
   /**
-   * Replies to the only call of this event. A failure comes as after a stall of this gateway, which
-   * leaves the throttle of calls alone: that has a test of its own.
+   * Replies to the only call of the current event. Failures are reported as if this gateway had
+   * stalled, so that they do not affect the call throttle, which has its own test.
    */
   private Optional<CounterReplyDecision> reply(Status status, double total) {
-    IncrementCounter call = fixture.onlyCall();
-    fixture.pass(2);
+    IncrementCounter call = fixture.singleCall();
+    fixture.advanceTime(2);
     return limiter.onCounterReplied(
         new CounterReplied(call.counterName(), status, total, 2), status != Status.OK);
   }
@@ -52,35 +52,42 @@
   private void assertDecides(
       Class<? extends QuotaDecision> kind, Optional<CounterReplyDecision> decision) {
     assertInstanceOf(kind, decision.orElseThrow().decision());
-    assertEquals("r" + (requests - 1), decision.orElseThrow().requestId());
+    assertEquals("r" + (requestCount - 1), decision.orElseThrow().requestId());
   }
 
-  /** What the next call would add for a request of one unit: the unit, and all unsettled ones. */
+  /**
+   * Returns the units that the next call adds for a request of one unit: that unit and all
+   * unsettled units.
+   */
   private double nextCallAdds() {
     pending(QuotaFixture.BUCKET, 1);
-    return fixture.onlyCall().amount();
+    return fixture.singleCall().amount();
   }
 
   @Test
-  void theReplyToTheCallDecides() {
+  void admitsRequestOnReplyWithinQuota() {
     QuotaReservation reservation = pending(QuotaFixture.BUCKET, 3);
-    assertEquals(3, fixture.onlyCall().amount());
+    assertEquals(3, fixture.singleCall().amount());
     assertDecides(Admitted.class, reply(Status.OK, 3));
     assertFalse(reservation.isAwaitingCounter());
   }
 
   @Test
-  void aTotalBeyondTheQuotaRejectsAndIsTakenOffAgain() {
+  void rejectsRequestAndSubtractsItsUnitsWhenTotalExceedsQuota() {
     pending(QuotaFixture.BUCKET, 3);
     Optional<CounterReplyDecision> decision = reply(Status.OK, 200);
     assertDecides(OverQuota.class, decision);
-    fixture.pass(500);
+    fixture.advanceTime(500);
     pending(QuotaFixture.BUCKET, 1);
-    assertEquals(-3, fixture.onlyCall().amount(), EXACT, "it only reads, as the bucket is empty");
+    assertEquals(
+        -3,
+        fixture.singleCall().amount(),
+        EXACT,
+        "the call adds nothing for the request, as the bucket is empty");
   }
 
   @Test
-  void theAdviceIsTheTimeInWhichMissingUnitsAreRefilled() {
+  void advisesRetryAfterMissingUnitsAreRefilled() {
     QuotaReservation first = pending(QuotaFixture.BUCKET, 4);
     reply(Status.OK, 4);
     QuotaReservation second = pending(QuotaFixture.BUCKET, 4);
@@ -88,28 +95,30 @@
     limiter.settle(first, 4);
     limiter.settle(second, 4);
     QuotaDecision decision = limiter.acquire(open(QuotaFixture.BUCKET, 4));
-    OverQuota rejected = assertInstanceOf(OverQuota.class, decision, "2 of 10 are left");
-    assertEquals(1_000, rejected.retryAfterMs(), 20, "2 more at 2 units a second");
+    OverQuota rejected = assertInstanceOf(OverQuota.class, decision, "2 of 10 units are left");
+    assertEquals(1_000, rejected.retryAfterMs(), 20, "2 missing units at 2 units per second");
   }
 
-  /** Told to come back as soon as its rate allows, a client would only be rejected again. */
+  /** If the advice depended on the rate, the client would retry too early and be rejected again. */
   @Test
-  void theAdviceAtAConcurrencyLimitIsTheTimeInWhichARequestEnds() {
-    QuotaFixture uncounted = new QuotaFixture(1, false);
-    QuotaLimiter ownLimiter = new QuotaLimiter(uncounted.context, uncounted);
+  void advisesRetryAfterServiceTimeAtConcurrencyLimit() {
+    QuotaFixture withoutCounter = new QuotaFixture(1, false);
+    QuotaLimiter localLimiter = new QuotaLimiter(withoutCounter.context, withoutCounter);
     Plan plan = QuotaFixture.RATE_AND_CONCURRENCY;
     QuotaDecision decision = null;
     for (int i = 0; i < 3; i++) {
-      QuotaReservation reservation = ownLimiter.open(uncounted.request("r" + i, plan, 42, 1), 1);
-      decision = ownLimiter.acquire(reservation);
-      ownLimiter.attemptStarted(reservation);
+      QuotaReservation reservation =
+          localLimiter.open(withoutCounter.request("r" + i, plan, 42, 1), 1);
+      decision = localLimiter.acquire(reservation);
+      localLimiter.attemptStarted(reservation);
     }
-    OverQuota rejected = assertInstanceOf(OverQuota.class, decision, "two are open");
+    OverQuota rejected =
+        assertInstanceOf(OverQuota.class, decision, "two requests are already open");
     assertEquals(QuotaFixture.MEAN_SERVICE_MS, rejected.retryAfterMs());
   }
 
   @Test
-  void aPlanWithoutRateAndLimitsNeedsNoCall() {
+  void admitsWithoutCallWhenPlanHasNoRateAndNoLimits() {
     CustomerAccount account = fixture.account(UNLIMITED, 2);
     QuotaReservation reservation = new QuotaReservation("r", account, 1_000, 1);
     assertInstanceOf(Admitted.class, limiter.acquire(reservation));
@@ -117,47 +126,50 @@
   }
 
   @Test
-  void anExhaustedCustomerIsRejectedWithoutACall() {
+  void rejectsWithoutCallWhenCustomerIsKnownExhausted() {
     pending(QuotaFixture.BUCKET, 3);
     reply(Status.OK, 200);
-    fixture.pass(10);
+    fixture.advanceTime(10);
     assertInstanceOf(OverQuota.class, limiter.acquire(open(QuotaFixture.BUCKET, 3)));
     assertTrue(fixture.calls().isEmpty());
   }
 
   @Test
-  void withoutACounterTheReplicaDecides() {
+  void decidesByReplicaWithoutSharedCounter() {
     fixture = new QuotaFixture(2, false);
     limiter = new QuotaLimiter(fixture.context, fixture);
     assertInstanceOf(Admitted.class, limiter.acquire(open(QuotaFixture.BUCKET, 4)));
-    assertInstanceOf(OverQuota.class, limiter.acquire(open(QuotaFixture.BUCKET, 4)), "5 are ours");
+    assertInstanceOf(
+        OverQuota.class,
+        limiter.acquire(open(QuotaFixture.BUCKET, 4)),
+        "this gateway's share is 5 units");
     assertTrue(fixture.calls().isEmpty());
   }
 
-  // Replies that do not come in time
+  // Replies that do not arrive in time
 
   @Test
-  void aWaitThatEndsIsDecidedByTheReplica() {
+  void decidesByReplicaWhenWaitEnds() {
     QuotaReservation reservation = pending(QuotaFixture.BUCKET, 3);
-    fixture.pass(50);
+    fixture.advanceTime(50);
     assertInstanceOf(Admitted.class, limiter.stopWaiting(reservation));
     assertFalse(reservation.isAwaitingCounter());
   }
 
-  /** Otherwise two requests would be admitted by the same units. */
+  /** Without this, two requests would be admitted with the same units. */
   @Test
-  void unitsThatOthersWaitForAreNotAvailableWithoutAReply() {
+  void excludesUnitsOfOtherPendingCallsWithoutReply() {
     QuotaReservation first = pending(QuotaFixture.BUCKET, 6);
     QuotaReservation second = pending(QuotaFixture.BUCKET, 6);
     assertInstanceOf(OverQuota.class, limiter.stopWaiting(second));
-    assertInstanceOf(OverQuota.class, limiter.stopWaiting(first), "as long as both are under way");
+    assertInstanceOf(OverQuota.class, limiter.stopWaiting(first), "both calls have no reply yet");
   }
 
   @Test
-  void aReplyThatComesTooLateDecidesNothingAndNothingIsAddedTwice() {
+  void ignoresLateReplyAndAddsUnitsOnlyOnce() {
     QuotaReservation reservation = pending(QuotaFixture.BUCKET, 3);
-    IncrementCounter call = fixture.onlyCall();
-    fixture.pass(50);
+    IncrementCounter call = fixture.singleCall();
+    fixture.advanceTime(50);
     limiter.stopWaiting(reservation);
     CounterReplied late = new CounterReplied(call.counterName(), Status.OK, 3, 60);
     assertTrue(limiter.onCounterReplied(late, false).isEmpty());
@@ -165,10 +177,10 @@
   }
 
   @Test
-  void aReplyForARequestThatWasRejectedMeanwhileIsTakenOffAgain() {
+  void subtractsUnitsOfLateReplyForEndedRequest() {
     QuotaReservation reservation = pending(QuotaFixture.BUCKET, 3);
-    IncrementCounter call = fixture.onlyCall();
-    fixture.pass(50);
+    IncrementCounter call = fixture.singleCall();
+    fixture.advanceTime(50);
     limiter.cancelWait(reservation);
     assertFalse(reservation.isAwaitingCounter());
     limiter.end(reservation);
@@ -178,29 +190,38 @@
   }
 
   @Test
-  void aFailedCallThatAddedNothingIsAddedWithTheNextOne() {
+  void addsUnitsWithNextCallWhenFailedCallAddedNothing() {
     pending(QuotaFixture.BUCKET, 3);
     assertDecides(Admitted.class, reply(Status.REJECTED, 0));
     assertEquals(1 + 3, nextCallAdds(), EXACT);
   }
 
-  /** Whether it was added shows in the next total; until then it is neither added nor taken off. */
+  /**
+   * The next total shows whether the units were added. Until then they are neither added nor
+   * subtracted again.
+   */
   @Test
-  void aFailedCallThatMayHaveAddedIsNotAddedAgain() {
+  void addsNothingAgainWhenFailedCallMayHaveAddedUnits() {
     pending(QuotaFixture.BUCKET, 3);
     assertDecides(Admitted.class, reply(Status.TIMED_OUT, 0));
     assertEquals(1, nextCallAdds(), EXACT);
   }
 
-  /** A connection that breaks says nothing of the counter, which still replies over another. */
+  /**
+   * A broken connection does not show the state of the counter, which may still reply over another
+   * connection.
+   */
   @Test
-  void aCallThatBrokeWithItsConnectionIsReadAgainOnce() {
+  void rereadsTotalOnceAfterBrokenConnection() {
     for (Status broken : new Status[] {Status.RESET, Status.MALFORMED_RESPONSE}) {
       fixture = new QuotaFixture(2, true);
       limiter = new QuotaLimiter(fixture.context, fixture);
       QuotaReservation reservation = pending(QuotaFixture.BUCKET, 3);
       assertTrue(reply(broken, 0).isEmpty());
-      assertEquals(0, fixture.onlyCall().amount(), "it may have been added, so it is only read");
+      assertEquals(
+          0,
+          fixture.singleCall().amount(),
+          "the units may have been added, so the second call only reads");
       assertTrue(reservation.isAwaitingCounter());
       assertDecides(Admitted.class, reply(broken, 0));
       assertTrue(fixture.calls().isEmpty());
@@ -208,7 +229,7 @@
   }
 
   @Test
-  void theSecondReadingShowsThatTheFirstCallAddedNothing() {
+  void addsUnitsWithNextCallWhenRereadShowsTheyWereNotAdded() {
     pending(QuotaFixture.BUCKET, 3);
     reply(Status.RESET, 0);
     assertDecides(Admitted.class, reply(Status.OK, 0));
@@ -216,31 +237,31 @@
   }
 
   @Test
-  void theSecondReadingShowsThatTheFirstCallWasAdded() {
+  void addsNothingAgainWhenRereadShowsUnitsWereAdded() {
     pending(QuotaFixture.BUCKET, 3);
     reply(Status.RESET, 0);
     assertDecides(Admitted.class, reply(Status.OK, 3));
     assertEquals(1, nextCallAdds(), EXACT);
   }
 
-  /** Unlike in a bucket, what a rejected request added stays in the count of its window. */
+  /** Unlike in a bucket, the units of a rejected request remain in the count of a fixed window. */
   @Test
-  void aRejectionInAFixedWindowIsNotTakenOff() {
+  void keepsUnitsOfRejectedRequestInFixedWindow() {
     pending(QuotaFixture.FIXED_WINDOW, 3);
     assertDecides(OverQuota.class, reply(Status.OK, 12));
-    fixture.pass(25_000);
+    fixture.advanceTime(25_000);
     pending(QuotaFixture.FIXED_WINDOW, 1);
-    assertEquals(1, fixture.onlyCall().amount(), EXACT);
+    assertEquals(1, fixture.singleCall().amount(), EXACT);
   }
 
   @Test
-  void repliesThatNobodyWaitsForAreIgnored() {
+  void ignoresReplyWithoutPendingCall() {
     CounterReplied unknown = new CounterReplied("nothing", Status.OK, 5, 1);
     assertTrue(limiter.onCounterReplied(unknown, false).isEmpty());
   }
 
   @Test
-  void loadedBackendsGetNothingUnconfirmed() {
+  void rejectsUnconfirmedRequestWhenBackendsAreOverloaded() {
     QuotaReservation confirmed = pending(QuotaFixture.BUCKET, 1);
     fixture.overloaded = true;
     assertDecides(Admitted.class, reply(Status.OK, 1));
@@ -249,13 +270,17 @@
     assertInstanceOf(OverQuota.class, limiter.stopWaiting(unconfirmed));
   }
 
-  /** Many gateways admit unconfirmed requests of a fixed window; each only its part of it. */
+  /**
+   * Many gateways may admit unconfirmed requests of a fixed window, but each only up to its share.
+   */
   @Test
-  void fixedWindowsAdmitNoMoreThanTheLocalPartUnconfirmed() {
+  void limitsUnconfirmedRequestsOfFixedWindowToLocalShare() {
     QuotaReservation large = pending(QuotaFixture.FIXED_WINDOW, 4);
     assertInstanceOf(
-        OverQuota.class, limiter.stopWaiting(large), "a random part of a largest request");
-    fixture.pass(16_000);
+        OverQuota.class,
+        limiter.stopWaiting(large),
+        "the share starts with a random part of the maximum request size");
+    fixture.advanceTime(16_000);
     QuotaReservation later = pending(QuotaFixture.FIXED_WINDOW, 4);
     assertInstanceOf(Admitted.class, limiter.stopWaiting(later));
   }
@@ -263,7 +288,7 @@
   // After the decision
 
   @Test
-  void chargedUnitsAreSettledWithTheNextCall() {
+  void settlesChargedUnitsWithNextCall() {
     QuotaReservation reservation = pending(QuotaFixture.BUCKET, 2);
     reply(Status.OK, 2);
     limiter.settle(reservation, 4);
@@ -271,7 +296,7 @@
   }
 
   @Test
-  void anUnknownChargeLeavesTheEstimate() {
+  void keepsEstimateWhenChargedUnitsAreUnknown() {
     QuotaReservation reservation = pending(QuotaFixture.BUCKET, 2);
     reply(Status.OK, 2);
     limiter.settle(reservation, 0);
@@ -279,7 +304,7 @@
   }
 
   @Test
-  void aRefundIsTakenOffTheCountOnce() {
+  void subtractsRefundedUnitsOnce() {
     QuotaReservation reservation = pending(QuotaFixture.BUCKET, 2);
     reply(Status.OK, 2);
     limiter.refund(reservation);
@@ -287,39 +312,48 @@
     assertEquals(1 - 2, nextCallAdds(), EXACT);
   }
 
-  /** Unneeded units of a hard limit are given to peers only as far as the local part pays. */
+  /**
+   * Unneeded units of a hard limit are returned to peers only as far as the local part covers them.
+   */
   @Test
-  void unneededUnitsOfASharedHardLimitAreReturnedAsFarAsCovered() {
+  void returnsUnneededHardLimitUnitsOnlyAsFarAsLocalPartCovers() {
     fixture = new QuotaFixture(10, true);
     limiter = new QuotaLimiter(fixture.context, fixture);
     open(QuotaFixture.WIDE_HARD_LIMIT, 4);
-    fixture.pass(60_000);
+    fixture.advanceTime(60_000);
     QuotaReservation confirmed = pending(QuotaFixture.WIDE_HARD_LIMIT, 4);
     assertDecides(Admitted.class, reply(Status.OK, 4));
     QuotaReservation unconfirmed = pending(QuotaFixture.WIDE_HARD_LIMIT, 4);
-    assertInstanceOf(Admitted.class, limiter.stopWaiting(unconfirmed), "of 210 * 0.2 / 10, or 4.2");
+    assertInstanceOf(
+        Admitted.class,
+        limiter.stopWaiting(unconfirmed),
+        "the local part is 210 * 0.2 / 10, or 4.2");
     assertTrue(reply(Status.OK, 8).isEmpty());
     limiter.settle(confirmed, 1);
     pending(QuotaFixture.WIDE_HARD_LIMIT, 1);
-    assertEquals(0.2, 1 - fixture.onlyCall().amount(), 0.02, "not 3: only 0.2 are left to pay");
+    assertEquals(
+        0.2,
+        1 - fixture.singleCall().amount(),
+        0.02,
+        "of 3 unneeded units, the local part covers only 0.2");
   }
 
   // Concurrency limits
 
   @Test
-  void aPermitComesBeforeTheUnits() {
+  void acquiresPermitBeforeUnits() {
     fixture = new QuotaFixture(5, true);
     limiter = new QuotaLimiter(fixture.context, fixture);
     QuotaReservation reservation = pending(QuotaFixture.CONCURRENCY, 1);
-    assertEquals(1, fixture.onlyCall().amount());
-    assertTrue(fixture.onlyCall().counterName().contains(":o"));
+    assertEquals(1, fixture.singleCall().amount());
+    assertTrue(fixture.singleCall().counterName().contains(":o"));
     assertDecides(Admitted.class, reply(Status.OK, 2));
     limiter.end(reservation);
-    assertEquals(-1, fixture.onlyCall().amount());
+    assertEquals(-1, fixture.singleCall().amount());
   }
 
   @Test
-  void withoutAPermitItIsOverQuotaUntilAnotherEnds() {
+  void isOverQuotaForAServiceTimeWithoutPermit() {
     fixture = new QuotaFixture(5, true);
     limiter = new QuotaLimiter(fixture.context, fixture);
     pending(QuotaFixture.CONCURRENCY, 1);
@@ -328,11 +362,11 @@
     assertEquals(
         new OverQuota(QuotaFixture.MEAN_SERVICE_MS),
         decision.orElseThrow().decision(),
-        "in about a service time");
+        "a permit is expected within about one service time");
   }
 
   @Test
-  void aWaitForAPermitThatEndsIsDecidedByTheLocalPart() {
+  void decidesByLocalShareWhenWaitForPermitEnds() {
     fixture = new QuotaFixture(5, true);
     limiter = new QuotaLimiter(fixture.context, fixture);
     QuotaReservation first = pending(QuotaFixture.CONCURRENCY, 1);
@@ -342,14 +376,14 @@
   }
 
   @Test
-  void onlyPlansThatEarnByItAndHaveNoHardLimitMayExceedTheirQuota() {
-    assertFalse(reservationOf(0.5, 1, 0).mayExceedQuota());
-    assertFalse(reservationOf(1, 1, 0).mayExceedQuota());
-    assertTrue(reservationOf(2, 1, 0).mayExceedQuota());
-    assertFalse(reservationOf(2, 1, 4).mayExceedQuota());
+  void mayExceedQuotaOnlyWhenProfitableWithoutHardLimit() {
+    assertFalse(reservation(0.5, 1, 0).mayExceedQuota());
+    assertFalse(reservation(1, 1, 0).mayExceedQuota());
+    assertTrue(reservation(2, 1, 0).mayExceedQuota());
+    assertFalse(reservation(2, 1, 4).mayExceedQuota());
   }
 
-  private QuotaReservation reservationOf(double revenue, double cost, double hardLimit) {
+  private QuotaReservation reservation(double revenue, double cost, double hardLimit) {
     Plan plan = new Plan("p", 2, 10, 0, 3, revenue, cost, hardLimit, 20, 2);
     QuotaReservation reservation = new QuotaReservation("r", fixture.account(plan, 2), 1, 5);
     assertEquals(3 * 5, reservation.priorityWeight());
--- a/src/test/java/quotagateway/policy/quota/UseRatesTest.java
+++ b/src/test/java/quotagateway/policy/quota/UseRatesTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Rates that forget; the old ones keep 1/e of their weight over one lifetime. */
+/** Tests rates whose old values keep 1/e of their weight over one lifetime. */
 class UseRatesTest {
 
   private static final double LIFETIME_MS = 5_000;
@@ -13,13 +13,13 @@
   private final UseRates rates = new UseRates(4);
 
   @Test
-  void beginsWithAnAssumptionAboutThePeers() {
+  void startsWithAssumedPeerRate() {
     assertEquals(4, rates.peerUnitsPerSecond());
     assertEquals(0, rates.localUnitsPerSecond());
   }
 
   @Test
-  void newRatesReplaceOldOnesAsTheyAge() {
+  void replacesOldRatesAsTheyAge() {
     rates.update(10, 1_000, LIFETIME_MS, LIFETIME_MS);
     assertEquals(10 + (4 - 10) / Math.E, rates.peerUnitsPerSecond(), EXACT);
     rates.update(10, 1_000, 100 * LIFETIME_MS, LIFETIME_MS);
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void whatThisGatewayAdmittedCountsOnce() {
+  void countsLocalUseOnlyInNextUpdate() {
     rates.recordLocalUse(2);
     rates.recordLocalUse(4);
     rates.update(0, 2_000, 100 * LIFETIME_MS, LIFETIME_MS);
@@ -36,9 +36,9 @@
     assertEquals(0, rates.localUnitsPerSecond(), EXACT);
   }
 
-  /** Peers that return units, or a count that was emptied, show no negative use. */
+  /** Returned units or an emptied count must not lead to a negative rate. */
   @Test
-  void aRateIsNeverNegative() {
+  void keepsPeerRateNonNegative() {
     rates.update(-100, 1_000, LIFETIME_MS, LIFETIME_MS);
     assertEquals(0, rates.peerUnitsPerSecond());
   }
--- a/src/test/java/quotagateway/policy/retry/AttemptTimeoutTest.java
+++ b/src/test/java/quotagateway/policy/retry/AttemptTimeoutTest.java
@@ -11,7 +11,7 @@
 import quotagateway.policy.settings.Idempotency;
 import quotagateway.policy.settings.RequestClass;
 
-/** When an attempt may be cancelled so that another one fits. */
+/** Tests when an attempt may be cancelled to leave time for another one. */
 class AttemptTimeoutTest {
 
   private static final Capabilities ALLOWED = PolicyFixture.settings(true, 1, false).capabilities();
@@ -39,11 +39,11 @@
   }
 
   @Test
-  void leavesAThirdOfTheObjectiveToASecondAttempt() {
+  void treatsAttemptAsLostAfter65PercentOfObjective() {
     assertEquals(650, timeout.lossTimeoutMs(1_000));
   }
 
-  // One slow request looks like a lost one; cancelled again and again it would never be served.
+  // A slow request looks like a lost one. If it were cancelled repeatedly, it would never complete.
   @Test
   void cancelsOncePerRequest() {
     RequestAttempts attempts = attempts(Idempotency.IDEMPOTENT, ALLOWED, false);
@@ -53,25 +53,25 @@
   }
 
   @Test
-  void leavesAResponseAloneThatHasStarted() {
+  void doesNotCancelAfterResponseHasStarted() {
     RequestAttempts attempts = attempts(Idempotency.IDEMPOTENT, ALLOWED, false);
     attempts.recordResponseStart();
     assertFalse(timeout.mayCancel(attempts));
   }
 
   @Test
-  void cancelsOnlyWhatMayBeSentAgain() {
+  void cancelsOnlyRequestsThatCanBeSentAgain() {
     assertTrue(timeout.mayCancel(attempts(Idempotency.IDEMPOTENT_WITH_KEY, ALLOWED, false)));
     assertFalse(timeout.mayCancel(attempts(Idempotency.NOT_IDEMPOTENT, ALLOWED, false)));
     assertFalse(timeout.mayCancel(attempts(Idempotency.IDEMPOTENT, ALLOWED, true)));
   }
 
   @Test
-  void cancelsOnlyWhereTheSettingsAllowIt() {
+  void cancelsOnlyWhenSettingsAllowCancellation() {
     assertFalse(timeout.mayCancel(attempts(Idempotency.IDEMPOTENT, WITHOUT_CANCELLATION, false)));
   }
 
-  // Under overload every attempt is slow: cancelling them all would only add load.
+  // Under overload every attempt is slow, and cancelling all of them would only add load.
   @Test
   void cancelsOnlyWithinTheRetryBudget() {
     while (budget.hasToken()) {
--- a/src/test/java/quotagateway/policy/retry/RetryBudgetTest.java
+++ b/src/test/java/quotagateway/policy/retry/RetryBudgetTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How retries are earned and spent. */
+/** Tests how retries are earned and spent. */
 class RetryBudgetTest {
 
   private static int spendAll(RetryBudget budget) {
@@ -20,15 +20,15 @@
     return spent;
   }
 
-  // However many gateways there are, together they have 30 retries saved up, and each has one.
+  // All gateways together can save up to 30 retries, but each gateway at least one.
   @ParameterizedTest
   @CsvSource({"0, 30", "1, 30", "2, 15", "10, 3", "30, 1", "300, 1"})
-  void splitsTheSavedRetriesAmongTheGateways(int gatewayCount, int retries) {
+  void splitsSavedRetriesAmongGateways(int gatewayCount, int retries) {
     assertEquals(retries, spendAll(new RetryBudget(gatewayCount)));
   }
 
   @Test
-  void earnsAFewRetriesForManyRequests() {
+  void earnsOneRetryAfterSevenRequests() {
     RetryBudget budget = new RetryBudget(10);
     spendAll(budget);
     for (int i = 0; i < 6; i++) {
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void savesNoMoreThanItBeganWith() {
+  void savesAtMostItsInitialRetries() {
     RetryBudget budget = new RetryBudget(10);
     for (int i = 0; i < 1_000; i++) {
       budget.earn();
--- a/src/test/java/quotagateway/policy/retry/RetryPolicyTest.java
+++ b/src/test/java/quotagateway/policy/retry/RetryPolicyTest.java
@@ -17,7 +17,10 @@
 import quotagateway.policy.settings.PolicySettings;
 import quotagateway.policy.settings.RequestClass;
 
-/** With one gateway the budget begins with 30 retries, and four attempts are allowed. */
+/**
+ * Tests {@link RetryPolicy} with one gateway, whose budget begins with 30 retries, and a limit of
+ * four attempts.
+ */
 class RetryPolicyTest {
 
   private static final double START_MS = 1_000_000;
@@ -28,18 +31,19 @@
   private final PolicySettings settings = PolicyFixture.settings(true, 1, false);
   private final DecisionContext context = new DecisionContext(settings, 7);
   private final RetryBudget budget = new RetryBudget(1);
-  private final RetryPolicy retries = new RetryPolicy(context, budget);
+  private final RetryPolicy retryPolicy = new RetryPolicy(context, budget);
 
   RetryPolicyTest() {
     context.start(START_MS);
   }
 
   private RequestAttempts attempts(
-      Idempotency idempotency, DeduplicationScope scope, boolean forwards) {
+      Idempotency idempotency, DeduplicationScope scope, boolean forwardsBody) {
     RequestClass requestClass =
         new RequestClass("any", 1, 0, 1_000, 4_000, idempotency, scope, WINDOW_MS, false);
-    RequestAttempts attempts = new RequestAttempts(requestClass, settings.capabilities(), forwards);
-    retries.recordStart(attempts);
+    RequestAttempts attempts =
+        new RequestAttempts(requestClass, settings.capabilities(), forwardsBody);
+    retryPolicy.recordStart(attempts);
     return attempts;
   }
 
@@ -48,7 +52,7 @@
   }
 
   private boolean mayRetry(RequestAttempts attempts) {
-    return retries.mayRetry(attempts, DEADLINE_MS, SERVICE_MS);
+    return retryPolicy.mayRetry(attempts, DEADLINE_MS, SERVICE_MS);
   }
 
   private void spendBudget() {
@@ -57,8 +61,8 @@
     }
   }
 
-  // A request that must not be executed twice is charged or changes something: the client has to
-  // learn that nobody knows whether it was.
+  // A request that must not be executed twice may change something or be charged. If it may have
+  // been executed, the client has to learn that the outcome is unknown.
   @ParameterizedTest
   @CsvSource({
     "IDEMPOTENT, ERROR, true, true",
@@ -72,66 +76,67 @@
     "NOT_IDEMPOTENT, REJECTED, true, true",
     "NOT_IDEMPOTENT, NOT_SENT, true, true"
   })
-  void retriesAndRejectsOnlyWhatMayBeExecutedAgain(
+  void retriesAndRejectsOnlyRequestsThatMayBeExecutedAgain(
       Idempotency idempotency, Status status, boolean mayRetry, boolean mayReject) {
     RequestAttempts attempts = attempts(idempotency);
     attempts.recordEnd(status, START_MS);
     assertEquals(mayRetry, mayRetry(attempts));
-    assertEquals(mayReject, retries.mayReject(attempts));
+    assertEquals(mayReject, retryPolicy.mayReject(attempts));
   }
 
-  // Proof that the latest attempt was not executed says nothing of those before it.
+  // Proof that the latest attempt was not executed does not apply to earlier attempts.
   @Test
-  void remembersAnEarlierAttemptThatMayHaveBeenExecuted() {
+  void doesNotRetryWhenEarlierAttemptMayHaveBeenExecuted() {
     RequestAttempts attempts = attempts(Idempotency.NOT_IDEMPOTENT);
     attempts.recordEnd(Status.RESET, START_MS);
     attempts.recordEnd(Status.CONNECT_FAILED, START_MS);
     assertFalse(mayRetry(attempts));
   }
 
-  // The window begins with the first attempt that may have been executed, and ends a moment early,
-  // as the retry has to arrive within it.
+  // The window begins with the first attempt that may have been executed. Retries stop shortly
+  // before its end, because the retry has to reach the backend within it.
   @Test
-  void retriesWithAKeyUntilShortlyBeforeItsWindowEnds() {
+  void retriesWithKeyUntilShortlyBeforeDeduplicationWindowEnds() {
     RequestAttempts attempts = attempts(Idempotency.IDEMPOTENT_WITH_KEY);
-    assertEquals(Double.POSITIVE_INFINITY, retries.maxStartDelayMs(attempts));
+    assertEquals(Double.POSITIVE_INFINITY, retryPolicy.maxStartDelayMs(attempts));
     attempts.recordEnd(Status.ERROR, START_MS - 500);
     attempts.recordEnd(Status.ERROR, START_MS);
     double endMs = START_MS - 500 + WINDOW_MS;
-    assertEquals(endMs - 15 - START_MS, retries.maxStartDelayMs(attempts));
+    assertEquals(endMs - 15 - START_MS, retryPolicy.maxStartDelayMs(attempts));
     context.begin(endMs - 16);
     assertTrue(mayRetry(attempts));
-    assertTrue(retries.mayStart(attempts, DEADLINE_MS));
+    assertTrue(retryPolicy.mayStart(attempts, DEADLINE_MS));
     context.begin(endMs - 15);
     assertFalse(mayRetry(attempts));
-    assertFalse(retries.mayStart(attempts, DEADLINE_MS));
-    assertTrue(retries.mayReject(attempts));
+    assertFalse(retryPolicy.mayStart(attempts, DEADLINE_MS));
+    assertTrue(retryPolicy.mayReject(attempts));
     context.begin(endMs);
-    assertFalse(retries.mayReject(attempts));
+    assertFalse(retryPolicy.mayReject(attempts));
   }
 
-  // A client that sends a rejected request again may reach a backend that does not know the key.
+  // If the client sends a rejected request again, it may reach a backend that does not know the
+  // key.
   @ParameterizedTest
   @EnumSource(
       value = DeduplicationScope.class,
       names = {"ZONE", "CELL"})
-  void rejectsNothingThatOnlySomeBackendsDeduplicate(DeduplicationScope scope) {
+  void doesNotRejectWhenOnlySomeBackendsDeduplicate(DeduplicationScope scope) {
     RequestAttempts attempts = attempts(Idempotency.IDEMPOTENT_WITH_KEY, scope, false);
-    assertTrue(retries.mayReject(attempts));
+    assertTrue(retryPolicy.mayReject(attempts));
     attempts.recordEnd(Status.RESET, START_MS);
-    assertFalse(retries.mayReject(attempts));
+    assertFalse(retryPolicy.mayReject(attempts));
   }
 
-  // A body that is forwarded while it comes in is not kept: what has gone cannot be sent again.
+  // A forwarded body is not buffered, so the part that was sent cannot be sent again.
   @ParameterizedTest
   @CsvSource({"CONNECT_FAILED, true", "NOT_SENT, true", "WRITE_INCOMPLETE, false", "ERROR, false"})
-  void retriesAForwardedBodyOnlyWhereNothingWasSent(Status status, boolean mayRetry) {
+  void retriesForwardedBodyOnlyWhenNothingWasSent(Status status, boolean mayRetry) {
     RequestAttempts attempts = attempts(Idempotency.IDEMPOTENT, DeduplicationScope.ALL, true);
     attempts.recordEnd(status, START_MS);
     assertEquals(mayRetry, mayRetry(attempts));
   }
 
-  // Backends that time out under load would get every request several times.
+  // Without a budget, backends that time out under load would receive every request several times.
   @ParameterizedTest
   @CsvSource({
     "ERROR, false",
@@ -144,7 +149,7 @@
     "NOT_SENT, true",
     "MALFORMED_RESPONSE, true"
   })
-  void needsABudgetWhereTheFailureMayBeAnOverload(Status status, boolean withoutBudget) {
+  void needsBudgetWhenFailureMayIndicateOverload(Status status, boolean withoutBudget) {
     RequestAttempts attempts = attempts(Idempotency.IDEMPOTENT);
     attempts.recordEnd(status, START_MS);
     assertTrue(mayRetry(attempts));
@@ -153,7 +158,7 @@
   }
 
   @Test
-  void spendsATokenForARetryThatIsNotExempt() {
+  void spendsTokenForNonExemptRetry() {
     spendBudget();
     for (int i = 0; i < 7; i++) {
       budget.earn();
@@ -161,15 +166,15 @@
     assertTrue(budget.hasToken());
     RequestAttempts attempts = attempts(Idempotency.IDEMPOTENT);
     attempts.recordEnd(Status.CONNECT_FAILED, START_MS);
-    retries.recordStart(attempts);
+    retryPolicy.recordStart(attempts);
     assertTrue(budget.hasToken());
     attempts.recordEnd(Status.ERROR, START_MS);
-    retries.recordStart(attempts);
+    retryPolicy.recordStart(attempts);
     assertFalse(budget.hasToken());
   }
 
   @Test
-  void retriesOnlyWithHalfAServiceTimeLeft() {
+  void retriesOnlyWithHalfServiceTimeRemaining() {
     RequestAttempts attempts = attempts(Idempotency.IDEMPOTENT);
     context.begin(DEADLINE_MS - 50 - 15);
     assertTrue(mayRetry(attempts));
@@ -178,19 +183,19 @@
   }
 
   @Test
-  void startsNothingThatWouldBeAnsweredTooLate() {
+  void doesNotStartAttemptWithoutTimeForResponse() {
     RequestAttempts attempts = attempts(Idempotency.IDEMPOTENT);
     context.begin(DEADLINE_MS - 16);
-    assertEquals(1, retries.remainingMs(DEADLINE_MS));
-    assertTrue(retries.mayStart(attempts, DEADLINE_MS));
+    assertEquals(1, retryPolicy.remainingMs(DEADLINE_MS));
+    assertTrue(retryPolicy.mayStart(attempts, DEADLINE_MS));
     context.begin(DEADLINE_MS - 15);
-    assertFalse(retries.mayStart(attempts, DEADLINE_MS));
+    assertFalse(retryPolicy.mayStart(attempts, DEADLINE_MS));
   }
 
-  // Settings may change while a request is open: the lower limit of both holds.
+  // Settings may change while a request is open. The lower of both limits applies.
   @ParameterizedTest
   @CsvSource({"1, 1", "2, 2", "9, 4"})
-  void startsNoMoreAttemptsThanEitherSettingsAllow(int maxAttemptsNow, int expected) {
+  void limitsAttemptsToLowerLimitOfBothSettings(int maxAttemptsNow, int expected) {
     RequestAttempts attempts = attempts(Idempotency.IDEMPOTENT);
     Capabilities before = settings.capabilities();
     context.replaceSettings(
@@ -214,8 +219,8 @@
                 before.maxRetryAfterMs(),
                 before.pollsDiscovery()),
             settings.rules()));
-    while (retries.mayStart(attempts, DEADLINE_MS)) {
-      retries.recordStart(attempts);
+    while (retryPolicy.mayStart(attempts, DEADLINE_MS)) {
+      retryPolicy.recordStart(attempts);
     }
     assertEquals(expected, attempts.started());
   }
