--- a/src/main/java/quotagateway/policy/quota/CounterCallThrottle.java
+++ b/src/main/java/quotagateway/policy/quota/CounterCallThrottle.java
@@ -22,7 +22,7 @@
    */
   static final int MAX_CONSECUTIVE_FAILURES = 4;
 
-  /** Minimum interval between one gateway's probe calls while the counter is unavailable. */
+  /** Minimum mean interval between one gateway's probe calls while the counter is unavailable. */
   private static final double MIN_PROBE_SPACING_MS = 250;
 
   /** Minimum mean interval between the probe calls of all gateways together. */
--- a/src/test/java/quotagateway/policy/quota/CustomerAccountTest.java
+++ b/src/test/java/quotagateway/policy/quota/CustomerAccountTest.java
@@ -37,7 +37,10 @@
     account.correctCharge(-3);
     assertEquals(9, account.availableUnits(), EXACT);
     assertEquals(
-        1 - 3, account.settlement().beginCall(1), EXACT, "the call subtracts 3 units from the count");
+        1 - 3,
+        account.settlement().beginCall(1),
+        EXACT,
+        "the call subtracts 3 units from the count");
   }
 
   @Test
