--- a/src/main/java/quotagateway/policy/quota/CustomerAccount.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerAccount.java
@@ -250,8 +250,7 @@
     double unitsWithoutPeerUse =
         Math.min(bucketSizeUnits, availableUnits + unitsPerSecond * seconds);
     availableUnits =
-        Math.min(
-            bucketSizeUnits, availableUnits + (unitsPerSecond - peerUnitsPerSecond) * seconds);
+        Math.min(bucketSizeUnits, availableUnits + (unitsPerSecond - peerUnitsPerSecond) * seconds);
     assumedPeerUnits += unitsWithoutPeerUse - availableUnits;
   }
 
--- a/src/test/java/quotagateway/policy/quota/CustomerAccountTest.java
+++ b/src/test/java/quotagateway/policy/quota/CustomerAccountTest.java
@@ -25,7 +25,7 @@
   }
 
   /** Records a total of the current window for a call that added nothing. */
-  private void recordTotal(double totalUnits) {
+  private void recordTotalOfRead(double totalUnits) {
     account.recordTotal(currentWindow(), 0, 0, totalUnits);
   }
 
@@ -60,7 +60,7 @@
 
   @Test
   void subtractsUnitsAddedByPeers() {
-    recordTotal(5);
+    recordTotalOfRead(5);
     account.charge(1);
     advanceTime(1);
     double before = account.availableUnits();
@@ -71,16 +71,16 @@
   /** A counter that restarts loses its counts. Customers must not get a second burst from that. */
   @Test
   void returnsNoUnitsWhenCounterLostItsCounts() {
-    recordTotal(100);
+    recordTotalOfRead(100);
     double before = account.availableUnits();
     advanceTime(1);
-    recordTotal(2);
+    recordTotalOfRead(2);
     assertEquals(before - 2, account.availableUnits(), 0.01);
   }
 
   @Test
   void isKnownExhaustedUntilRecheckInterval() {
-    recordTotal(200);
+    recordTotalOfRead(200);
     assertTrue(account.isKnownExhausted(1));
     advanceTime(399);
     assertTrue(account.isKnownExhausted(4));
@@ -90,7 +90,7 @@
 
   @Test
   void countsInFlightUnitsAsUsedWhenCheckingExhaustion() {
-    recordTotal(0);
+    recordTotalOfRead(0);
     account.charge(7);
     assertFalse(account.isKnownExhausted(3));
     account.settlement().beginCall(1);
@@ -100,14 +100,14 @@
   /** The peers were assumed to use a part of the refill; the total shows that they did not. */
   @Test
   void returnsAssumedPeerUnitsThatWereNotUsed() {
-    recordTotal(0);
+    recordTotalOfRead(0);
     account.charge(8);
     advanceTime(1_000);
-    recordTotal(1.5);
+    recordTotalOfRead(1.5);
     assertEquals(2 + 2 - 1.5, account.availableUnits(), EXACT);
     advanceTime(1_000);
     assertTrue(account.availableUnits() < 4.4, "the assumed peer use is 0.27 units per second");
-    recordTotal(1.5);
+    recordTotalOfRead(1.5);
     assertEquals(2.5 + 2, account.availableUnits(), EXACT);
   }
 
@@ -145,10 +145,10 @@
   @Test
   void settlesUnconfirmedUnitsMissingFromTotal() {
     account.settlement().addUnconfirmed(3);
-    recordTotal(3);
+    recordTotalOfRead(3);
     assertEquals(0, account.settlement().beginCall(0), EXACT);
     account.settlement().addUnconfirmed(3);
-    recordTotal(4);
+    recordTotalOfRead(4);
     assertEquals(
         2, account.settlement().beginCall(0), EXACT, "2 of 3 units have to be added again");
   }
--- a/src/test/java/quotagateway/policy/quota/QuotaLimiterTest.java
+++ b/src/test/java/quotagateway/policy/quota/QuotaLimiterTest.java
@@ -377,13 +377,13 @@
 
   @Test
   void mayExceedQuotaOnlyWhenProfitableWithoutHardLimit() {
-    assertFalse(reservation(0.5, 1, 0).mayExceedQuota());
-    assertFalse(reservation(1, 1, 0).mayExceedQuota());
-    assertTrue(reservation(2, 1, 0).mayExceedQuota());
-    assertFalse(reservation(2, 1, 4).mayExceedQuota());
+    assertFalse(reservationForPlan(0.5, 1, 0).mayExceedQuota());
+    assertFalse(reservationForPlan(1, 1, 0).mayExceedQuota());
+    assertTrue(reservationForPlan(2, 1, 0).mayExceedQuota());
+    assertFalse(reservationForPlan(2, 1, 4).mayExceedQuota());
   }
 
-  private QuotaReservation reservation(double revenue, double cost, double hardLimit) {
+  private QuotaReservation reservationForPlan(double revenue, double cost, double hardLimit) {
     Plan plan = new Plan("p", 2, 10, 0, 3, revenue, cost, hardLimit, 20, 2);
     QuotaReservation reservation = new QuotaReservation("r", fixture.account(plan, 2), 1, 5);
     assertEquals(3 * 5, reservation.priorityWeight());
