--- a/src/main/java/quotagateway/Main.java
+++ b/src/main/java/quotagateway/Main.java
@@ -6,8 +6,8 @@
 import quotagateway.simulator.SimulatorAdapter;
 
 /**
- * The program's commands: {@code serve} is the gateway, {@code simulator-adapter} its policy alone,
- * which the simulator plays over standard input and output.
+ * The commands of the program: {@code serve} runs the gateway, and {@code simulator-adapter} runs
+ * only its policy, driven by the simulator over standard input and output.
  */
 public final class Main {
 
@@ -16,12 +16,14 @@
 
   private Main() {}
 
-  /** Runs the command that is the only argument; exits with 2 where there is no such command. */
+  /**
+   * Runs the command given as the only argument; exits with status 2 if there is no such command.
+   */
   public static void main(String[] args) throws InterruptedException {
     String command = args.length == 1 ? args[0] : "";
     switch (command) {
       case "serve" -> serve();
-      case "simulator-adapter" -> adaptSimulator();
+      case "simulator-adapter" -> runSimulatorAdapter();
       default -> {
         System.err.println("usage: java -jar quota-gateway.jar serve|simulator-adapter");
         System.exit(EXIT_USAGE);
@@ -37,7 +39,7 @@
     }
   }
 
-  private static void adaptSimulator() {
+  private static void runSimulatorAdapter() {
     try {
       new SimulatorAdapter(System.in, System.out).run();
     } catch (IOException | RuntimeException e) {
@@ -45,7 +47,7 @@
     }
   }
 
-  /** Ends the process with one line: whoever starts it sees no stack trace, but the reason. */
+  /** Exits after printing a single line with the reason, without a stack trace. */
   private static void fail(String event, Exception cause) {
     String reason = String.valueOf(cause.getMessage()).lines().findFirst().orElse("");
     System.err.println("quota-gateway: " + event + ": " + reason);
--- a/src/main/java/quotagateway/admin/AdminServer.java
+++ b/src/main/java/quotagateway/admin/AdminServer.java
@@ -36,22 +36,25 @@
 import quotagateway.transport.SocketTransport;
 
 /**
- * The operators' calls: whether this process can serve ({@code GET /ready}), to drain it ({@code
- * POST /drain}), and to take it back ({@code POST /undrain}). It only reads and changes the {@link
- * Lifecycle}.
+ * Serves the calls of operators: {@code GET /ready} reports whether this process can serve, {@code
+ * POST /drain} drains it, and {@code POST /undrain} ends the drain. The server only reads and
+ * changes the {@link Lifecycle}.
  *
- * <p>On an address and an event loop of its own. Prevents operators from waiting, or from being
- * kept out, when clients' requests fill the other loop or the descriptors. Cost: a thread and a few
- * descriptors.
+ * <p>The server has its own address and event loop. Otherwise operators would have to wait, or
+ * could not connect, when clients' requests saturate the other loop or use up the descriptors. The
+ * drawback is one more thread and a few more descriptors.
  */
 public final class AdminServer {
 
   private static final Logger LOG = Logger.getLogger(AdminServer.class.getName());
 
-  /** A call is a few bytes from close by: one that is not whole by then will not be. */
+  /**
+   * Time limit for a call. A call is a few bytes from nearby; one that is incomplete by then is not
+   * expected to complete.
+   */
   private static final long CALL_TIMEOUT_MS = 1_000;
 
-  /** No call has a body; a caller may send a small one all the same. */
+  /** No call needs a body, but a caller may send a small one. */
   private static final int MAX_BODY_BYTES = 4_096;
 
   private final EventLoopGroup group =
@@ -59,17 +62,17 @@
   private final Lifecycle lifecycle;
   private final BooleanSupplier ready;
 
-  /** Connections of callers, the oldest first. */
+  /** Connections of callers, oldest first. */
   private final ArrayDeque<Channel> callers =
       new ArrayDeque<>(ResourceLimits.MAX_ADMIN_CONNECTIONS);
 
-  private final Channel listener;
+  private final Channel serverChannel;
 
   /**
-   * Listens on the address.
+   * Creates a server and listens on the address.
    *
-   * @param ready whether the gateway can serve; asked on this server's thread
-   * @throws IOException where the address cannot be listened on
+   * @param ready whether the gateway can serve; called on this server's thread
+   * @throws IOException if the server cannot listen on the address
    */
   public AdminServer(InetSocketAddress address, Lifecycle lifecycle, BooleanSupplier ready)
       throws IOException {
@@ -89,7 +92,7 @@
                 })
             .bind(address)
             .awaitUninterruptibly();
-    listener = bound.channel();
+    serverChannel = bound.channel();
     if (!bound.isSuccess()) {
       close();
       Throwable cause = bound.cause();
@@ -101,9 +104,10 @@
   }
 
   /**
-   * Prevents callers that connect and never call from keeping others out: the oldest makes room for
-   * the next, and each is closed after a second. Cost: of more callers at a time than there are
-   * connections, the first get no response.
+   * Sets up a caller's connection. At the limit, closes the oldest connection to make room, and
+   * closes each connection after {@link #CALL_TIMEOUT_MS}. Without this, callers that connect and
+   * send no call would keep others out. The drawback is that when more callers connect at a time
+   * than there are connections, the first ones get no response.
    */
   private void accept(Channel channel) {
     while (callers.size() >= ResourceLimits.MAX_ADMIN_CONNECTIONS) {
@@ -121,20 +125,20 @@
             new CallHandler());
   }
 
-  /** Where operators connect. */
+  /** Returns the address on which operators connect. */
   public SocketAddress address() {
-    return listener.localAddress();
+    return serverChannel.localAddress();
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately. */
   public void close() {
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
   }
 
-  /** Responds to one call, and closes its connection. */
+  /** Responds to one call, and then closes its connection. */
   private final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
-    /** Whether the connection's one call has come: what follows gets no response. */
+    /** Whether the connection's only call has been received; any further call is ignored. */
     private boolean called;
 
     @Override
@@ -185,8 +189,8 @@
     if (!method.equals(HttpMethod.POST)) {
       return HttpResponseStatus.METHOD_NOT_ALLOWED;
     }
-    boolean done = change.getAsBoolean();
+    boolean succeeded = change.getAsBoolean();
     LOG.info("operator call path=" + path + " state=" + lifecycle.state());
-    return done ? HttpResponseStatus.OK : HttpResponseStatus.CONFLICT;
+    return succeeded ? HttpResponseStatus.OK : HttpResponseStatus.CONFLICT;
   }
 }
--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -18,13 +18,16 @@
 import quotagateway.transport.KernelSockets;
 
 /**
- * One client's connection: requests one at a time in the order of their coming, each with its one
- * final response. Reading requests, one exchange, writing responses and closing are {@link
- * RequestAssembler}'s, {@link Exchange}'s, {@link ResponseWriter}'s and {@link ConnectionCloser}'s.
- * On the event loop's thread; times are in milliseconds on the gateway's clock.
+ * One client connection. It handles requests one at a time in the order of their arrival, and each
+ * gets one final response. {@link RequestAssembler} reads requests, {@link Exchange} handles one
+ * request, {@link ResponseWriter} writes responses and {@link ConnectionCloser} closes the
+ * connection. Confined to the event loop's thread; times are in milliseconds on the gateway's
+ * clock.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
-    implements RequestAssembler.Listener, ConnectionCloser.Requests, ConnectionTimeouts.Activity {
+    implements RequestAssembler.Listener,
+        ConnectionCloser.PendingRequests,
+        ConnectionTimeouts.Activity {
 
   private static final Logger LOG = Logger.getLogger(ClientConnection.class.getName());
 
@@ -39,13 +42,16 @@
   /** Requests that wait for their turn. */
   private final ArrayDeque<InboundRequest> queue = new ArrayDeque<>(1);
 
-  /** Whether the first of them is about to have it. */
-  private boolean nextScheduled;
+  /** Whether a task that starts the next queued request is scheduled. */
+  private boolean nextRequestScheduled;
 
   /** The exchange that was started last, or null before the first. */
   private Exchange exchange;
 
-  /** The connection exceeds the budget: its first request is rejected, and it ends. */
+  /**
+   * Whether the connection exceeds the budget: its first request is rejected, and the connection is
+   * closed.
+   */
   private boolean overBudget;
 
   ClientConnection(Channel channel, ClientContext context, ClientConnections connections) {
@@ -70,17 +76,17 @@
     return timeouts;
   }
 
-  // ---- Events of the channel ----
+  // Channel events
 
   @Override
   public void handlerAdded(ChannelHandlerContext ctx) {
     timeouts.restartIdleTime();
-    overBudget = connections.opened(this);
+    overBudget = connections.onOpened(this);
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-    if (closing() || assembler.overrun()) {
+    if (isClosing() || assembler.hasPipelineOverflowed()) {
       return;
     }
     if (part instanceof HttpRequest head) {
@@ -103,15 +109,18 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    assembler.releaseHead();
-    closer.closed();
-    connections.closed(this);
+    assembler.releaseHeadBytes();
+    closer.onClosed();
+    connections.onClosed(this);
     if (exchange != null) {
-      exchange.connectionClosed();
+      exchange.onConnectionClosed();
     }
   }
 
-  /** A broken or malformed connection is closed; a fault of this program is logged as well. */
+  /**
+   * Closes a broken connection or one with malformed input, and logs the exception if it is a bug
+   * in the gateway.
+   */
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (cause instanceof RuntimeException && !(cause instanceof CodecException)) {
@@ -120,81 +129,85 @@
     ctx.close();
   }
 
-  // ---- Requests in their order ----
+  // Request queue
 
   @Override
-  public boolean exchangeOpen() {
-    return exchange != null && exchange.open();
+  public boolean hasOpenExchange() {
+    return exchange != null && exchange.isOpen();
   }
 
   @Override
-  public boolean exchangeStarted() {
+  public boolean hasStartedExchange() {
     return exchange != null;
   }
 
   @Override
-  public boolean idle() {
-    return !exchangeOpen() && queue.isEmpty();
+  public boolean isIdle() {
+    return !hasOpenExchange() && queue.isEmpty();
   }
 
   /**
-   * Bounds what a client can have kept here. Prevents memory that grows with pipelined requests; a
-   * client that sends more gets the responses to those kept, and then a close.
+   * {@inheritDoc}
+   *
+   * <p>Without a bound, memory use would grow with pipelined requests. A client that sends more
+   * gets the responses to the queued requests, and then its connection is closed.
    */
   @Override
-  public boolean queueFull() {
+  public boolean isQueueFull() {
     return queue.size() >= RequestLimits.MAX_PIPELINED_REQUESTS;
   }
 
   @Override
-  public void headReceived() {
+  public void onHeadReceived() {
     sendContinueIfExpected();
   }
 
   @Override
-  public void requestReady(InboundRequest request) {
+  public void onRequestReady(InboundRequest request) {
     queue.add(request);
-    startNext();
+    scheduleNextRequest();
   }
 
   @Override
-  public void requestComplete(InboundRequest request) {
-    if (request.accepted() && exchange.request() == request) {
-      exchange.requestComplete();
+  public void onRequestComplete(InboundRequest request) {
+    if (request.isAccepted() && exchange.request() == request) {
+      exchange.onRequestComplete();
     }
   }
 
   @Override
-  public void bodyFailed(HttpResponseStatus status, String reason) {
-    InboundRequest receiving = assembler.receiving();
-    if (receiving != null && receiving.accepted() && exchangeOpen()) {
+  public void onBodyFailed(HttpResponseStatus status, String reason) {
+    InboundRequest incompleteRequest = assembler.incompleteRequest();
+    if (incompleteRequest != null && incompleteRequest.isAccepted() && hasOpenExchange()) {
       exchange.abandonRequest();
     }
     closer.closeWithError(status, reason);
   }
 
   @Override
-  public void unreadable(HttpResponseStatus status, String reason) {
+  public void onInputRejected(HttpResponseStatus status, String reason) {
     closer.closeWithError(status, reason);
   }
 
   /**
-   * Has the next request handled behind all that the sockets have to report by now. Prevents work
-   * for clients that are gone: where CPU is short for any cause, connections wait long to be
-   * accepted, and the close is there with the request; requests of such clients, served first,
-   * would leave no time for those of others. Cost: a client that ends its sending before it has its
-   * response gets none, as already when it does so later.
+   * Schedules the next request to start after the event loop has delivered the socket events that
+   * are already pending.
+   *
+   * <p>When CPU is short, connections wait long to be accepted, and a client's close may be
+   * readable together with its request. Deferring the start lets the gateway notice the close
+   * first; otherwise the requests of disconnected clients would leave no time for those of others. The drawback is that a client that ends its sending before it has received its
+   * response gets none, as is already the case when it does so later.
    */
-  private void startNext() {
-    if (!nextScheduled && !exchangeOpen() && !queue.isEmpty()) {
-      nextScheduled = true;
-      channel.eventLoop().execute(this::startScheduled);
+  private void scheduleNextRequest() {
+    if (!nextRequestScheduled && !hasOpenExchange() && !queue.isEmpty()) {
+      nextRequestScheduled = true;
+      channel.eventLoop().execute(this::startNextRequest);
     }
     sendContinueIfExpected();
   }
 
-  private void startScheduled() {
-    nextScheduled = false;
+  private void startNextRequest() {
+    nextRequestScheduled = false;
     InboundRequest next = queue.poll();
     if (next != null) {
       exchange = new Exchange(next, this, context, writer);
@@ -202,15 +215,20 @@
     }
   }
 
-  /** Has a client send the body that it keeps back, once no response is owed before. */
+  /**
+   * Sends 100 Continue to a client that waits for it before sending the body, once no earlier
+   * response is pending.
+   */
   private void sendContinueIfExpected() {
-    InboundRequest receiving = assembler.receiving();
-    if (receiving == null || !receiving.awaitsContinue() || receiving.tooLarge()) {
+    InboundRequest incompleteRequest = assembler.incompleteRequest();
+    if (incompleteRequest == null
+        || !incompleteRequest.awaitsContinue()
+        || incompleteRequest.isTooLarge()) {
       return;
     }
-    boolean isNext = queue.isEmpty() || queue.peek() == receiving;
-    if (isNext && !exchangeOpen() && !closing()) {
-      receiving.continueSent();
+    boolean isNext = queue.isEmpty() || queue.peek() == incompleteRequest;
+    if (isNext && !hasOpenExchange() && !isClosing()) {
+      incompleteRequest.markContinueSent();
       writer.writeContinue();
     }
   }
@@ -219,72 +237,77 @@
   public void discardRequests() {
     queue.forEach(request -> request.body().release());
     queue.clear();
-    assembler.discard();
+    assembler.discardIncompleteRequest();
   }
 
-  // ---- Responses ----
+  // Responses
 
-  /** Writes an exchange's response; the next request follows, or the connection ends. */
-  void respond(Exchange answered, FullHttpResponse response) {
+  /** Writes an exchange's response, then starts the next request or closes the connection. */
+  void respond(Exchange answeredExchange, FullHttpResponse response) {
     timeouts.restartIdleTime();
-    boolean kept = keptAfter(answered);
-    ChannelFuture written =
-        writer.write(response, kept, answered.request().head().protocolVersion());
-    if (kept) {
-      written.addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
-      startNext();
+    boolean keepAlive = isKeptAliveAfter(answeredExchange);
+    ChannelFuture writeFuture =
+        writer.write(response, keepAlive, answeredExchange.request().head().protocolVersion());
+    if (keepAlive) {
+      writeFuture.addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
+      scheduleNextRequest();
     } else {
-      closeAfter(written);
+      closeAfter(writeFuture);
     }
   }
 
   /**
-   * An exchange's streamed response has ended; the next request follows, or the connection ends.
+   * Called when an exchange's streamed response has ended; starts the next request or closes the
+   * connection.
    */
-  void streamEnded(boolean complete, boolean kept) {
+  void onStreamEnded(boolean complete, boolean keepAlive) {
     writer.clearStall();
     timeouts.restartIdleTime();
     if (!complete) {
       closer.reset();
-    } else if (kept) {
-      startNext();
+    } else if (keepAlive) {
+      scheduleNextRequest();
     } else {
       closeAfter(channel.writeAndFlush(Unpooled.EMPTY_BUFFER));
     }
   }
 
   /**
-   * Whether the connection is kept after the response to an exchange. Near the connection limit a
-   * kept connection is one that another client may not get. Prevents the loss of pipelined requests
-   * behind an end: those that have come already are answered first, and the last of them ends the
-   * connection.
+   * Returns whether the connection is kept alive after the response to an exchange. A connection is
+   * closed while the gateway drains, after too many pipelined requests, and near the connection
+   * limit, where a kept connection may keep another client out. Pipelined requests that are already
+   * queued are answered first, because closing earlier would lose them; the response to the last of
+   * them closes the connection.
    */
-  boolean keptAfter(Exchange answered) {
-    boolean endWanted = context.draining() || connections.crowded() || assembler.overrun();
-    boolean last = endWanted && queue.isEmpty();
-    return !last && answered.allowsKeepAlive();
+  boolean isKeptAliveAfter(Exchange answeredExchange) {
+    boolean closeRequested =
+        context.isDraining() || connections.isCrowded() || assembler.hasPipelineOverflowed();
+    boolean lastResponse = closeRequested && queue.isEmpty();
+    return !lastResponse && answeredExchange.allowsKeepAlive();
   }
 
-  private void closeAfter(ChannelFuture written) {
-    InboundRequest receiving = assembler.receiving();
-    boolean bodyStillComes = receiving != null && receiving == exchange.request();
-    closer.closeAfter(written, bodyStillComes || assembler.receivesRequest());
+  private void closeAfter(ChannelFuture writeFuture) {
+    InboundRequest incompleteRequest = assembler.incompleteRequest();
+    boolean bodyStillArriving =
+        incompleteRequest != null && incompleteRequest == exchange.request();
+    closer.closeAfter(writeFuture, bodyStillArriving || assembler.isReceivingRequest());
   }
 
-  // ---- Closing ----
+  // Closing
 
   @Override
-  public boolean closing() {
-    return closer.closing();
+  public boolean isClosing() {
+    return closer.isClosing();
   }
 
   /**
-   * Closes the connection if the client has closed it, though that was not read yet, and tells
-   * whether it is closed. Prevents attempts for clients that are gone: a loop that was held up, or
-   * that has paused reading, has not heard of it.
+   * {@inheritDoc}
+   *
+   * <p>Without this check, attempts would be started for disconnected clients: an event loop that
+   * was stalled, or that has paused reading, has not seen the close yet.
    */
   @Override
-  public boolean closeIfClientLeft() {
+  public boolean closeIfClientDisconnected() {
     if (channel.isActive() && KernelSockets.isClosedByPeer(channel)) {
       channel.close();
     }
--- a/src/main/java/quotagateway/client/ClientConnections.java
+++ b/src/main/java/quotagateway/client/ClientConnections.java
@@ -7,27 +7,27 @@
 import quotagateway.transport.PeriodicTask;
 
 /**
- * The open connections of clients, within the connection budget: which is ended when there are too
- * many, and which are overdue. On the event loop's thread.
+ * The open client connections within the connection budget. Evicts a connection when there are too
+ * many, and closes those whose time limits have passed. Confined to the event loop's thread.
  */
 final class ClientConnections {
 
   /**
-   * The budget may be exceeded by one in so many connections: those still get a 503, further ones
-   * are closed at once.
+   * Denominator of the share by which the budget may be exceeded. Connections within the excess
+   * still get a 503; further ones are closed immediately.
    */
   private static final int EXCESS_DIVISOR = 16;
 
-  /** With so much of the budget taken, connections end with their responses. */
+  /** Share of the budget above which connections are closed after their responses. */
   private static final double CROWDED_SHARE = 0.75;
 
-  /** How often connections are checked for time limits: well under the shortest of them. */
+  /** Interval of the time limit checks, well under the shortest time limit. */
   private static final long CHECK_INTERVAL_MS = 200;
 
   private final ClientContext context;
   private final ConnectionBudget budget;
 
-  /** In the order of their opening. */
+  /** Ordered by the time of opening. */
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
   ClientConnections(EventLoop loop, ClientContext context, ConnectionBudget budget) {
@@ -37,18 +37,20 @@
   }
 
   /**
-   * Counts a new connection, and evicts an idle one where there are too many. Prevents idle clients
-   * from taking all descriptors: then no connection to a backend, to the counter or to discovery
-   * comes up, and the process may fail. Cost: an idle client has to connect again.
+   * Counts a new connection, and evicts an idle one if there are too many. Without this, idle
+   * clients could take all descriptors: no connection to a backend, to the counter or to discovery
+   * could be opened, and the process might fail. The drawback is that an evicted client has to
+   * reconnect.
    *
-   * @return true when the new one exceeds the budget: its first request is rejected, and it ends
+   * @return true if the new connection exceeds the budget: its first request is rejected, and the
+   *     connection is closed
    */
-  boolean opened(ClientConnection connection) {
+  boolean onOpened(ClientConnection connection) {
     connections.add(connection);
     budget.addClientConnections(1);
     int max = budget.maxClientConnections();
     if (budget.clientConnections() > max) {
-      evictOldestIdle();
+      evictLongestIdle();
     }
     if (budget.clientConnections() > max + max / EXCESS_DIVISOR) {
       connection.closer().closeIfIdle();
@@ -56,7 +58,7 @@
     return budget.clientConnections() > max;
   }
 
-  void closed(ClientConnection connection) {
+  void onClosed(ClientConnection connection) {
     if (connections.remove(connection)) {
       budget.addClientConnections(-1);
     }
@@ -66,24 +68,27 @@
     return connections.isEmpty();
   }
 
-  /** Whether a kept connection is likely one that another client lacks. */
-  boolean crowded() {
+  /** Returns whether a connection that is kept alive is likely to keep another client out. */
+  boolean isCrowded() {
     return budget.clientConnections() > CROWDED_SHARE * budget.maxClientConnections();
   }
 
-  /** Closes the connection that has been idle longest, if one may be closed for another's sake. */
-  private void evictOldestIdle() {
+  /**
+   * Closes the connection that has been idle longest, if any may be closed to make room for
+   * another.
+   */
+  private void evictLongestIdle() {
     double now = context.now();
-    ClientConnection oldest = null;
+    ClientConnection longestIdle = null;
     for (ClientConnection candidate : connections) {
-      if (candidate.timeouts().evictable(now)
-          && (oldest == null
-              || candidate.timeouts().idleSinceMs() < oldest.timeouts().idleSinceMs())) {
-        oldest = candidate;
+      if (candidate.timeouts().isEvictable(now)
+          && (longestIdle == null
+              || candidate.timeouts().idleSinceMs() < longestIdle.timeouts().idleSinceMs())) {
+        longestIdle = candidate;
       }
     }
-    if (oldest != null) {
-      oldest.closer().closeForAnother();
+    if (longestIdle != null) {
+      longestIdle.closer().closeToMakeRoom();
     }
   }
 
@@ -93,7 +98,7 @@
         connections, connection -> connection.timeouts().closeIfOverdue(now));
   }
 
-  /** Ends each connection; one with part of a request gets an error first. */
+  /** Closes each connection; the client of a partly received request gets an error first. */
   void closeAllForShutdown() {
     PeriodicTask.forEachIsolated(connections, connection -> connection.closer().closeForShutdown());
   }
--- a/src/main/java/quotagateway/client/ClientContext.java
+++ b/src/main/java/quotagateway/client/ClientContext.java
@@ -9,17 +9,17 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * What all connections of clients share: the clock, the driver, the settings by which requests are
- * read, the memory that they may hold, and how far the gateway is between its start and its end. On
- * the event loop's thread, but for {@link #ready}.
+ * State shared by all client connections: the clock, the driver, the settings by which requests are
+ * read, the memory that requests may hold, and the lifecycle of the gateway. Confined to the event
+ * loop's thread, except for {@link #isReady}.
  */
 final class ClientContext {
 
   /**
-   * So long after new settings clients may still ask by the previous ones: they do for 1.2 s, and
-   * some requests come late.
+   * How long after a change of settings requests may still follow the previous ones: clients use
+   * them for 1.2 s, and some requests arrive late.
    */
-  private static final double PREVIOUS_SETTINGS_MS = 3_000;
+  private static final double PREVIOUS_SETTINGS_GRACE_MS = 3_000;
 
   private final MonotonicClock clock;
   private final PolicyDriver driver;
@@ -30,7 +30,7 @@
   private RequestReader previousReader;
   private double previousReaderUntilMs = Double.NEGATIVE_INFINITY;
 
-  /** Bytes of requests that are being received, or kept until they need not go out again. */
+  /** Bytes of requests that are being received, or kept until they need not be sent again. */
   private int heldBytes;
 
   private boolean shutDown;
@@ -50,7 +50,7 @@
     this.lifecycle = lifecycle;
   }
 
-  /** Milliseconds on the gateway's clock. */
+  /** Returns the time on the gateway's clock in milliseconds. */
   double now() {
     return clock.now();
   }
@@ -60,11 +60,11 @@
   }
 
   /**
-   * Reads a request by the settings in force, or shortly after a change by the previous ones.
+   * Reads a request by the settings in force or, shortly after a change, by the previous ones.
    *
-   * @param arrivedAtMs from when its time-out counts
-   * @throws InvalidRequestException where neither knows it as a request, or its identifier is in
-   *     use
+   * @param arrivedAtMs when the request arrived; its timeout counts from then
+   * @throws InvalidRequestException if the message is not a valid request by either, or its
+   *     identifier is in use
    */
   RequestReceived read(HttpRequest message, double arrivedAtMs) throws InvalidRequestException {
     RequestReceived request;
@@ -82,42 +82,49 @@
     return request;
   }
 
-  /** New settings hold for all that is read from now on. */
+  /** Applies new settings to all requests that are read from now on. */
   void replaceReader(RequestReader newReader) {
     previousReader = reader;
-    previousReaderUntilMs = clock.now() + PREVIOUS_SETTINGS_MS;
+    previousReaderUntilMs = clock.now() + PREVIOUS_SETTINGS_GRACE_MS;
     reader = newReader;
   }
 
-  /** Counts bytes of requests that are held; negative when they are released. */
-  void hold(int bytes) {
+  /** Adds to the number of request bytes that are held; negative when bytes are released. */
+  void adjustHeldBytes(int bytes) {
     heldBytes += bytes;
   }
 
   /**
-   * Whether so much is held, or so many responses are streamed, that requests are rejected.
-   * Prevents a process that exceeds its memory limit and is killed with all that it has.
+   * Returns whether requests are rejected because too many bytes are held or too many responses are
+   * streamed. Without this, the process could exceed its memory limit and be killed with all its
+   * requests.
    */
-  boolean memoryExhausted() {
+  boolean isMemoryExhausted() {
     return heldBytes >= limits.bodyBytes() || driver.streamingResponseCount() >= limits.streams();
   }
 
-  /** Whether it takes clients' requests; asked by the admin server too, from its own thread. */
-  boolean ready() {
+  /**
+   * Returns whether the gateway accepts clients' requests. The admin server also calls it, on its
+   * own thread.
+   */
+  boolean isReady() {
     return lifecycle.isServing() && backends.hasServingBackend();
   }
 
-  /** Whether connections are to end with their next response. */
-  boolean draining() {
+  /** Returns whether connections have to be closed with their next response. */
+  boolean isDraining() {
     return lifecycle.drainingMs() > 0;
   }
 
-  /** Whether the upstream load balancer has heard of the drain: no further request is expected. */
-  boolean drainNoticed() {
+  /**
+   * Returns whether the upstream load balancer has noticed the drain, so that no further request is
+   * expected.
+   */
+  boolean isDrainNoticed() {
     return lifecycle.drainingMs() > ClientServer.DRAIN_NOTICE_MS;
   }
 
-  /** From now on requests are rejected: there is no time left to serve one. */
+  /** Rejects requests from now on, because no time is left to serve one. */
   void shutDown() {
     shutDown = true;
   }
--- a/src/main/java/quotagateway/client/ClientServer.java
+++ b/src/main/java/quotagateway/client/ClientServer.java
@@ -23,14 +23,14 @@
 import quotagateway.transport.SocketTransport;
 
 /**
- * Accepts the connections of clients, and ends them at the shutdown. On the event loop's thread,
- * but for {@link #listen} and {@link #isReady}.
+ * Accepts client connections, and closes them at shutdown. Confined to the event loop's thread,
+ * except for {@link #listen} and {@link #isReady}.
  */
 public final class ClientServer {
 
   /**
-   * So long after a drain has begun, the upstream load balancer has seen that {@code GET /up} says
-   * no, and sends no new connections, in milliseconds.
+   * Time after the start of a drain, in milliseconds, by which the upstream load balancer has seen
+   * {@code GET /up} fail and sends no new connections.
    */
   public static final double DRAIN_NOTICE_MS = 550;
 
@@ -38,15 +38,15 @@
 
   private final ClientContext context;
   private final ClientConnections connections;
-  private volatile Channel listening;
+  private volatile Channel serverChannel;
 
   /**
-   * Serves nobody before {@link #listen}.
+   * Creates a server that accepts no connections before {@link #listen} is called.
    *
-   * @param loop on which all of it runs
-   * @param reader by the settings at the start
-   * @param limits what requests may hold
-   * @param budget connections of clients and to backends together
+   * @param loop runs all work of the server
+   * @param reader applies the settings in force at the start
+   * @param limits bounds what requests may hold
+   * @param budget shared by connections of clients and to backends
    */
   public ClientServer(
       EventLoop loop,
@@ -61,7 +61,7 @@
     connections = new ClientConnections(loop, context, budget);
   }
 
-  /** Begins to accept connections at the address; the future says whether it could be bound. */
+  /** Starts to accept connections at the address; the future reports whether it could be bound. */
   public ChannelFuture listen(EventLoopGroup group, InetSocketAddress address) {
     ChannelFuture bound =
         new ServerBootstrap()
@@ -83,11 +83,11 @@
                   }
                 })
             .bind(address);
-    listening = bound.channel();
+    serverChannel = bound.channel();
     return bound;
   }
 
-  /** Makes a channel a client's connection. */
+  /** Sets up the channel as a client connection. */
   public void adopt(Channel channel) {
     ClientConnection connection = new ClientConnection(channel, context, connections);
     RequestDecoder decoder = new RequestDecoder();
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Sees a client's bytes ahead of the decoder, which does not tell when a request begins and how
-   * much of it has come; drops what is not wanted.
+   * Records a client's bytes before they are decoded, because the decoder does not report when a
+   * request begins and how much of it has been received. Drops bytes that are not wanted.
    */
   private static final class ReceivedBytesHandler extends ChannelInboundHandlerAdapter {
     private final RequestAssembler assembler;
@@ -124,32 +124,35 @@
     }
   }
 
-  /** Who has the requests that were accepted. */
+  /** Returns the driver that owns the accepted requests. */
   public PolicyDriver driver() {
     return context.driver();
   }
 
-  /** New settings hold for the requests that are read from now on. */
+  /** Applies new settings to all requests that are read from now on. */
   public void replaceRequestReader(RequestReader newReader) {
     context.replaceReader(newReader);
   }
 
-  /** Whether it takes clients' requests; asked by the admin server too, from its own thread. */
+  /**
+   * Returns whether the gateway accepts clients' requests. The admin server also calls it, on its
+   * own thread.
+   */
   public boolean isReady() {
-    return context.ready();
+    return context.isReady();
   }
 
-  /** Accepts the connections that wait to be accepted, and no more. */
+  /** Accepts the connections that are already pending, and then stops accepting. */
   public void stopAccepting() {
-    if (listening != null) {
-      KernelSockets.acceptPending(listening);
-      listening.close();
+    if (serverChannel != null) {
+      KernelSockets.acceptPending(serverChannel);
+      serverChannel.close();
     }
   }
 
   /**
-   * The final timeout of the shutdown: what is unanswered fails, and each connection ends, with an
-   * error to a request that has come in part.
+   * Ends the service at the final timeout of the shutdown: unanswered requests fail, and each
+   * connection is closed, after an error if part of a request has been received.
    */
   public void shutDown() {
     context.shutDown();
@@ -157,7 +160,7 @@
     connections.closeAllForShutdown();
   }
 
-  /** Whether no client is connected. */
+  /** Returns whether no client is connected. */
   public boolean hasNoConnections() {
     return connections.isEmpty();
   }
--- a/src/main/java/quotagateway/client/ConnectionCloser.java
+++ b/src/main/java/quotagateway/client/ConnectionCloser.java
@@ -9,33 +9,34 @@
 import quotagateway.transport.KernelSockets;
 
 /**
- * Closes one connection, at once, behind its last response, or with a reset, so that its client can
- * read what it is owed. Once closing has begun, nothing that comes is a request any more. Channels
- * that failed, or that the client has closed, are closed by {@link ClientConnection} itself.
+ * Closes one connection: immediately, after its last response, or with a reset, such that the
+ * client can read the responses that it is owed. Once closing has begun, received bytes are no
+ * longer treated as requests. {@link ClientConnection} itself closes channels that failed or that
+ * the client has closed.
  *
- * <p>On the event loop's thread; times are in milliseconds on the gateway's clock.
+ * <p>Confined to the event loop's thread; times are in milliseconds on the gateway's clock.
  */
 final class ConnectionCloser {
 
   /**
-   * A connection that ends while its client may still send stays half open until nothing has come
-   * for so long.
+   * How long a connection that ends while its client may still be sending stays half open, and the
+   * interval at which it is checked whether the client has sent nothing since.
    */
   private static final long LINGER_MS = 300;
 
-  /** The longest time that a body which is not wanted is read for. */
+  /** Maximum time for which an unwanted body is read. */
   private static final double MAX_LINGER_MS = 10_000;
 
-  /** A time that has passed at the first check already. */
-  private static final double ONE_CHECK = 0;
+  /** A linger limit that has already passed at the first check. */
+  private static final double CLOSE_AT_FIRST_CHECK = 0;
 
-  /** The requests of the connection, as far as its closing depends on them. */
-  interface Requests {
+  /** The requests of the connection, as far as closing depends on them. */
+  interface PendingRequests {
 
-    /** Whether no request is open or waits for its turn. */
-    boolean idle();
+    /** Returns whether no request is open or waits for its turn. */
+    boolean isIdle();
 
-    /** Drops what waits for its turn, or is being received. */
+    /** Drops the requests that wait for their turn or are being received. */
     void discardRequests();
   }
 
@@ -43,7 +44,7 @@
   private final ClientContext context;
   private final RequestAssembler assembler;
   private final ResponseWriter writer;
-  private final Requests requests;
+  private final PendingRequests requests;
   private boolean closing;
 
   ConnectionCloser(
@@ -51,7 +52,7 @@
       ClientContext context,
       RequestAssembler assembler,
       ResponseWriter writer,
-      Requests requests) {
+      PendingRequests requests) {
     this.channel = channel;
     this.context = context;
     this.assembler = assembler;
@@ -59,34 +60,37 @@
     this.requests = requests;
   }
 
-  /** Whether closing has begun. */
-  boolean closing() {
+  /** Returns whether closing has begun. */
+  boolean isClosing() {
     return closing;
   }
 
-  /** Closes the connection without regard to what is on it; the channel's end then cleans up. */
-  void closeAtOnce() {
+  /**
+   * Closes the connection regardless of its requests; the channel's inactive event then cleans up.
+   */
+  void closeImmediately() {
     channel.close();
   }
 
   /**
-   * Closes the connection if no complete request is on it, without a word to one that is half
-   * received; a response while draining closes it by itself.
+   * Closes the connection if no complete request is open or queued. The client of a partly received
+   * request gets no error. While the gateway drains, a connection with an open request is closed by
+   * its response instead.
    */
   void closeIfIdle() {
-    if (requests.idle() && !closing) {
+    if (requests.isIdle() && !closing) {
       closing = true;
       channel.close();
     }
   }
 
   /**
-   * Another client needs the place of this connection. One that is half received is rejected, so
-   * that its client may send it again; without the lingering of other errors, as the place is
-   * needed now.
+   * Closes the connection to make room for another client. A partly received request is rejected,
+   * so that its client can send it again. In contrast to other errors, the connection does not
+   * linger, because its place is needed immediately.
    */
-  void closeForAnother() {
-    if (requests.idle() && !closing && assembler.receivesRequest()) {
+  void closeToMakeRoom() {
+    if (requests.isIdle() && !closing && assembler.isReceivingRequest()) {
       closing = true;
       requests.discardRequests();
       writer
@@ -98,41 +102,45 @@
   }
 
   /**
-   * The process ends. Prevents a request that is read after the shutdown and never answered: what
-   * is half received is rejected, as nobody will read the rest of it.
+   * Closes the connection because the process is ending. A partly received request is rejected, as
+   * the rest of it will not be read; otherwise it could be read after the shutdown and never be
+   * answered.
    */
   void closeForShutdown() {
-    if (requests.idle() && assembler.receivesRequest()) {
+    if (requests.isIdle() && assembler.isReceivingRequest()) {
       closeWithError(HttpResponseStatus.SERVICE_UNAVAILABLE, "this gateway is shutting down");
     } else {
       closeIfIdle();
     }
   }
 
-  /** The channel has become inactive, for whatever reason. */
-  void closed() {
+  /** Called when the channel has become inactive, for any reason. */
+  void onClosed() {
     closing = true;
     requests.discardRequests();
   }
 
   /**
-   * Closes the connection behind its last response.
+   * Closes the connection after its last response.
    *
-   * @param written when that is with the kernel
-   * @param moreComes whether the client is still sending the body of the answered request, or part
-   *     of another one
+   * @param writeFuture completes when the response has been passed to the kernel
+   * @param clientStillSending whether the client is still sending the body of the answered request,
+   *     or part of another request
    */
-  void closeAfter(ChannelFuture written, boolean moreComes) {
+  void closeAfter(ChannelFuture writeFuture, boolean clientStillSending) {
     closing = true;
     requests.discardRequests();
-    if (moreComes) {
-      linger(written);
+    if (clientStillSending) {
+      linger(writeFuture);
     } else {
-      written.addListener(ChannelFutureListener.CLOSE);
+      writeFuture.addListener(ChannelFutureListener.CLOSE);
     }
   }
 
-  /** Answers what cannot be read any further, and closes the connection behind that. */
+  /**
+   * Responds with an error to input that cannot be read any further, and then closes the
+   * connection.
+   */
   void closeWithError(HttpResponseStatus status, String reason) {
     if (closing) {
       return;
@@ -143,8 +151,8 @@
   }
 
   /**
-   * Breaks off a streamed response that cannot be completed. Prevents a client that takes a part
-   * for the whole: a reset is the end of a response in no framing.
+   * Resets the connection to cut off a streamed response that cannot be completed. No framing of a
+   * response ends with a reset, so the client cannot mistake the part for the complete response.
    */
   void reset() {
     closing = true;
@@ -153,30 +161,34 @@
   }
 
   /**
-   * Ends sending behind the last response, and reads on for a while. Prevents the loss of that
-   * response: a close over unread bytes resets the connection, and the reset drops what the client
-   * has not read yet. Cost: the connection is held for {@link #LINGER_MS}, one under a queued
-   * request's body for as long as more of that comes, within {@link #MAX_LINGER_MS}.
+   * Ends sending after the last response and continues to read (lingering close). Without this, the
+   * response could be lost: closing a connection that has unread bytes resets it, and the reset
+   * discards what the client has not read yet. The drawback is that the connection is held for
+   * {@link #LINGER_MS}, or, while the body of a queued request is being received, for as long as
+   * more of it arrives, up to {@link #MAX_LINGER_MS}.
    */
-  private void linger(ChannelFuture written) {
-    double maxUntilMs = context.now() + MAX_LINGER_MS;
-    InboundRequest receiving = assembler.receiving();
-    double untilMs = receiving != null && receiving.queued() ? maxUntilMs : ONE_CHECK;
+  private void linger(ChannelFuture writeFuture) {
+    double maxLingerUntilMs = context.now() + MAX_LINGER_MS;
+    InboundRequest incompleteRequest = assembler.incompleteRequest();
+    double lingerUntilMs =
+        incompleteRequest != null && incompleteRequest.isQueued()
+            ? maxLingerUntilMs
+            : CLOSE_AT_FIRST_CHECK;
     assembler.setReading(true);
-    written.addListener(future -> ((SocketChannel) channel).shutdownOutput());
-    scheduleLingerCheck(untilMs);
+    writeFuture.addListener(future -> ((SocketChannel) channel).shutdownOutput());
+    scheduleLingerCheck(lingerUntilMs);
   }
 
-  private void scheduleLingerCheck(double untilMs) {
+  private void scheduleLingerCheck(double lingerUntilMs) {
     channel
         .eventLoop()
-        .schedule(() -> closeUnlessReceiving(untilMs), LINGER_MS, TimeUnit.MILLISECONDS);
+        .schedule(() -> closeUnlessReceiving(lingerUntilMs), LINGER_MS, TimeUnit.MILLISECONDS);
   }
 
-  private void closeUnlessReceiving(double untilMs) {
+  private void closeUnlessReceiving(double lingerUntilMs) {
     double now = context.now();
-    if (now - assembler.lastReadAtMs() < LINGER_MS && now < untilMs) {
-      scheduleLingerCheck(untilMs);
+    if (now - assembler.lastReadAtMs() < LINGER_MS && now < lingerUntilMs) {
+      scheduleLingerCheck(lingerUntilMs);
     } else {
       channel.close();
     }
--- a/src/main/java/quotagateway/client/ConnectionTimeouts.java
+++ b/src/main/java/quotagateway/client/ConnectionTimeouts.java
@@ -3,37 +3,38 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /**
- * The time limits of one connection: which is overdue, and how long a connection must have been
- * idle before it may be closed for another client's sake. On the event loop's thread; times are in
- * milliseconds on the gateway's clock.
+ * The time limits of one connection. Decides whether one has passed, and whether the connection has
+ * been idle for long enough to be closed in favor of another client. Confined to the event loop's
+ * thread; times are in milliseconds on the gateway's clock.
  */
 final class ConnectionTimeouts {
 
   /**
-   * Between requests a connection may be closed after this if another needs its place: clients
-   * accept that after 2 s.
+   * Minimum idle time between requests before a connection may be closed to make room for another.
+   * Clients accept a close after 2 s.
    */
   private static final double MIN_IDLE_BEFORE_EVICTION_MS = 2_050;
 
   /**
-   * One with no complete request in so long is evicted sooner: clients connect in order to ask, and
-   * ask at once.
+   * Minimum time without a complete request before a connection may be closed to make room for
+   * another. It is shorter, as clients connect in order to send a request and do so at once.
    */
   private static final double MIN_SILENCE_BEFORE_EVICTION_MS = 300;
 
   /**
-   * Between requests a connection is closed after this in any case: some clients never come back.
+   * Idle time between requests after which a connection is always closed, because some clients
+   * never send another request.
    */
   private static final double MAX_IDLE_MS = 10_000;
 
-  /** What the time limits depend on. */
+  /** The activity of the connection that the time limits depend on. */
   interface Activity {
 
-    /** Whether a request is open, with its response still to come to its end. */
-    boolean exchangeOpen();
+    /** Returns whether a request is open, that is, its response is not complete. */
+    boolean hasOpenExchange();
 
-    /** Whether the connection has had a request. */
-    boolean exchangeStarted();
+    /** Returns whether the connection has had a request. */
+    boolean hasStartedExchange();
   }
 
   private final ClientContext context;
@@ -62,57 +63,59 @@
     return idleSinceMs;
   }
 
-  /** The connection has been opened, or a response has been written. */
+  /** Restarts the idle time: the connection has been opened, or a response has been written. */
   void restartIdleTime() {
     idleSinceMs = context.now();
   }
 
-  /** From when the time for the request that is being received counts. */
+  /** Returns when the time for the request that is being received began. */
   private double requestStartedAtMs() {
-    return activity.exchangeStarted() ? assembler.receivingSinceMs() : idleSinceMs;
+    return activity.hasStartedExchange() ? assembler.receivingSinceMs() : idleSinceMs;
   }
 
   /**
-   * Whether no request is open, and has not been for long enough to close it for another's sake.
+   * Returns whether no request is open, and has not been for long enough to close the connection in
+   * favor of another client.
    */
-  boolean evictable(double nowMs) {
-    if (activity.exchangeOpen() || closer.closing()) {
+  boolean isEvictable(double nowMs) {
+    if (activity.hasOpenExchange() || closer.isClosing()) {
       return false;
     }
-    if (activity.exchangeStarted() && !assembler.receivesRequest()) {
+    if (activity.hasStartedExchange() && !assembler.isReceivingRequest()) {
       return nowMs - idleSinceMs > MIN_IDLE_BEFORE_EVICTION_MS;
     }
     return nowMs - requestStartedAtMs() > MIN_SILENCE_BEFORE_EVICTION_MS;
   }
 
   /**
-   * Closes the connection if a time limit is over. Prevents connections held for good by clients
-   * that never finish a request, send nothing, never come back, or read no response; and while
-   * draining ends what no request is on. One that has just connected may still ask.
+   * Closes the connection if a time limit has passed. Without this, clients that never finish a
+   * request, send nothing, never return or do not read their response would hold connections
+   * forever. While the gateway drains, a connection without a request is closed as well, except one
+   * that has not had its first request yet.
    */
   void closeIfOverdue(double nowMs) {
-    if (closer.closing()) {
+    if (closer.isClosing()) {
       return;
     }
-    boolean exchangeOpen = activity.exchangeOpen();
-    InboundRequest receiving = assembler.receiving();
-    if (writer.stalledTooLong(nowMs)) {
+    boolean exchangeOpen = activity.hasOpenExchange();
+    InboundRequest incompleteRequest = assembler.incompleteRequest();
+    if (writer.isStalledTooLong(nowMs)) {
       closer.reset();
-    } else if (receiving != null && (!exchangeOpen || receiving.accepted())) {
+    } else if (incompleteRequest != null && (!exchangeOpen || incompleteRequest.isAccepted())) {
       assembler.checkBodyProgress(nowMs, requestStartedAtMs());
-    } else if (!exchangeOpen && assembler.receivesRequest()) {
+    } else if (!exchangeOpen && assembler.isReceivingRequest()) {
       if (nowMs - requestStartedAtMs() > RequestLimits.MAX_HEAD_MS) {
         closer.closeWithError(HttpResponseStatus.REQUEST_TIMEOUT, "request is not whole in time");
       }
-    } else if (idleTooLong(nowMs)) {
+    } else if (isIdleTooLong(nowMs)) {
       closer.closeIfIdle();
     }
   }
 
-  private boolean idleTooLong(double nowMs) {
-    if (!activity.exchangeStarted()) {
+  private boolean isIdleTooLong(double nowMs) {
+    if (!activity.hasStartedExchange()) {
       return nowMs - idleSinceMs > RequestLimits.MAX_HEAD_MS;
     }
-    return context.drainNoticed() || nowMs - idleSinceMs > MAX_IDLE_MS;
+    return context.isDrainNoticed() || nowMs - idleSinceMs > MAX_IDLE_MS;
   }
 }
--- a/src/main/java/quotagateway/client/Exchange.java
+++ b/src/main/java/quotagateway/client/Exchange.java
@@ -20,23 +20,25 @@
 import quotagateway.transport.ProtocolHeaders;
 
 /**
- * One request with its one final response. It is answered here, or given to the driver, which then
- * owns the request's body and calls back with the response. On the event loop's thread.
+ * One request and its single final response. The exchange either responds by itself or passes the
+ * request to the {@link quotagateway.driver.PolicyDriver}, which then owns the request body and
+ * reports the response through {@link ResponseListener}. Confined to the event loop's thread.
  *
- * <p>States: {@code LOCAL} leads to {@code FORWARDED} where the driver accepts the request; that
- * one to {@code STREAMING} where the response comes in pieces; and either to {@code ENDED}, by
- * {@link #end} alone. A request that is answered here stays {@code LOCAL}.
+ * <p>State transitions: {@code LOCAL} to {@code FORWARDED} when the request is passed to the
+ * driver; {@code FORWARDED} to {@code STREAMING} when the response is streamed; {@code FORWARDED}
+ * and {@code STREAMING} to {@code ENDED}, only through {@link #end}. A request that the exchange
+ * answers itself stays {@code LOCAL}.
  */
 final class Exchange implements ResponseListener {
 
   private static final Logger LOG = Logger.getLogger(Exchange.class.getName());
 
-  /** Served by this gateway itself: whether it may get requests. */
+  /** Path of the readiness check, which the gateway answers itself. */
   private static final String READINESS_PATH = "/up";
 
   /**
-   * Headers that go on to a backend; the time-out is updated when they are written. All others
-   * concern the client's connection.
+   * Headers that are forwarded to a backend; the timeout is updated when they are written. All
+   * other headers concern only the client's connection.
    */
   private static final CharSequence[] FORWARDED_HEADERS = {
     HttpHeaderNames.HOST,
@@ -47,15 +49,18 @@
     ProtocolHeaders.TIMEOUT_MS
   };
 
-  /** Where an exchange is between its request and its final response. */
+  /** Progress of an exchange between its request and its final response. */
   private enum State {
-    /** The driver does not have the request; it is answered here, or not yet looked at. */
+    /**
+     * The driver does not have the request: it has not been processed yet, or the exchange answers
+     * it.
+     */
     LOCAL,
-    /** The driver has it, and its final response is awaited. */
+    /** The driver has the request, and the final response has not started. */
     FORWARDED,
-    /** The head of its response is written; pieces of the body follow. */
+    /** The head of the response has been written; the body is being streamed. */
     STREAMING,
-    /** It has its final response, or its client gets none any more. */
+    /** The final response is complete, or the client no longer gets one. */
     ENDED
   }
 
@@ -68,10 +73,13 @@
   /** Null until the request has been read. */
   private String requestId;
 
-  /** Where the pieces of a streamed response come from; null unless it is streamed. */
-  private Attempt source;
+  /** Attempt whose response is being streamed; null unless the response is streamed. */
+  private Attempt streamedAttempt;
 
-  /** Whether the client, and what has been found since, allow to keep the connection. */
+  /**
+   * Whether the client's headers, and everything found since, allow the connection to be kept
+   * alive.
+   */
   private boolean keepAlive;
 
   Exchange(
@@ -90,42 +98,48 @@
     return request;
   }
 
-  /** Whether the driver has the request and its client still waits for the response, or its end. */
-  boolean open() {
+  /**
+   * Returns whether the driver has the request and the client still waits for the response or for
+   * the rest of it.
+   */
+  boolean isOpen() {
     return state == State.FORWARDED || state == State.STREAMING;
   }
 
-  /** Whether the client, and the request's framing, allow to keep the connection. */
+  /**
+   * Returns whether the client and the framing of the request allow the connection to be kept
+   * alive.
+   */
   boolean allowsKeepAlive() {
     return keepAlive && request.body().isComplete();
   }
 
   /**
-   * Answers the request or gives it to the driver.
+   * Answers the request or passes it to the driver.
    *
-   * @param overBudget whether the connection is one too many
+   * @param overBudget whether the connection exceeds the connection budget
    */
   void start(boolean overBudget) {
     try {
-      if (request.malformed()) {
+      if (request.isMalformed()) {
         connection.closer().closeWithError(HttpResponseStatus.BAD_REQUEST, "malformed request");
-      } else if (request.tooLarge()) {
+      } else if (request.isTooLarge()) {
         connection
             .closer()
             .closeWithError(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body is too large");
       } else if (request.head().uri().equals(READINESS_PATH)) {
         respond(ResponseWriter.empty(readiness()));
-      } else if (overBudget || context.isShutDown() || context.memoryExhausted()) {
+      } else if (overBudget || context.isShutDown() || context.isMemoryExhausted()) {
         keepAlive &= !overBudget;
         respond(ResponseWriter.rejection(0));
       } else {
         forward();
       }
     } catch (RuntimeException e) {
-      // A fault of this program, of whatever kind, costs this request and nothing beside it.
+      // A bug anywhere in request handling fails only this request.
       failInternally(e);
     } finally {
-      if (!request.accepted()) {
+      if (!request.isAccepted()) {
         request.body().release();
       }
     }
@@ -135,7 +149,7 @@
     if (!request.head().method().equals(HttpMethod.GET)) {
       return HttpResponseStatus.METHOD_NOT_ALLOWED;
     }
-    return context.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
+    return context.isReady() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
   }
 
   private void forward() {
@@ -143,7 +157,7 @@
     try {
       received = context.read(request.head(), request.lastByteAtMs());
     } catch (InvalidRequestException e) {
-      keepAlive &= e.connectionReusable();
+      keepAlive &= e.isConnectionReusable();
       respond(ResponseWriter.text(e.status(), e.getMessage()));
       return;
     }
@@ -160,7 +174,9 @@
             this);
   }
 
-  /** What goes on to a backend: the request line, the headers that are forwarded, the framing. */
+  /**
+   * Returns the head sent to the backend: the request line, the forwarded headers and the framing.
+   */
   private HttpRequest headForBackend() {
     HttpRequest head = request.head();
     HttpRequest forwarded =
@@ -184,21 +200,24 @@
     return forwarded;
   }
 
-  /** The last byte of the request has come; the driver learns the deadline if it waits for it. */
-  void requestComplete() {
-    if (open()) {
+  /**
+   * Called when the last byte of the request has been received; reports the deadline to the driver
+   * if the exchange is open.
+   */
+  void onRequestComplete() {
+    if (isOpen()) {
       context.driver().onBodyComplete(requestId, request.deadlineAtMs());
     }
   }
 
   private void failInternally(RuntimeException cause) {
     LOG.log(Level.SEVERE, "request failed", cause);
-    if (open()) {
+    if (isOpen()) {
       context.driver().onClientDisconnected(requestId);
       end();
       respond(ResponseWriter.empty(HttpResponseStatus.INTERNAL_SERVER_ERROR));
     } else {
-      connection.closer().closeAtOnce();
+      connection.closer().closeImmediately();
     }
   }
 
@@ -206,83 +225,81 @@
     connection.respond(this, response);
   }
 
-  /** The one way to the final state; nothing leads back. */
+  /** Enters the final state. No other method does so, and no transition leaves this state. */
   private void end() {
     state = State.ENDED;
-    source = null;
+    streamedAttempt = null;
   }
 
-  /**
-   * Nobody waits for the response any more: the connection has ended, so that none can be written.
-   */
-  void connectionClosed() {
-    if (open()) {
+  /** Called when the connection has closed; no response can be written any more. */
+  void onConnectionClosed() {
+    if (isOpen()) {
       end();
       context.driver().onClientDisconnected(requestId);
     }
   }
 
   /**
-   * The request cannot be received to its end. What was forwarded of it reaches no backend
-   * complete, and a response that is being streamed breaks off.
+   * Abandons the request because the rest of it cannot be received. No backend receives the
+   * complete request, and a response that is being streamed is cut off.
    */
   void abandonRequest() {
     if (state == State.FORWARDED) {
       end();
       context.driver().onClientDisconnected(requestId);
     } else if (state == State.STREAMING) {
-      // Ends by the driver's call of onResponseEnd.
+      // The driver ends this exchange by calling onResponseEnd.
       context.driver().onClientDisconnected(requestId);
     }
   }
 
-  /** The client takes more of a streamed response. */
+  /** Called when the client reads more of a streamed response. */
   void resume() {
     if (state == State.STREAMING) {
-      source.resume();
+      streamedAttempt.resume();
     }
   }
 
   @Override
   public boolean endIfDisconnected() {
-    boolean left = connection.closeIfClientLeft();
-    if (left) {
+    boolean disconnected = connection.closeIfClientDisconnected();
+    if (disconnected) {
       end();
     }
-    return left;
+    return disconnected;
   }
 
   @Override
-  public void onResponse(FullHttpResponse fromBackend) {
+  public void onResponse(FullHttpResponse backendResponse) {
     end();
-    respond(ResponseWriter.forwarded(fromBackend));
+    respond(ResponseWriter.forwarded(backendResponse));
   }
 
   @Override
-  public void onResponseStart(HttpResponse fromBackend, Attempt from) {
+  public void onResponseStart(HttpResponse backendResponse, Attempt attempt) {
     state = State.STREAMING;
-    source = from;
+    streamedAttempt = attempt;
     HttpVersion clientVersion = request.head().protocolVersion();
-    boolean chunks = clientVersion.isKeepAliveDefault();
-    if (!chunks && !HttpUtil.isContentLengthSet(fromBackend)) {
-      // The end of the connection is the end of the response.
+    boolean supportsChunked = clientVersion.isKeepAliveDefault();
+    if (!supportsChunked && !HttpUtil.isContentLengthSet(backendResponse)) {
+      // The end of the connection marks the end of the response.
       keepAlive = false;
     }
-    HttpResponse head = ResponseWriter.streamHead(fromBackend, chunks);
-    keepAlive = connection.keptAfter(this);
+    HttpResponse head = ResponseWriter.streamHead(backendResponse, supportsChunked);
+    keepAlive = connection.isKeptAliveAfter(this);
     writer.writeStreamHead(head, keepAlive, clientVersion);
   }
 
   @Override
-  public boolean onResponseContent(HttpContent piece) {
-    return state == State.STREAMING && writer.writePiece(piece);
+  public boolean onResponseContent(HttpContent content) {
+    return state == State.STREAMING && writer.writeContent(content);
   }
 
   @Override
-  public void onResponseEnd(boolean whole) {
+  public void onResponseEnd(boolean complete) {
     if (state == State.STREAMING) {
       end();
-      connection.streamEnded(whole, keepAlive);
+      connection.onStreamEnded(complete, keepAlive);
     }
   }
 
--- a/src/main/java/quotagateway/client/InboundRequest.java
+++ b/src/main/java/quotagateway/client/InboundRequest.java
@@ -5,8 +5,9 @@
 import quotagateway.backend.RequestBody;
 
 /**
- * A request on its way in: its head, what has come of its body, and when. Belongs to one
- * connection, on the event loop's thread. Times are in milliseconds on the gateway's clock.
+ * A request that is being received: its head, the received part of its body, and the time of each.
+ * Belongs to one connection; confined to the event loop's thread. Times are in milliseconds on the
+ * gateway's clock.
  */
 final class InboundRequest {
 
@@ -16,13 +17,15 @@
   private double bodyStartedAtMs;
   private double lastByteAtMs;
   private double timeoutMs;
-  private long bodyBytes;
+  private long receivedBodyBytes;
   private boolean malformedBody;
   private boolean awaitsContinue;
   private boolean queued;
   private boolean accepted;
 
   /**
+   * Creates a request from its head.
+   *
    * @param head as it was decoded; its decoder result may be a failure
    * @param body owned by this request until it is accepted
    * @param nowMs when the head was complete
@@ -43,25 +46,25 @@
     return body;
   }
 
-  /** What has come of the body, in bytes. */
-  long bodyBytes() {
-    return bodyBytes;
+  /** Returns the number of body bytes received so far. */
+  long receivedBodyBytes() {
+    return receivedBodyBytes;
   }
 
-  void countBodyBytes(int bytes) {
-    bodyBytes += bytes;
+  void addReceivedBodyBytes(int bytes) {
+    receivedBodyBytes += bytes;
   }
 
-  /** The length that the head announces; 0 where it announces none. */
-  long announcedBytes() {
+  /** Returns the body length that the head declares, or 0 if it declares none. */
+  long declaredBodyBytes() {
     return HttpUtil.getContentLength(head, 0L);
   }
 
-  boolean tooLarge() {
-    return Math.max(bodyBytes, announcedBytes()) > RequestLimits.MAX_BODY_BYTES;
+  boolean isTooLarge() {
+    return Math.max(receivedBodyBytes, declaredBodyBytes()) > RequestLimits.MAX_BODY_BYTES;
   }
 
-  boolean malformed() {
+  boolean isMalformed() {
     return malformedHead || malformedBody;
   }
 
@@ -69,18 +72,18 @@
     malformedBody = malformed;
   }
 
-  /** When the body began, later by as long as it was not read. */
+  /** Returns when the body began, moved forward by the time for which reading was paused. */
   double bodyStartedAtMs() {
     return bodyStartedAtMs;
   }
 
-  void extendBodyTime(double pauseMs) {
+  void excludePauseFromBodyTime(double pauseMs) {
     bodyStartedAtMs += pauseMs;
   }
 
   /**
-   * When its last byte came to this machine; for one whose body is still coming when its turn
-   * comes, when it was queued.
+   * Returns when the last byte of the request arrived at this machine. Until then, for a request
+   * that was queued with an incomplete body, returns when it was queued.
    */
   double lastByteAtMs() {
     return lastByteAtMs;
@@ -90,26 +93,26 @@
     lastByteAtMs = atMs;
   }
 
-  /** Whether its client waits for 100 Continue before it sends the body. */
+  /** Returns whether the client waits for 100 Continue before it sends the body. */
   boolean awaitsContinue() {
     return awaitsContinue;
   }
 
-  void continueSent() {
+  void markContinueSent() {
     awaitsContinue = false;
   }
 
-  /** Whether it waits for its turn, or has had it. */
-  boolean queued() {
+  /** Returns whether the request waits for its turn or has had it. */
+  boolean isQueued() {
     return queued;
   }
 
-  void setQueued() {
+  void markQueued() {
     queued = true;
   }
 
-  /** Whether the driver has it: the body then belongs to the driver. */
-  boolean accepted() {
+  /** Returns whether the driver has accepted the request and owns its body. */
+  boolean isAccepted() {
     return accepted;
   }
 
@@ -118,7 +121,7 @@
     accepted = true;
   }
 
-  /** When the client gives up, once the last byte has come. */
+  /** Returns when the client gives up; valid once the last byte has been received. */
   double deadlineAtMs() {
     return lastByteAtMs + timeoutMs;
   }
--- a/src/main/java/quotagateway/client/InvalidRequestException.java
+++ b/src/main/java/quotagateway/client/InvalidRequestException.java
@@ -3,8 +3,9 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /**
- * A message that is no request of the protocol. The message is the reason that its client is given.
- * Without a stack trace, as it is an answer to a client rather than a fault here.
+ * Thrown for a message that is not a valid request of the protocol. The exception message is the
+ * reason that is sent to the client. It has no stack trace, because it reports a client's error
+ * rather than a fault of the gateway.
  */
 final class InvalidRequestException extends Exception {
 
@@ -12,29 +13,31 @@
 
   private final boolean connectionReusable;
 
-  /** For a message of which it is certain where it ends. */
+  /** Creates an exception for a message whose end is certain. */
   InvalidRequestException(String reason) {
     this(reason, true);
   }
 
   /**
-   * @param connectionReusable false where another reader may see other requests in the same bytes
+   * Creates an exception.
+   *
+   * @param connectionReusable false if another parser may see other requests in the same bytes
    */
   InvalidRequestException(String reason, boolean connectionReusable) {
     super(reason, null, false, false);
     this.connectionReusable = connectionReusable;
   }
 
-  /** What the client is answered. */
+  /** Returns the status that is sent to the client. */
   HttpResponseStatus status() {
     return HttpResponseStatus.BAD_REQUEST;
   }
 
   /**
-   * False where the connection has to end: what comes next on it may be a request to one reader and
-   * part of this one to another (request smuggling).
+   * Returns false if the connection has to be closed: the bytes that follow may be a request to one
+   * parser and part of this request to another (request smuggling).
    */
-  boolean connectionReusable() {
+  boolean isConnectionReusable() {
     return connectionReusable;
   }
 }
--- a/src/main/java/quotagateway/client/RequestAssembler.java
+++ b/src/main/java/quotagateway/client/RequestAssembler.java
@@ -9,42 +9,52 @@
 import quotagateway.transport.KernelSockets;
 
 /**
- * Assembles the requests of one connection from decoded parts, within the limits on time and size,
- * and pauses reading where a body is not taken. A request is passed on once it is complete, or as
- * soon as it is known that it will be streamed or rejected. On the event loop's thread; times are
- * in milliseconds on the gateway's clock.
+ * Assembles the requests of one connection from decoded parts, enforces the limits on time and
+ * size, and pauses reading while the bytes of a body are not consumed. A request is passed on once
+ * it is complete, or as soon as it is known that it will be streamed or rejected. Confined to the
+ * event loop's thread; times are in milliseconds on the gateway's clock.
  */
 final class RequestAssembler {
 
-  /** What the connection does with the requests. */
+  /** Receives the assembled requests; implemented by the connection. */
   interface Listener {
 
-    /** Whether the connection is closing: nothing that comes is a request any more. */
-    boolean closing();
+    /**
+     * Returns whether the connection is closing; received bytes are then no longer treated as
+     * requests.
+     */
+    boolean isClosing();
 
-    /** Whether no earlier request is open or waits for its turn. */
-    boolean idle();
+    /** Returns whether no earlier request is open or waits for its turn. */
+    boolean isIdle();
 
-    /** Whether as many requests wait for their turn as may. */
-    boolean queueFull();
+    /** Returns whether the maximum number of requests wait for their turn. */
+    boolean isQueueFull();
 
-    /** A request may be handled: complete, or to be streamed or rejected. Called once for each. */
-    void requestReady(InboundRequest request);
+    /**
+     * Called once for each request when it can be handled: it is complete, or is to be streamed or
+     * rejected.
+     */
+    void onRequestReady(InboundRequest request);
 
-    /** The head of a request with a body has come. */
-    void headReceived();
+    /** Called when the head of a well-formed request has been received and its body has not. */
+    void onHeadReceived();
 
-    /** The last byte of a request has come. */
-    void requestComplete(InboundRequest request);
+    /** Called when the last byte of a request has been received. */
+    void onRequestComplete(InboundRequest request);
 
-    /** The body of the request that is being received cannot be had to its end. */
-    void bodyFailed(HttpResponseStatus status, String reason);
+    /** Called when the rest of the body that is being received cannot be received. */
+    void onBodyFailed(HttpResponseStatus status, String reason);
 
-    /** Nothing further can be read from this client. */
-    void unreadable(HttpResponseStatus status, String reason);
+    /** Called when nothing further can be read from this client. */
+    void onInputRejected(HttpResponseStatus status, String reason);
 
-    /** Whether the client has closed the connection, as far as this machine can know. */
-    boolean closeIfClientLeft();
+    /**
+     * Closes the connection if the client has closed it, even if the close has not been read yet,
+     * and returns whether the connection is closed. The kernel may not know of the client's close
+     * yet.
+     */
+    boolean closeIfClientDisconnected();
   }
 
   private static final String MEMORY_EXHAUSTED = "too much is being received";
@@ -58,17 +68,20 @@
 
   private double lastReadAtMs;
 
-  /** What has come of the head that is being received. */
+  /** Number of bytes received of the current request head. */
   private int headBytes;
 
-  /** The request whose head has come and whose body has not ended, or null. */
-  private InboundRequest receiving;
+  /** The request whose head has been received and whose body is incomplete, or null. */
+  private InboundRequest incompleteRequest;
 
-  /** When reading was paused last. */
+  /** When reading was last paused. */
   private double pausedAtMs;
 
-  /** Too many requests came at once: those queued are answered, and then the connection ends. */
-  private boolean overrun;
+  /**
+   * Whether too many requests arrived at once: those that are queued are answered, and then the
+   * connection is closed.
+   */
+  private boolean pipelineOverflowed;
 
   RequestAssembler(Channel channel, ClientContext context, Listener listener) {
     this.channel = channel;
@@ -76,51 +89,51 @@
     this.listener = listener;
   }
 
-  /** When the request that is being received began, or NaN if there is none. */
+  /** Returns when the request that is being received began, or NaN if there is none. */
   double receivingSinceMs() {
     return receivingSinceMs;
   }
 
-  boolean receivesRequest() {
+  boolean isReceivingRequest() {
     return !Double.isNaN(receivingSinceMs);
   }
 
-  /** When bytes came last. */
+  /** Returns when bytes were last received. */
   double lastReadAtMs() {
     return lastReadAtMs;
   }
 
-  /** The request whose body is still coming, or null. */
-  InboundRequest receiving() {
-    return receiving;
+  /** Returns the request whose head has been received and whose body is incomplete, or null. */
+  InboundRequest incompleteRequest() {
+    return incompleteRequest;
   }
 
-  /** Whether requests came that are not answered any more. */
-  boolean overrun() {
-    return overrun;
+  /** Returns whether requests arrived that will not be answered because too many were pipelined. */
+  boolean hasPipelineOverflowed() {
+    return pipelineOverflowed;
   }
 
   /**
-   * Called with the size of what has come, before it is decoded. Prevents a request from being read
-   * after the connection has begun to close, as at a shutdown: what is read and then not answered
-   * is lost, while an unread request is sent again by its client.
+   * Records received bytes before they are decoded. Once the connection has begun to close, for
+   * example at a shutdown, no further request is read: a request that is read and not answered is
+   * lost, while a client sends an unread request again.
    *
-   * @return false when nothing more is wanted, and the bytes are to be dropped
+   * @return false if no more input is wanted and the bytes have to be dropped
    */
   boolean bytesReceived(int bytes) {
     lastReadAtMs = context.now();
-    if (listener.closing() || overrun) {
+    if (listener.isClosing() || pipelineOverflowed) {
       return false;
     }
-    if (!receivesRequest()) {
+    if (!isReceivingRequest()) {
       receivingSinceMs = lastReadAtMs;
     }
-    if (receiving == null) {
+    if (incompleteRequest == null) {
       boolean firstRead = headBytes == 0;
       headBytes += bytes;
-      context.hold(bytes);
-      if (context.memoryExhausted() && !firstRead) {
-        listener.unreadable(HttpResponseStatus.SERVICE_UNAVAILABLE, MEMORY_EXHAUSTED);
+      context.adjustHeldBytes(bytes);
+      if (context.isMemoryExhausted() && !firstRead) {
+        listener.onInputRejected(HttpResponseStatus.SERVICE_UNAVAILABLE, MEMORY_EXHAUSTED);
         return false;
       }
     }
@@ -128,143 +141,154 @@
   }
 
   /**
-   * Called after that has been decoded.
+   * Called after the received bytes have been decoded.
    *
-   * @param moreBuffered whether part of a further request is among it
+   * @param moreBuffered whether they include part of a further request
    */
   void bytesDecoded(boolean moreBuffered) {
-    if (moreBuffered && !receivesRequest()) {
+    if (moreBuffered && !isReceivingRequest()) {
       receivingSinceMs = context.now();
     }
   }
 
-  /** The head's bytes are not held any more: it has been decoded, or the connection has ended. */
-  void releaseHead() {
-    context.hold(-headBytes);
+  /**
+   * Stops counting the bytes of the head as held: it has been decoded, or the connection has ended.
+   */
+  void releaseHeadBytes() {
+    context.adjustHeldBytes(-headBytes);
     headBytes = 0;
   }
 
-  /** Nothing is kept of a request that is being received, unless the driver has it. */
-  void discard() {
-    if (receiving != null && !receiving.accepted()) {
-      receiving.body().release();
+  /** Releases the body of the request that is being received, unless the driver owns it. */
+  void discardIncompleteRequest() {
+    if (incompleteRequest != null && !incompleteRequest.isAccepted()) {
+      incompleteRequest.body().release();
     }
   }
 
-  /** Reads on, or leaves what the client sends to the kernel. */
+  /**
+   * Resumes reading, or pauses it and leaves what the client sends in the kernel's receive buffer.
+   */
   void setReading(boolean on) {
     if (on == channel.config().isAutoRead()) {
       return;
     }
     if (!on) {
       pausedAtMs = context.now();
-    } else if (receiving != null) {
-      receiving.extendBodyTime(context.now() - pausedAtMs);
+    } else if (incompleteRequest != null) {
+      incompleteRequest.excludePauseFromBodyTime(context.now() - pausedAtMs);
     }
     channel.config().setAutoRead(on);
   }
 
-  /** Takes the head of a request. */
+  /** Processes the head of a request. */
   void onHead(HttpRequest head) {
-    releaseHead();
+    releaseHeadBytes();
     InboundRequest request =
-        new InboundRequest(head, new RequestBody(this::setReading, context::hold), context.now());
-    if (!listener.idle() && (listener.queueFull() || request.malformed())) {
-      // Reading goes on, so that a client that leaves is noticed; the bound is on what is kept.
-      overrun = true;
+        new InboundRequest(
+            head,
+            new RequestBody(this::setReading, context::adjustHeldBytes),
+            context.now());
+    if (!listener.isIdle() && (listener.isQueueFull() || request.isMalformed())) {
+      // Reading continues so that a disconnect of the client is noticed; the limit applies to what
+      // is kept.
+      pipelineOverflowed = true;
       return;
     }
-    if (request.malformed()) {
+    if (request.isMalformed()) {
       request.body().end();
       receivingSinceMs = Double.NaN;
-      ready(request);
+      enqueue(request);
       return;
     }
-    receiving = request;
-    if (request.tooLarge() || request.announcedBytes() > RequestBody.MAX_BUFFERED_BYTES) {
-      ready(request);
+    incompleteRequest = request;
+    if (request.isTooLarge() || request.declaredBodyBytes() > RequestBody.MAX_BUFFERED_BYTES) {
+      enqueue(request);
     }
-    listener.headReceived();
+    listener.onHeadReceived();
   }
 
-  /** Takes a piece of the body of the request whose head came last; the bytes are only lent. */
+  /**
+   * Processes a piece of the body of the request whose head was received last. The caller keeps
+   * ownership of the bytes.
+   */
   void onContent(HttpContent content) {
-    InboundRequest request = receiving;
+    InboundRequest request = incompleteRequest;
     if (request == null) {
       return;
     }
     int bytes = content.content().readableBytes();
     boolean last = content instanceof LastHttpContent;
-    request.countBodyBytes(bytes);
-    if (last && request.accepted() && listener.closeIfClientLeft()) {
-      // The client may have closed behind its body long ago. A backend that gets no last byte does
-      // not begin.
+    request.addReceivedBodyBytes(bytes);
+    if (last && request.isAccepted() && listener.closeIfClientDisconnected()) {
+      // The client may have closed the connection after its body long before the body is read. A
+      // backend that does not get the last byte does not execute the request.
       return;
     }
-    if (content.decoderResult().isFailure() || (request.tooLarge() && request.accepted())) {
+    if (content.decoderResult().isFailure() || (request.isTooLarge() && request.isAccepted())) {
       rejectBody(request);
       return;
     }
-    if (!request.queued() && request.bodyBytes() > bytes && context.memoryExhausted()) {
-      listener.unreadable(HttpResponseStatus.SERVICE_UNAVAILABLE, MEMORY_EXHAUSTED);
+    if (!request.isQueued() && request.receivedBodyBytes() > bytes && context.isMemoryExhausted()) {
+      listener.onInputRejected(HttpResponseStatus.SERVICE_UNAVAILABLE, MEMORY_EXHAUSTED);
       return;
     }
     request.body().add(content.content());
     if (last) {
-      complete(request);
+      completeRequest(request);
     } else if (request.body().exceedsBuffer()) {
-      ready(request);
+      enqueue(request);
     }
   }
 
   private void rejectBody(InboundRequest request) {
-    boolean tooLarge = request.tooLarge();
+    boolean tooLarge = request.isTooLarge();
     request.setMalformedBody(!tooLarge);
-    if (!request.accepted()) {
-      ready(request);
+    if (!request.isAccepted()) {
+      enqueue(request);
     } else if (tooLarge) {
-      listener.bodyFailed(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body is too large");
+      listener.onBodyFailed(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body is too large");
     } else {
-      listener.bodyFailed(HttpResponseStatus.BAD_REQUEST, "malformed body");
+      listener.onBodyFailed(HttpResponseStatus.BAD_REQUEST, "malformed body");
     }
   }
 
-  private void complete(InboundRequest request) {
-    receiving = null;
+  private void completeRequest(InboundRequest request) {
+    incompleteRequest = null;
     receivingSinceMs = Double.NaN;
     request.setLastByteAtMs(context.now() - KernelSockets.msSinceLastReceive(channel));
     request.body().end();
-    listener.requestComplete(request);
-    ready(request);
+    listener.onRequestComplete(request);
+    enqueue(request);
   }
 
-  private void ready(InboundRequest request) {
-    if (request.queued()) {
+  private void enqueue(InboundRequest request) {
+    if (request.isQueued()) {
       return;
     }
-    request.setQueued();
+    request.markQueued();
     if (!request.body().isComplete()) {
       request.setLastByteAtMs(context.now());
     }
-    listener.requestReady(request);
+    listener.onRequestReady(request);
   }
 
   /**
-   * Ends a request whose body comes too slowly, or is not taken. Prevents connections held for good
-   * by clients that stop in the middle of a body and stay. Cost: a client slower than the limit
-   * gets no response.
+   * Fails a request whose body arrives too slowly or is not consumed. Without this, clients that
+   * stop in the middle of a body and stay connected would hold connections forever. The drawback is
+   * that a client slower than the limit is not served.
    *
-   * @param requestStartedAtMs from when the client's time counts
+   * @param requestStartedAtMs when the client's time for the request began
    */
   void checkBodyProgress(double nowMs, double requestStartedAtMs) {
-    double maxMs = RequestLimits.maxBodyMs(receiving.bodyBytes());
+    double maxMs = RequestLimits.maxBodyMs(incompleteRequest.receivedBodyBytes());
     if (!channel.config().isAutoRead()) {
-      if (receiving.accepted() && nowMs - pausedAtMs > RequestLimits.MAX_STALL_MS) {
-        listener.bodyFailed(HttpResponseStatus.SERVICE_UNAVAILABLE, "body is not taken");
+      if (incompleteRequest.isAccepted() && nowMs - pausedAtMs > RequestLimits.MAX_STALL_MS) {
+        listener.onBodyFailed(HttpResponseStatus.SERVICE_UNAVAILABLE, "body is not taken");
       }
-    } else if (nowMs - receiving.bodyStartedAtMs() > maxMs
+    } else if (nowMs - incompleteRequest.bodyStartedAtMs() > maxMs
         && nowMs - requestStartedAtMs > RequestLimits.MAX_HEAD_MS) {
-      listener.bodyFailed(HttpResponseStatus.REQUEST_TIMEOUT, "body is not whole in time");
+      listener.onBodyFailed(HttpResponseStatus.REQUEST_TIMEOUT, "body is not whole in time");
     }
   }
 }
--- a/src/main/java/quotagateway/client/RequestDecoder.java
+++ b/src/main/java/quotagateway/client/RequestDecoder.java
@@ -5,8 +5,8 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Decodes clients' requests, for one connection; what two readers could frame differently is
- * malformed here.
+ * Decodes the requests of one client connection. A message that two parsers could frame differently
+ * is rejected as malformed.
  */
 public final class RequestDecoder extends HttpRequestDecoder {
 
@@ -14,28 +14,28 @@
   private static final int MAX_HEADER_BYTES = 16_384;
 
   /** The largest piece of a body that is passed on at once. */
-  private static final int MAX_PIECE_BYTES = 64 * 1024;
+  private static final int MAX_CHUNK_BYTES = 64 * 1024;
 
-  /** A decoder for one connection. */
+  /** Creates a decoder for one connection. */
   public RequestDecoder() {
     super(
         new HttpDecoderConfig()
             .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
             .setMaxHeaderSize(MAX_HEADER_BYTES)
-            .setMaxChunkSize(MAX_PIECE_BYTES)
+            .setMaxChunkSize(MAX_CHUNK_BYTES)
             .setUseRfc9112TransferEncoding(true));
   }
 
   /**
-   * Prevents request smuggling: whoever goes by the length sees another request in what is a body
-   * here.
+   * Rejects the message to prevent request smuggling: a parser that uses the length would see
+   * another request inside the bytes that are body here.
    */
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
     throw new IllegalArgumentException("Content-Length with Transfer-Encoding");
   }
 
-  /** Whether part of a further request has been read. */
+  /** Returns whether part of a further request has been read. */
   boolean hasMoreBytes() {
     return actualReadableBytes() > 0;
   }
--- a/src/main/java/quotagateway/client/RequestLimits.java
+++ b/src/main/java/quotagateway/client/RequestLimits.java
@@ -1,36 +1,43 @@
 package quotagateway.client;
 
 /**
- * How much a client may send, and how long it may take for it. Whatever a request exceeds, its
- * client gets an error or a close; each open connection is one that another client cannot have.
+ * Limits on the size of clients' requests and on the time to send them. A client that exceeds a
+ * limit gets an error, or its connection is closed, because each open connection may keep another
+ * client out.
  */
 final class RequestLimits {
 
-  /** The largest body that is forwarded; a client that announces or sends more gets 413. */
+  /** The largest body that is forwarded; a client that announces or sends more gets a 413. */
   static final long MAX_BODY_BYTES = 32L << 20;
 
-  /** Requests kept behind the open one; a client that sends more gets no responses beyond them. */
+  /** Maximum number of requests queued after the open one; requests beyond it get no response. */
   static final int MAX_PIPELINED_REQUESTS = 16;
 
   /**
-   * Time for a request's head, from the connecting of its client, or for a later request from its
-   * first byte. Misbehaving clients are owed an error or a close within 3 s. A trickle does not
-   * extend it.
+   * Time limit for the head of a request, counted from the connect for the first request and from
+   * the first byte for later ones. Misbehaving clients must get an error or a close within 3 s.
+   * Bytes that trickle in do not extend the limit.
    */
   static final double MAX_HEAD_MS = 2_200;
 
-  /** Time for a body beside what {@link #MIN_BODY_BYTES_PER_MS} gives it. */
+  /** Time for a body in addition to the time that {@link #MIN_BODY_BYTES_PER_MS} allows. */
   private static final double BODY_GRACE_MS = 700;
 
-  /** A body may come as slowly as 64 kB a second; a little less, so that such a one is in time. */
+  /**
+   * Clients may send a body as slowly as 64 kB/s; the limit is slightly lower so that they are not
+   * timed out.
+   */
   private static final double MIN_BODY_BYTES_PER_MS = 60;
 
-  /** A peer that takes nothing of a body or of a response for so long is not there any more. */
+  /** A peer that accepts no bytes of a body or a response for this long is assumed to be gone. */
   static final double MAX_STALL_MS = 30_000;
 
   private RequestLimits() {}
 
-  /** How long the first bytes of a body may take to come, in milliseconds. */
+  /**
+   * Returns how long the first {@code bodyBytes} bytes of a body may take to arrive, in
+   * milliseconds.
+   */
   static double maxBodyMs(long bodyBytes) {
     return BODY_GRACE_MS + bodyBytes / MIN_BODY_BYTES_PER_MS;
   }
--- a/src/main/java/quotagateway/client/RequestReader.java
+++ b/src/main/java/quotagateway/client/RequestReader.java
@@ -17,24 +17,25 @@
 import quotagateway.transport.ProtocolHeaders;
 
 /**
- * Reads a client's message as a request by one version of the settings; immutable. What is no
- * request of the protocol is rejected here, with its reason.
+ * Validates a client's HTTP message against one version of the settings and converts it into a
+ * request; immutable. A message that is not a valid request of the protocol is rejected with the
+ * reason.
  */
 public final class RequestReader {
 
   private static final int MAX_ID_CHARS = 128;
   private static final int MAX_HOST_CHARS = 255;
 
-  /** Customers are numbered below this, by the protocol. */
+  /** Exclusive upper bound of customer numbers, given by the protocol. */
   private static final long CUSTOMER_LIMIT = 1L << 33;
 
-  /** Digits of the longest number in a header, that of a customer in hexadecimal. */
+  /** Number of digits of the longest number in a header, a customer in hexadecimal. */
   private static final int MAX_DIGITS = 16;
 
   private static final int DECIMAL = 10;
   private static final int HEXADECIMAL = 16;
 
-  /** Beyond ASCII there are further characters that Java takes for digits. */
+  /** Bound of the ASCII range. Java also accepts digits beyond it. */
   private static final int ASCII_LIMIT = 128;
 
   private static final String HTTP_SCHEME = "http://";
@@ -45,7 +46,7 @@
   private final double maxUnits;
   private final Capabilities capabilities;
 
-  /** A reader of requests by these settings. */
+  /** Creates a reader that applies these settings. */
   public RequestReader(PolicySettings settings) {
     settings.requestClasses().forEach(c -> requestClasses.put(c.name(), c));
     settings.plans().forEach(plan -> planNames.add(plan.name()));
@@ -56,35 +57,36 @@
   }
 
   /**
-   * Reads a request; its deadline follows from the time-out that the client states.
+   * Reads a request and derives its deadline from the timeout that the client states.
    *
-   * @param arrivedAtMs from when that counts
-   * @throws InvalidRequestException with the first reason for which this is no request
+   * @param arrivedAtMs when the request arrived; its timeout counts from then
+   * @throws InvalidRequestException with the first reason for which the message is not a valid
+   *     request
    */
   RequestReceived read(HttpRequest message, double arrivedAtMs) throws InvalidRequestException {
     HttpHeaders headers = message.headers();
     if (headers.contains(HttpHeaderNames.HOST)
-        && text(headers, HttpHeaderNames.HOST).length() > MAX_HOST_CHARS) {
+        && requiredHeader(headers, HttpHeaderNames.HOST).length() > MAX_HOST_CHARS) {
       throw new InvalidRequestException("Host is too long");
     }
-    String id = text(headers, ProtocolHeaders.REQUEST_ID);
+    String id = requiredHeader(headers, ProtocolHeaders.REQUEST_ID);
     if (id.length() > MAX_ID_CHARS) {
       throw new InvalidRequestException("Request-Id is too long");
     }
-    RequestClass requestClass = requestClass(message);
-    String planName = text(headers, ProtocolHeaders.PLAN);
+    RequestClass requestClass = readRequestClass(message);
+    String planName = requiredHeader(headers, ProtocolHeaders.PLAN);
     if (!planNames.contains(planName)) {
       throw new InvalidRequestException("unknown plan");
     }
-    double timeoutMs = number(headers, ProtocolHeaders.TIMEOUT_MS, DECIMAL);
+    double timeoutMs = parseNumber(headers, ProtocolHeaders.TIMEOUT_MS, DECIMAL);
     if (timeoutMs <= 0 || timeoutMs > Math.ceil(requestClass.deadlineMs())) {
       throw new InvalidRequestException("Request-Timeout-Ms is out of range");
     }
-    long customer = number(headers, ProtocolHeaders.CUSTOMER, HEXADECIMAL);
+    long customer = parseNumber(headers, ProtocolHeaders.CUSTOMER, HEXADECIMAL);
     if (customer >= CUSTOMER_LIMIT) {
       throw new InvalidRequestException("X-Customer is out of range");
     }
-    QuotaField quota = quota(text(headers, ProtocolHeaders.QUOTA));
+    QuotaHeader quota = parseQuota(requiredHeader(headers, ProtocolHeaders.QUOTA));
     return new RequestReceived(
         id,
         requestClass,
@@ -96,39 +98,47 @@
         capabilities);
   }
 
-  /** The class that the client names, which path, method and idempotency key have to fit. */
-  private RequestClass requestClass(HttpRequest message) throws InvalidRequestException {
+  /**
+   * Returns the class that the client names, after checking that path, method and idempotency key
+   * fit.
+   */
+  private RequestClass readRequestClass(HttpRequest message) throws InvalidRequestException {
     HttpHeaders headers = message.headers();
-    RequestClass named = requestClasses.get(text(headers, ProtocolHeaders.REQUEST_CLASS));
-    if (named == null || !named.name().equals(firstPart(path(message.uri())))) {
+    RequestClass requestClass =
+        requestClasses.get(requiredHeader(headers, ProtocolHeaders.REQUEST_CLASS));
+    if (requestClass == null
+        || !requestClass.name().equals(firstPathSegment(path(message.uri())))) {
       throw new InvalidRequestException("unknown class");
     }
-    boolean idempotent = named.idempotency() == Idempotency.IDEMPOTENT;
+    boolean idempotent = requestClass.idempotency() == Idempotency.IDEMPOTENT;
     if (!message.method().equals(idempotent ? HttpMethod.GET : HttpMethod.POST)) {
       throw new InvalidRequestException("method does not fit the class");
     }
-    if (named.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
-      text(headers, ProtocolHeaders.IDEMPOTENCY_KEY);
+    if (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY) {
+      requiredHeader(headers, ProtocolHeaders.IDEMPOTENCY_KEY);
     }
-    return named;
+    return requestClass;
   }
 
-  /** What the header {@code X-Quota} says: estimated units, and the gateways of the customer. */
-  private record QuotaField(long units, long spread) {}
+  /**
+   * Values of the header {@code X-Quota}: the estimated units, and the number of gateways that
+   * serve the customer.
+   */
+  private record QuotaHeader(long units, long spread) {}
 
   /**
-   * Reads a field like {@code units=2,spread=3,first=1}. What is out of range is rejected rather
-   * than clipped: the request may bear another customer's name, and that customer's account must
-   * not move by it.
+   * Parses a value such as {@code units=2,spread=3,first=1}. Values out of range are rejected
+   * rather than clamped: the request may name another customer, whose account must not change
+   * because of it.
    */
-  private QuotaField quota(String field) throws InvalidRequestException {
+  private QuotaHeader parseQuota(String field) throws InvalidRequestException {
     long units = 0;
     long spread = 0;
     long first = -1;
     for (String part : field.split(",", -1)) {
       int equals = part.indexOf('=');
       String name = equals < 0 ? "" : part.substring(0, equals).trim();
-      long value = number(part.substring(equals + 1).trim(), DECIMAL, ProtocolHeaders.QUOTA);
+      long value = parseNumber(part.substring(equals + 1).trim(), DECIMAL, ProtocolHeaders.QUOTA);
       switch (name) {
         case "units" -> units = value;
         case "spread" -> spread = value;
@@ -142,10 +152,13 @@
     if (!unitsInRange || !spreadInRange || !firstInRange) {
       throw new InvalidRequestException("X-Quota is out of range");
     }
-    return new QuotaField(units, spread);
+    return new QuotaHeader(units, spread);
   }
 
-  /** The path and query, also where the request names its target in absolute form. */
+  /**
+   * Returns the path and query of a request target, including one in absolute form. An absolute
+   * target without a path is returned unchanged.
+   */
   public static String path(String uri) {
     if (!uri.regionMatches(true, 0, HTTP_SCHEME, 0, HTTP_SCHEME.length())) {
       return uri;
@@ -154,8 +167,8 @@
     return slash < 0 ? uri : uri.substring(slash);
   }
 
-  /** The part of a path up to its first separator, or nothing where it is no path. */
-  private static String firstPart(String uri) throws InvalidRequestException {
+  /** Returns the first segment of a path, or an empty string if the target is not a path. */
+  private static String firstPathSegment(String uri) throws InvalidRequestException {
     for (int i = 0; i < uri.length(); i++) {
       if (uri.charAt(i) <= ' ' || uri.charAt(i) > '~') {
         throw new InvalidRequestException("path is not plain ASCII");
@@ -168,8 +181,8 @@
     return uri.startsWith("/") ? uri.substring(1, end) : "";
   }
 
-  /** The value of a header that has to be there once. */
-  private static String text(HttpHeaders headers, CharSequence name)
+  /** Returns the value of a header that must be present exactly once. */
+  private static String requiredHeader(HttpHeaders headers, CharSequence name)
       throws InvalidRequestException {
     Iterator<String> values = headers.valueStringIterator(name);
     String value = values.hasNext() ? values.next() : "";
@@ -182,13 +195,13 @@
     return value;
   }
 
-  private static long number(HttpHeaders headers, CharSequence name, int radix)
+  private static long parseNumber(HttpHeaders headers, CharSequence name, int radix)
       throws InvalidRequestException {
-    return number(text(headers, name), radix, name);
+    return parseNumber(requiredHeader(headers, name), radix, name);
   }
 
-  /** A number without a sign. */
-  private static long number(String text, int radix, CharSequence name)
+  /** Parses a number without a sign. */
+  private static long parseNumber(String text, int radix, CharSequence name)
       throws InvalidRequestException {
     try {
       long value = text.length() > MAX_DIGITS ? -1 : Long.parseLong(text, radix);
@@ -198,7 +211,7 @@
         return value;
       }
     } catch (NumberFormatException e) {
-      // Falls through to the one message for all that is no number.
+      // Falls through to the common rejection below.
     }
     throw new InvalidRequestException(name + " is not a number");
   }
--- a/src/main/java/quotagateway/client/ResponseWriter.java
+++ b/src/main/java/quotagateway/client/ResponseWriter.java
@@ -18,16 +18,16 @@
 import java.util.Locale;
 
 /**
- * Builds responses and writes them to one client, complete or streamed with back pressure: a client
- * that reads slowly stops the backend's response, so that it is not kept here. On the event loop's
- * thread.
+ * Builds responses and writes them to one client, either complete or streamed with back pressure:
+ * while a client reads slowly, the backend's response is not read, so that it does not accumulate
+ * in memory. Confined to the event loop's thread.
  */
 final class ResponseWriter {
 
   private final Channel channel;
   private final ClientContext context;
 
-  /** Since when the client takes nothing of a streamed response, in milliseconds, or NaN. */
+  /** Since when the client has not been reading a streamed response, in milliseconds, or NaN. */
   private double stalledSinceMs = Double.NaN;
 
   ResponseWriter(Channel channel, ClientContext context) {
@@ -35,19 +35,19 @@
     this.context = context;
   }
 
-  /** A response without a body. */
+  /** Returns a response without a body. */
   static FullHttpResponse empty(HttpResponseStatus status) {
     return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
   }
 
-  /** A response whose body is one line of text. */
+  /** Returns a response whose body is one line of text. */
   static FullHttpResponse text(HttpResponseStatus status, String line) {
     ByteBuf text = Unpooled.copiedBuffer(line + "\n", StandardCharsets.US_ASCII);
     return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, text);
   }
 
   /**
-   * A rejection: 429 with the advice when to come back, or 503 where there is none.
+   * Returns a rejection: a 429 that advises the client when to retry, or a 503 without advice.
    *
    * @param retryAfterMs 0 for no advice
    */
@@ -61,28 +61,28 @@
     return empty(HttpResponseStatus.SERVICE_UNAVAILABLE);
   }
 
-  /** A backend's response as its client gets it; retains the content. */
-  static FullHttpResponse forwarded(FullHttpResponse fromBackend) {
+  /** Returns the client's version of a backend's response; retains the content. */
+  static FullHttpResponse forwarded(FullHttpResponse backendResponse) {
     FullHttpResponse response =
         new DefaultFullHttpResponse(
-            HttpVersion.HTTP_1_1, HttpResponseStatus.OK, fromBackend.content().retain());
-    copyContentType(fromBackend, response);
+            HttpVersion.HTTP_1_1, HttpResponseStatus.OK, backendResponse.content().retain());
+    copyContentType(backendResponse, response);
     return response;
   }
 
   /**
-   * The head of a streamed response. Without a length and without chunks, to a client of HTTP/1.0,
-   * the end of the connection is the end of the response.
+   * Returns the head of a streamed response. For an HTTP/1.0 client and a response of unknown
+   * length, the head has no framing, and the end of the connection marks the end of the response.
    *
-   * @param chunks whether the client knows chunks
+   * @param supportsChunked whether the client supports chunked transfer encoding
    */
-  static HttpResponse streamHead(HttpResponse fromBackend, boolean chunks) {
+  static HttpResponse streamHead(HttpResponse backendResponse, boolean supportsChunked) {
     HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-    copyContentType(fromBackend, head);
-    if (HttpUtil.isContentLengthSet(fromBackend)) {
-      long length = HttpUtil.getContentLength(fromBackend);
+    copyContentType(backendResponse, head);
+    if (HttpUtil.isContentLengthSet(backendResponse)) {
+      long length = HttpUtil.getContentLength(backendResponse);
       head.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
-    } else if (chunks) {
+    } else if (supportsChunked) {
       head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
     }
     return head;
@@ -95,60 +95,63 @@
     }
   }
 
-  /** States in a response whether its connection is kept, where its client would not know. */
-  private static void announcePersistence(
-      HttpResponse response, boolean kept, HttpVersion clientVersion) {
-    if (!kept) {
+  /**
+   * Sets the Connection header if the client's HTTP version does not already imply whether the
+   * connection is kept alive.
+   */
+  private static void setConnectionHeader(
+      HttpResponse response, boolean keepAlive, HttpVersion clientVersion) {
+    if (!keepAlive) {
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
     } else if (!clientVersion.isKeepAliveDefault()) {
       response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.KEEP_ALIVE);
     }
   }
 
-  /** Writes a complete response; takes it over. */
-  ChannelFuture write(FullHttpResponse response, boolean kept, HttpVersion clientVersion) {
+  /** Writes a complete response and takes ownership of it. */
+  ChannelFuture write(FullHttpResponse response, boolean keepAlive, HttpVersion clientVersion) {
     response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
-    announcePersistence(response, kept, clientVersion);
+    setConnectionHeader(response, keepAlive, clientVersion);
     return channel.writeAndFlush(response);
   }
 
-  /** Writes the last response of a connection, whatever request it answers. */
+  /** Writes the last response of a connection, regardless of which request it answers. */
   ChannelFuture writeFinalError(HttpResponseStatus status, String reason) {
     FullHttpResponse response = text(status, reason);
     return write(response, false, HttpVersion.HTTP_1_1);
   }
 
-  /** Has the client send the body that it keeps back (100 Continue). */
+  /** Sends 100 Continue, so that the client sends the body that it is holding back. */
   void writeContinue() {
     channel.writeAndFlush(empty(HttpResponseStatus.CONTINUE));
   }
 
-  /** Begins a streamed response. */
-  void writeStreamHead(HttpResponse head, boolean kept, HttpVersion clientVersion) {
-    announcePersistence(head, kept, clientVersion);
+  /** Writes the head of a streamed response. */
+  void writeStreamHead(HttpResponse head, boolean keepAlive, HttpVersion clientVersion) {
+    setConnectionHeader(head, keepAlive, clientVersion);
     channel.writeAndFlush(head);
   }
 
   /**
-   * Writes a piece of it, which is only lent.
+   * Writes a piece of a streamed response. The caller keeps its reference to the piece.
    *
-   * @return false while the client takes no more
+   * @return false while the client accepts no more
    */
-  boolean writePiece(HttpContent piece) {
-    channel.writeAndFlush(piece.retain());
+  boolean writeContent(HttpContent content) {
+    channel.writeAndFlush(content.retain());
     if (!channel.isWritable() && Double.isNaN(stalledSinceMs)) {
       stalledSinceMs = context.now();
     }
     return channel.isWritable();
   }
 
-  /** The client takes more, or the streamed response has ended. */
+  /** Clears the stall: the client reads more, or the streamed response has ended. */
   void clearStall() {
     stalledSinceMs = Double.NaN;
   }
 
-  /** Whether the client has taken nothing of a streamed response for too long. */
-  boolean stalledTooLong(double nowMs) {
+  /** Returns whether the client has not been reading a streamed response for too long. */
+  boolean isStalledTooLong(double nowMs) {
     return nowMs - stalledSinceMs > RequestLimits.MAX_STALL_MS;
   }
 }
--- a/src/main/java/quotagateway/lifecycle/Lifecycle.java
+++ b/src/main/java/quotagateway/lifecycle/Lifecycle.java
@@ -4,76 +4,82 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * Where a gateway process is between its start and its end. The main thread, the admin server and
- * the shutdown change it from threads of their own; all that depends on it reads it here, from any
+ * The lifecycle state of a gateway process. The main thread, the admin server and the shutdown
+ * change it from their own threads; everything that depends on the state reads it here, from any
  * thread.
  */
 public final class Lifecycle {
 
-  /** The states, by the names that operators read. */
+  /** The states; operators see their names. */
   public enum State {
-    /** It does not accept clients yet. */
+    /** The process does not accept clients yet. */
     STARTING,
-    /** It accepts clients and keeps their connections. */
+    /** The process accepts clients and keeps their connections alive. */
     SERVING,
-    /** An operator has the clients leave; it may serve again. */
+    /** An operator has started a drain, so that clients leave; the process may serve again. */
     DRAINING,
-    /** The process is shutting down; nothing leads back. */
+    /** The process is shutting down; no transition leaves this state. */
     ENDING
   }
 
-  /** A state and when it was entered, on the gateway's clock. */
+  /** A state and the time at which it was entered, on the gateway's clock. */
   private record Phase(State state, double sinceMs) {}
 
   private final MonotonicClock clock;
   private final AtomicReference<Phase> phase;
 
-  /** A process that is starting. */
+  /** Creates the lifecycle of a process that is starting. */
   public Lifecycle(MonotonicClock clock) {
     this.clock = clock;
     phase = new AtomicReference<>(new Phase(State.STARTING, clock.now()));
   }
 
-  /** The state now. */
+  /** Returns the current state. */
   public State state() {
     return phase.get().state;
   }
 
-  /** Whether it serves and is not draining. */
+  /** Returns whether the process serves and is not draining. */
   public boolean isServing() {
     return state() == State.SERVING;
   }
 
-  /** For how long it has been draining or ending, in milliseconds; 0 in the other states. */
+  /**
+   * Returns for how long the process has been draining or ending, in milliseconds; 0 in the other
+   * states.
+   */
   public double drainingMs() {
-    Phase now = phase.get();
-    boolean leaving = now.state == State.DRAINING || now.state == State.ENDING;
-    return leaving ? clock.now() - now.sinceMs : 0;
+    Phase current = phase.get();
+    boolean drainingOrEnding = current.state == State.DRAINING || current.state == State.ENDING;
+    return drainingOrEnding ? clock.now() - current.sinceMs : 0;
   }
 
-  /** Its start is over, unless it ends already. */
+  /** Marks the start as complete, unless the process is already ending. */
   public void startServing() {
     transition(State.STARTING, State.SERVING);
   }
 
-  /** True when it is draining now, whether by this call or by an earlier one. */
+  /**
+   * Starts to drain if the process is serving. Returns whether it is draining now, by this call or
+   * an earlier one.
+   */
   public boolean drain() {
     return transition(State.SERVING, State.DRAINING) || state() == State.DRAINING;
   }
 
-  /** True when it is serving now. */
+  /** Ends the drain if there is one. Returns whether the process is serving now. */
   public boolean undrain() {
     return transition(State.DRAINING, State.SERVING) || isServing();
   }
 
-  /** The process is about to end: nothing leads back. */
+  /** Enters the final state, because the process is about to end. */
   public void shutDown() {
     phase.set(new Phase(State.ENDING, clock.now()));
   }
 
-  /** False where it is not in the first state, or another thread was faster. */
+  /** Returns false if the current state is not {@code from}, or another thread changed it first. */
   private boolean transition(State from, State to) {
-    Phase now = phase.get();
-    return now.state == from && phase.compareAndSet(now, new Phase(to, clock.now()));
+    Phase current = phase.get();
+    return current.state == from && phase.compareAndSet(current, new Phase(to, clock.now()));
   }
 }
--- a/src/test/java/quotagateway/client/RequestReaderTest.java
+++ b/src/test/java/quotagateway/client/RequestReaderTest.java
@@ -23,7 +23,7 @@
 import quotagateway.policy.settings.RequestClass;
 import quotagateway.policy.settings.ServiceRules;
 
-/** What is read as a request by the settings, and for which reason others are rejected. */
+/** Tests which messages are read as requests, and the reasons for which others are rejected. */
 class RequestReaderTest {
 
   private static final double ARRIVED_AT_MS = 1_000;
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void deadlineFollowsFromArrivalAndStatedTimeout() throws Exception {
+  void computesDeadlineFromArrivalTimeAndTimeout() throws Exception {
     RequestReceived request = reader.read(get(), ARRIVED_AT_MS);
     assertEquals("r1", request.requestId());
     assertEquals("quote", request.requestClass().name());
@@ -98,30 +98,30 @@
         "X-Quota|units=2,spread=2|X-Quota is out of range",
         "X-Quota|units=2,other=2|X-Quota is broken"
       })
-  void invalidHeaderIsRejectedWithStatusAndReason(String header, String value, String reason) {
+  void rejectsInvalidHeaderWithStatusAndReason(String header, String value, String reason) {
     HttpRequest request = get();
     request.headers().set(header, value);
     InvalidRequestException rejection = rejection(request);
     assertEquals(HttpResponseStatus.BAD_REQUEST, rejection.status());
     assertEquals(reason, rejection.getMessage());
-    assertTrue(rejection.connectionReusable());
+    assertTrue(rejection.isConnectionReusable());
   }
 
   /**
-   * A header twice may mean one request to this reader and another to the next one, so that what
-   * follows on the connection cannot be relied on either.
+   * Two parsers may use different values of a repeated header, so the bytes that follow on the
+   * connection cannot be trusted either.
    */
   @Test
-  void repeatedHeaderEndsTheConnection() {
+  void doesNotReuseConnectionAfterRepeatedHeader() {
     HttpRequest request = get();
     request.headers().add("Request-Id", "r2");
     InvalidRequestException rejection = rejection(request);
     assertEquals("Request-Id is repeated", rejection.getMessage());
-    assertFalse(rejection.connectionReusable());
+    assertFalse(rejection.isConnectionReusable());
   }
 
   @Test
-  void methodAndIdempotencyKeyHaveToFitTheClass() throws Exception {
+  void requiresMethodAndIdempotencyKeyOfTheRequestClass() throws Exception {
     HttpRequest wrongMethod = get().setMethod(HttpMethod.POST);
     assertEquals("method does not fit the class", rejection(wrongMethod).getMessage());
     HttpRequest post = get().setMethod(HttpMethod.POST).setUri("/buy/9");
@@ -138,7 +138,7 @@
     "HTTP://backend.local:80/quote/1,/quote/1",
     "http://backend.local,http://backend.local"
   })
-  void pathIsThatOfAnAbsoluteTargetToo(String uri, String path) {
+  void extractsPathFromOriginAndAbsoluteForm(String uri, String path) {
     assertEquals(path, RequestReader.path(uri));
   }
 }
