--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -195,8 +195,9 @@
    *
    * <p>When CPU is short, connections wait long to be accepted, and a client's close may be
    * readable together with its request. Deferring the start lets the gateway notice the close
-   * first; otherwise the requests of disconnected clients would leave no time for those of others. The drawback is that a client that ends its sending before it has received its
-   * response gets none, as is already the case when it does so later.
+   * first; otherwise the requests of disconnected clients would leave no time for those of others.
+   * The drawback is that a client that ends its sending before it has received its response gets
+   * none, as is already the case when it does so later.
    */
   private void scheduleNextRequest() {
     if (!nextRequestScheduled && !hasOpenExchange() && !queue.isEmpty()) {
@@ -304,7 +305,7 @@
    * {@inheritDoc}
    *
    * <p>Without this check, attempts would be started for disconnected clients: an event loop that
-   * was stalled, or that has paused reading, has not seen the close yet.
+   * was stalled, or that has paused reading, may not have read the close yet.
    */
   @Override
   public boolean closeIfClientDisconnected() {
--- a/src/main/java/quotagateway/client/RequestLimits.java
+++ b/src/main/java/quotagateway/client/RequestLimits.java
@@ -14,9 +14,9 @@
   static final int MAX_PIPELINED_REQUESTS = 16;
 
   /**
-   * Time limit for the head of a request, counted from the connect for the first request and from
-   * the first byte for later ones. Misbehaving clients must get an error or a close within 3 s.
-   * Bytes that trickle in do not extend the limit.
+   * Time limit for the head of a request, counted from the opening of the connection for the first
+   * request and from the first byte for later ones. Misbehaving clients must get an error or a
+   * close within 3 s. Bytes that trickle in do not extend the limit.
    */
   static final double MAX_HEAD_MS = 2_200;
 
@@ -24,8 +24,8 @@
   private static final double BODY_GRACE_MS = 700;
 
   /**
-   * Clients may send a body as slowly as 64 kB/s; the limit is slightly lower so that they are not
-   * timed out.
+   * Minimum rate of a body. Clients may send as slowly as 64 kB/s; the limit is slightly lower so
+   * that they are not timed out.
    */
   private static final double MIN_BODY_BYTES_PER_MS = 60;
 
--- a/src/main/java/quotagateway/client/RequestReader.java
+++ b/src/main/java/quotagateway/client/RequestReader.java
@@ -35,7 +35,7 @@
   private static final int DECIMAL = 10;
   private static final int HEXADECIMAL = 16;
 
-  /** Bound of the ASCII range. Java also accepts digits beyond it. */
+  /** Exclusive upper bound of ASCII. Java also accepts digits of other scripts. */
   private static final int ASCII_LIMIT = 128;
 
   private static final String HTTP_SCHEME = "http://";
@@ -131,14 +131,15 @@
    * rather than clamped: the request may name another customer, whose account must not change
    * because of it.
    */
-  private QuotaHeader parseQuota(String field) throws InvalidRequestException {
+  private QuotaHeader parseQuota(String headerValue) throws InvalidRequestException {
     long units = 0;
     long spread = 0;
     long first = -1;
-    for (String part : field.split(",", -1)) {
-      int equals = part.indexOf('=');
-      String name = equals < 0 ? "" : part.substring(0, equals).trim();
-      long value = parseNumber(part.substring(equals + 1).trim(), DECIMAL, ProtocolHeaders.QUOTA);
+    for (String part : headerValue.split(",", -1)) {
+      int equalsIndex = part.indexOf('=');
+      String name = equalsIndex < 0 ? "" : part.substring(0, equalsIndex).trim();
+      long value =
+          parseNumber(part.substring(equalsIndex + 1).trim(), DECIMAL, ProtocolHeaders.QUOTA);
       switch (name) {
         case "units" -> units = value;
         case "spread" -> spread = value;
