--- a/src/main/java/quotagateway/client/RequestAssembler.java
+++ b/src/main/java/quotagateway/client/RequestAssembler.java
@@ -186,9 +186,7 @@
     releaseHeadBytes();
     InboundRequest request =
         new InboundRequest(
-            head,
-            new RequestBody(this::setReading, context::adjustHeldBytes),
-            context.now());
+            head, new RequestBody(this::setReading, context::adjustHeldBytes), context.now());
     if (!listener.isIdle() && (listener.isQueueFull() || request.isMalformed())) {
       // Reading continues so that a disconnect of the client is noticed; the limit applies to what
       // is kept.
