--- a/src/main/java/quotagateway/counter/CounterCall.java
+++ b/src/main/java/quotagateway/counter/CounterCall.java
@@ -1,9 +1,9 @@
 package quotagateway.counter;
 
 /**
- * One call to the counter, an increment or a ping, until its reply. A call that timed out keeps its
- * place among those of its connection, as replies come in the order of the calls. Not thread-safe:
- * belongs to the event loop of its client.
+ * One call to the counter: an increment or a ping. A call that timed out stays among the pending
+ * calls of its connection until its reply arrives, since replies arrive in the order of the calls.
+ * Not thread-safe: belongs to the event loop of its client.
  */
 final class CounterCall {
 
@@ -13,7 +13,7 @@
   private final double startedAtMs;
   private final CounterConnection connection;
   private boolean written;
-  private boolean ended;
+  private boolean completed;
 
   private CounterCall(String counterName, double startedAtMs, CounterConnection connection) {
     this.counterName = counterName;
@@ -38,38 +38,40 @@
     return counterName;
   }
 
-  /** When it was started, by the client's clock, in milliseconds. */
+  /** Returns when the call was started, by the client's clock, in milliseconds. */
   double startedAtMs() {
     return startedAtMs;
   }
 
-  /** The connection that it is written to. */
+  /** Returns the connection that the call is written to. */
   CounterConnection connection() {
     return connection;
   }
 
-  /** Notes whether its last byte was handed to the kernel. */
-  void setWritten(boolean success) {
-    written = success;
+  /** Records whether the complete call was written to the socket. */
+  void setWritten(boolean written) {
+    this.written = written;
   }
 
-  /** Whether its last byte was handed to the kernel: then it may have been executed. */
+  /**
+   * Returns whether the complete call was written to the socket, so that it may have been executed.
+   */
   boolean isWritten() {
     return written;
   }
 
-  boolean isEnded() {
-    return ended;
+  boolean isCompleted() {
+    return completed;
   }
 
   /**
-   * Marks it as ended; what becomes of it later is of no interest.
+   * Marks the call as completed. Later results of the call are ignored.
    *
-   * @return false where it had ended before
+   * @return false if the call was completed before
    */
-  boolean end() {
-    boolean first = !ended;
-    ended = true;
-    return first;
+  boolean tryComplete() {
+    boolean firstCompletion = !completed;
+    completed = true;
+    return firstCompletion;
   }
 }
--- a/src/main/java/quotagateway/counter/CounterCallTimeouts.java
+++ b/src/main/java/quotagateway/counter/CounterCallTimeouts.java
@@ -7,8 +7,8 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * Ends calls that took longer than their timeout. All have the same one, so they time out in the
- * order of their starts, and a single timer serves them all. Not thread-safe: belongs to its event
+ * Times out calls that exceed the call timeout. All calls have the same timeout, so they expire in
+ * the order of their starts and a single timer is enough. Not thread-safe: belongs to its event
  * loop.
  */
 final class CounterCallTimeouts {
@@ -18,16 +18,16 @@
   private final double timeoutMs;
   private final Consumer<CounterCall> onTimeout;
 
-  /** Calls in the order of their starts, some of which have ended meanwhile. */
+  /** Calls in the order of their starts; some of them may have completed already. */
   private final ArrayDeque<CounterCall> calls = new ArrayDeque<>();
 
-  private boolean scheduled;
+  private boolean timerScheduled;
 
   /**
-   * Creates it without calls.
+   * Creates an instance without calls.
    *
-   * @param timeoutMs from the start of a call, in milliseconds
-   * @param onTimeout gets each call that timed out, and may get calls that had ended before
+   * @param timeoutMs time from the start of a call until it times out, in milliseconds
+   * @param onTimeout receives each call that timed out, and possibly calls that completed earlier
    */
   CounterCallTimeouts(
       EventLoop loop, MonotonicClock clock, double timeoutMs, Consumer<CounterCall> onTimeout) {
@@ -37,32 +37,32 @@
     this.onTimeout = onTimeout;
   }
 
-  /** Watches one more call, which started after all others. */
+  /** Adds a call, which must have started after all calls added before. */
   void add(CounterCall call) {
     calls.add(call);
-    schedule();
+    scheduleTimer();
   }
 
-  private void schedule() {
-    if (scheduled || calls.isEmpty()) {
+  private void scheduleTimer() {
+    if (timerScheduled || calls.isEmpty()) {
       return;
     }
-    scheduled = true;
+    timerScheduled = true;
     double remainingMs = calls.peekFirst().startedAtMs() + timeoutMs - clock.now();
     long delayMicros = (long) Math.ceil(Math.max(0, remainingMs) * 1000);
-    loop.schedule(this::endOverdue, delayMicros, TimeUnit.MICROSECONDS);
+    loop.schedule(this::expireCalls, delayMicros, TimeUnit.MICROSECONDS);
   }
 
-  private void endOverdue() {
-    scheduled = false;
+  private void expireCalls() {
+    timerScheduled = false;
     double now = clock.now();
-    while (!calls.isEmpty() && isOver(calls.peekFirst(), now)) {
+    while (!calls.isEmpty() && isExpiredOrCompleted(calls.peekFirst(), now)) {
       onTimeout.accept(calls.pollFirst());
     }
-    schedule();
+    scheduleTimer();
   }
 
-  private boolean isOver(CounterCall call, double now) {
-    return call.isEnded() || call.startedAtMs() + timeoutMs <= now;
+  private boolean isExpiredOrCompleted(CounterCall call, double now) {
+    return call.isCompleted() || call.startedAtMs() + timeoutMs <= now;
   }
 }
--- a/src/main/java/quotagateway/counter/CounterClient.java
+++ b/src/main/java/quotagateway/counter/CounterClient.java
@@ -16,39 +16,44 @@
 import quotagateway.transport.PeriodicTask;
 
 /**
- * Calls to the counter, pipelined on a few kept connections. A call goes to the connection that
- * owes the fewest replies, so that a slow part of the counter delays only the calls already behind
- * it; calls for one name stay in order, as they go to one connection while the last of them is
- * open. Not thread-safe: belongs to its event loop.
+ * Client of the shared counter, which pipelines its calls on a fixed number of connections. A call
+ * uses the connection with the fewest pending replies, so that a slow part of the counter delays
+ * only the calls that were already sent on that connection. While a call for a counter name is
+ * open, further calls for that name use the same connection and so stay in order. Not thread-safe:
+ * belongs to its event loop.
  */
 public final class CounterClient {
 
-  /** Connections to one address. */
+  /** Number of connections to the configured address. */
   public static final int CONNECTIONS = ResourceLimits.COUNTER_CONNECTIONS;
 
-  /** For the dialer of the connections: one that takes longer to come up is dialed again. */
+  /**
+   * Connect timeout for the dialer that is passed to the client. A connection that is not
+   * established by then is dialed again.
+   */
   public static final double CONNECT_TIMEOUT_MS = 250;
 
   /**
-   * Bounds the replies that one connection owes, and so the memory that a silent counter takes;
-   * calls beyond that fail at once.
+   * Limits the pending replies of a connection, and so the memory that calls to a silent counter
+   * occupy. Further calls on that connection fail immediately.
    */
-  private static final int MAX_OWED_REPLIES = 256;
+  private static final int MAX_PENDING_REPLIES = 256;
 
-  /** How often connections are checked for silence and idleness. */
+  /** Interval of the checks for silent and idle connections. */
   private static final long LIVENESS_CHECK_INTERVAL_MS = 100;
 
   /**
-   * A connection that owes a reply and is silent for so many call timeouts is taken for dead: slow
-   * replies alone must not cost the connection.
+   * Silence timeout of a connection with pending replies, as a multiple of the call timeout. It is
+   * much longer than one call timeout, so that slow replies alone do not close the connection.
    */
-  private static final double SILENCE_TIMEOUT_PER_CALL_TIMEOUT = 12;
+  private static final double SILENCE_TIMEOUT_FACTOR = 12;
 
   /**
-   * An address that is not configured any more closes its connections after 1.5 s; the gateway does
-   * so before, and gives up the replies that they still owe.
+   * Time after an address change until the connections to the old address are closed. The old
+   * address closes them itself after 1.5 s; the gateway does so earlier, and calls whose replies
+   * are still pending fail.
    */
-  private static final long RETIREMENT_MS = 1_300;
+  private static final long RETIREMENT_DELAY_MS = 1_300;
 
   private final EventLoop loop;
   private final MonotonicClock clock;
@@ -59,24 +64,24 @@
   private final CounterConnection.Owner connectionOwner = new ConnectionOwner();
   private final List<CounterConnection> connections = new ArrayList<>(CONNECTIONS);
 
-  /** Connections to the address before, which are in use until one to the new address is up. */
-  private final List<CounterConnection> retiring = new ArrayList<>(0);
+  /** Connections to the old address, used until a connection to the new address is established. */
+  private final List<CounterConnection> retiringConnections = new ArrayList<>(0);
 
-  /** The last open call for each name. */
-  private final Map<String, CounterCall> lastCalls = new HashMap<>();
+  /** The most recent open call for each counter name. */
+  private final Map<String, CounterCall> lastCallsByName = new HashMap<>();
 
-  /** Null where the deployment has no counter. */
+  /** Null if the deployment has no counter. */
   private InetSocketAddress address;
 
   /**
-   * Creates a client that has yet to be started.
+   * Creates a client that is not started yet.
    *
    * @param loop runs the client
-   * @param clock measures the calls
+   * @param clock measures the duration of calls
    * @param dialer opens connections
-   * @param address where the counter listens, or null: then all calls fail
-   * @param callTimeoutMs how long a call may take, in milliseconds
-   * @param listener gets the end of each call, each exactly once
+   * @param address the counter's address; if null, all calls fail
+   * @param callTimeoutMs longest duration of a call, in milliseconds
+   * @param listener receives the result of each call exactly once
    */
   public CounterClient(
       EventLoop loop,
@@ -93,10 +98,10 @@
     this.listener = listener;
     timeouts =
         new CounterCallTimeouts(
-            loop, clock, callTimeoutMs, call -> onCallEnded(call, Status.TIMED_OUT, 0));
+            loop, clock, callTimeoutMs, call -> onCallCompleted(call, Status.TIMED_OUT, 0));
   }
 
-  /** Opens the connections. */
+  /** Opens the connections if an address is configured, and starts the periodic liveness checks. */
   public void start() {
     if (address != null) {
       connect();
@@ -112,7 +117,7 @@
               clock,
               dialer,
               address,
-              SILENCE_TIMEOUT_PER_CALL_TIMEOUT * callTimeoutMs,
+              SILENCE_TIMEOUT_FACTOR * callTimeoutMs,
               connectionOwner);
       connections.add(connection);
       connection.connect();
@@ -121,12 +126,12 @@
 
   private void checkConnections() {
     double now = clock.now();
-    PeriodicTask.forEachIsolated(connections, connection -> connection.checkAlive(now));
+    PeriodicTask.forEachIsolated(connections, connection -> connection.checkLiveness(now));
   }
 
   /**
-   * Connects to another address; connections to the old one get a while for the replies that they
-   * owe.
+   * Connects to another address. Connections to the old address stay open for a limited time, so
+   * that their pending replies can still arrive.
    *
    * @param newAddress the address; null changes nothing
    */
@@ -135,75 +140,81 @@
       return;
     }
     address = newAddress;
-    PeriodicTask.forEachIsolated(retiring, CounterConnection::close);
-    retiring.addAll(connections);
+    PeriodicTask.forEachIsolated(retiringConnections, CounterConnection::close);
+    retiringConnections.addAll(connections);
     connections.clear();
     connect();
-    List<CounterConnection> old = List.copyOf(retiring);
+    List<CounterConnection> oldConnections = List.copyOf(retiringConnections);
     loop.schedule(
-        () -> PeriodicTask.forEachIsolated(old, CounterConnection::close),
-        RETIREMENT_MS,
+        () -> PeriodicTask.forEachIsolated(oldConnections, CounterConnection::close),
+        RETIREMENT_DELAY_MS,
         TimeUnit.MILLISECONDS);
   }
 
   /**
-   * Adds to a named count. Where no connection can take the call, its end is reported before this
-   * returns.
+   * Adds an amount to a named counter. If no connection can accept the call, its failure is
+   * reported before this method returns.
    *
-   * @param counterName the name
-   * @param amount what to add; may be negative
-   * @param ttlMs how long a count that does not exist yet is kept, in milliseconds
+   * @param counterName the counter's name
+   * @param amount the amount to add; may be negative
+   * @param ttlMs lifetime of the counter if this call creates it, in milliseconds
    */
   public void increment(String counterName, double amount, double ttlMs) {
     double startedAtMs = clock.now();
     CounterConnection connection = connectionFor(counterName);
-    if (!hasRoom(connection)) {
+    if (!canAcceptCall(connection)) {
       listener.accept(new CounterReplied(counterName, Status.CONNECT_FAILED, 0, 0));
       return;
     }
     CounterCall call = CounterCall.increment(counterName, startedAtMs, connection);
-    lastCalls.put(counterName, call);
+    lastCallsByName.put(counterName, call);
     timeouts.add(call);
     connection.send(call, CounterLineCodec.encodeIncrement(counterName, amount, ttlMs));
   }
 
-  /** The connection of the open calls for a name, or else the least busy one; null for none. */
+  /**
+   * Returns the connection of the open calls for a name, or else the least busy one; null if none
+   * is open.
+   */
   private CounterConnection connectionFor(String counterName) {
-    CounterCall last = lastCalls.get(counterName);
-    if (last != null) {
-      return last.connection();
+    CounterCall lastCall = lastCallsByName.get(counterName);
+    if (lastCall != null) {
+      return lastCall.connection();
     }
-    CounterConnection leastBusy = leastBusy(connections);
-    return leastBusy != null ? leastBusy : leastBusy(retiring);
+    CounterConnection leastBusyConnection = findLeastBusy(connections);
+    return leastBusyConnection != null ? leastBusyConnection : findLeastBusy(retiringConnections);
   }
 
-  private static CounterConnection leastBusy(List<CounterConnection> candidates) {
-    CounterConnection leastBusy = null;
+  private static CounterConnection findLeastBusy(List<CounterConnection> candidates) {
+    CounterConnection leastBusyConnection = null;
     for (CounterConnection candidate : candidates) {
       if (!candidate.isOpen()) {
         continue;
       }
-      if (leastBusy == null || candidate.owedReplies() < leastBusy.owedReplies()) {
-        leastBusy = candidate;
+      if (leastBusyConnection == null
+          || candidate.pendingReplyCount() < leastBusyConnection.pendingReplyCount()) {
+        leastBusyConnection = candidate;
       }
     }
-    return leastBusy;
+    return leastBusyConnection;
   }
 
-  private static boolean hasRoom(CounterConnection connection) {
-    return connection != null && connection.isOpen() && connection.owedReplies() < MAX_OWED_REPLIES;
+  private static boolean canAcceptCall(CounterConnection connection) {
+    return connection != null
+        && connection.isOpen()
+        && connection.pendingReplyCount() < MAX_PENDING_REPLIES;
   }
 
-  private void onCallEnded(CounterCall call, Status status, double total) {
-    if (!call.end() || call.isPing()) {
+  private void onCallCompleted(CounterCall call, Status status, double total) {
+    if (!call.tryComplete() || call.isPing()) {
       return;
     }
-    lastCalls.remove(call.counterName(), call);
+    lastCallsByName.remove(call.counterName(), call);
     double latencyMs = clock.now() - call.startedAtMs();
     listener.accept(new CounterReplied(call.counterName(), status, total, latencyMs));
   }
 
-  /** What the client does about events of its connections. */
+  /** Handles the events of the client's connections. */
   private final class ConnectionOwner implements CounterConnection.Owner {
 
     @Override
@@ -213,12 +224,12 @@
 
     @Override
     public void onClosed(CounterConnection connection) {
-      retiring.remove(connection);
+      retiringConnections.remove(connection);
     }
 
     @Override
-    public void onCallEnded(CounterCall call, Status status, double total) {
-      CounterClient.this.onCallEnded(call, status, total);
+    public void onCallCompleted(CounterCall call, Status status, double total) {
+      CounterClient.this.onCallCompleted(call, status, total);
     }
   }
 }
--- a/src/main/java/quotagateway/counter/CounterConnection.java
+++ b/src/main/java/quotagateway/counter/CounterConnection.java
@@ -16,22 +16,23 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * One kept connection to the counter, with the calls whose replies it owes, in order. A channel
- * that is lost or useless is replaced after a backoff, for as long as the client uses the
- * connection. Not thread-safe: belongs to its event loop.
+ * One persistent connection to the counter, with its calls whose replies are pending, in the order
+ * in which they were sent. If the channel is lost or receives a malformed reply, the connection
+ * opens a new channel after a backoff, as long as the client uses the connection. Not thread-safe:
+ * belongs to its event loop.
  */
 final class CounterConnection extends ChannelInitializer<Channel> {
 
   /**
-   * How long a connection is idle before it is pinged. The counter closes one that is idle for
-   * about 10 s or less; a ping keeps it open, and shows whether it is dead.
+   * Idle time after which a connection is pinged. The counter closes idle connections, after about
+   * 10 s or earlier; a ping keeps the connection open and reveals a dead one.
    */
   private static final double PING_INTERVAL_MS = 3_000;
 
-  /** Base of the delay before the first attempt to connect again. */
+  /** Base of the delay before the first reconnect attempt. */
   private static final double MIN_BACKOFF_MS = 50;
 
-  /** Bounds the base of later delays: with jitter, the next attempt follows within 600 ms. */
+  /** Limits the base of later delays: with jitter, the next attempt follows within 600 ms. */
   private static final double MAX_BACKOFF_MS = 400;
 
   private final EventLoop loop;
@@ -40,40 +41,41 @@
   private final InetSocketAddress address;
   private final double silenceTimeoutMs;
   private final Owner owner;
-  private final ArrayDeque<CounterCall> owed = new ArrayDeque<>();
+  private final ArrayDeque<CounterCall> pendingCalls = new ArrayDeque<>();
   private final ExponentialBackoff backoff =
       new ExponentialBackoff(MIN_BACKOFF_MS, () -> ThreadLocalRandom.current().nextDouble());
 
-  /** Null while there is none, and once it turned out to be useless. */
+  /** Null while disconnected and after a malformed reply. */
   private Channel channel;
 
-  /** Whether it was closed for good. */
+  /** Whether the connection is permanently closed. */
   private boolean closed;
 
-  /** When the last line came, or the channel came up where that was later. */
+  /** When the last line was received or, if later, the channel was connected. */
   private double lastLineAtMs;
 
-  /** The client that the connection belongs to. */
+  /** Receives the events of a connection; implemented by the client. */
   interface Owner {
 
-    /** Whether the connection is to be kept up. */
+    /** Returns whether the connection is to be reconnected when its channel is lost. */
     boolean isInUse(CounterConnection connection);
 
-    /** The connection is closed for good. */
+    /** Called when the connection is permanently closed. */
     void onClosed(CounterConnection connection);
 
     /**
-     * A call has ended; it may have timed out before.
+     * Called when a call has completed, even if it timed out earlier.
      *
-     * @param total the count after the increment; 0 except with {@link Status#OK}
+     * @param total the count after the increment; 0 unless the status is {@link Status#OK}
      */
-    void onCallEnded(CounterCall call, Status status, double total);
+    void onCallCompleted(CounterCall call, Status status, double total);
   }
 
   /**
-   * Creates a connection that has yet to be connected.
+   * Creates a connection that is not connected yet.
    *
-   * @param silenceTimeoutMs for how long it may owe a reply without any coming, in milliseconds
+   * @param silenceTimeoutMs longest time without a received line while a reply is pending, in
+   *     milliseconds
    */
   CounterConnection(
       EventLoop loop,
@@ -90,16 +92,18 @@
     this.owner = owner;
   }
 
-  /** Opens a channel; where that fails, does so again after a backoff. */
+  /** Opens a channel, and retries after a backoff if that fails. */
   void connect() {
-    dialer.dial(address, this).addListener((ChannelFuture connected) -> onConnect(connected));
+    dialer
+        .dial(address, this)
+        .addListener((ChannelFuture connectFuture) -> onConnect(connectFuture));
   }
 
-  private void onConnect(ChannelFuture connected) {
+  private void onConnect(ChannelFuture connectFuture) {
     if (closed) {
-      connected.channel().close();
-    } else if (connected.isSuccess()) {
-      channel = connected.channel();
+      connectFuture.channel().close();
+    } else if (connectFuture.isSuccess()) {
+      channel = connectFuture.channel();
       lastLineAtMs = clock.now();
     } else {
       reconnectLater();
@@ -122,7 +126,9 @@
     }
   }
 
-  /** Closes it for good; calls whose replies it owes end with its channel. */
+  /**
+   * Closes the connection permanently. Calls with pending replies complete when the channel closes.
+   */
   void close() {
     closed = true;
     owner.onClosed(this);
@@ -135,38 +141,42 @@
     return channel != null && channel.isActive();
   }
 
-  /** How many calls wait for their replies, those that timed out included. */
-  int owedReplies() {
-    return owed.size();
+  /** Returns the number of calls whose replies are pending, including calls that timed out. */
+  int pendingReplyCount() {
+    return pendingCalls.size();
   }
 
-  /** When the last line came, or the channel came up, in milliseconds. */
+  /**
+   * Returns when the last line was received or, if later, the channel was connected, in
+   * milliseconds.
+   */
   double lastLineAtMs() {
     return lastLineAtMs;
   }
 
-  /** Writes a call; to be called while the connection is open. */
+  /** Writes a call; must be called only while the connection is open. */
   void send(CounterCall call, String line) {
-    owed.add(call);
+    pendingCalls.add(call);
     ByteBuf bytes = channel.alloc().buffer(line.length());
     bytes.writeCharSequence(line, StandardCharsets.US_ASCII);
     channel.writeAndFlush(bytes).addListener(write -> call.setWritten(write.isSuccess()));
   }
 
   /**
-   * Pings the connection when it is idle, and closes it when it owes a reply and is silent.
-   * Prevents calls from waiting for a machine that has vanished, which resets nothing: each would
-   * time out. Cost: a ping every few seconds of idleness.
+   * Pings the connection if it is idle, and closes its channel if a reply is pending and the
+   * counter is silent. Without this, calls would keep waiting for a machine that vanished without
+   * resetting its connections, and each of them would time out. The drawback is a ping every few
+   * seconds while the connection is idle.
    */
-  void checkAlive(double now) {
+  void checkLiveness(double now) {
     if (!isOpen()) {
       return;
     }
-    if (owed.isEmpty()) {
+    if (pendingCalls.isEmpty()) {
       pingIfIdle(now);
     } else {
-      double silentSinceMs = Math.max(lastLineAtMs, owed.peekFirst().startedAtMs());
-      if (now - silentSinceMs > silenceTimeoutMs) {
+      double silenceStartMs = Math.max(lastLineAtMs, pendingCalls.peekFirst().startedAtMs());
+      if (now - silenceStartMs > silenceTimeoutMs) {
         channel.close();
       }
     }
@@ -179,15 +189,15 @@
   }
 
   @Override
-  protected void initChannel(Channel opened) {
+  protected void initChannel(Channel newChannel) {
     CounterReplyHandler.LineDecoder lines = new CounterReplyHandler.LineDecoder();
-    opened.pipeline().addLast(lines, new CounterReplyHandler(this, lines, loop));
+    newChannel.pipeline().addLast(lines, new CounterReplyHandler(this, lines, loop));
   }
 
   /**
-   * A line has come: the reply to the first call that waits for one, or junk. Behind a malformed
-   * reply it is neither: the decoder passes on all lines of one read, and the next of them may be
-   * the reply to the call that has just ended.
+   * Processes a received line: the reply to the first pending call, or a malformed reply. Ignores
+   * the lines that follow a malformed reply, since the decoder passes on all lines of one read and
+   * the next line may be the reply to the call that has just failed.
    */
   void onLine(String line) {
     if (channel == null) {
@@ -195,22 +205,22 @@
     }
     lastLineAtMs = clock.now();
     CounterReply reply = CounterLineCodec.decodeReply(line);
-    if (owed.isEmpty() || !fits(reply, owed.peekFirst())) {
+    if (pendingCalls.isEmpty() || !matches(reply, pendingCalls.peekFirst())) {
       onMalformedReply();
       return;
     }
-    CounterCall call = owed.pollFirst();
+    CounterCall call = pendingCalls.pollFirst();
     if (reply.kind() == CounterReply.Kind.REJECTED) {
-      owner.onCallEnded(call, Status.REJECTED, 0);
+      owner.onCallCompleted(call, Status.REJECTED, 0);
       return;
     }
     backoff.reset();
     if (!call.isPing()) {
-      owner.onCallEnded(call, Status.OK, reply.total());
+      owner.onCallCompleted(call, Status.OK, reply.total());
     }
   }
 
-  private static boolean fits(CounterReply reply, CounterCall call) {
+  private static boolean matches(CounterReply reply, CounterCall call) {
     return switch (reply.kind()) {
       case TOTAL -> !call.isPing();
       case PONG -> call.isPing();
@@ -220,28 +230,31 @@
   }
 
   /**
-   * Ends the channel, and the first call that waits for a reply: its amount may have been added.
-   * Prevents a later reply from being taken for that of another call. Cost: the calls behind it end
-   * without their replies.
+   * Closes the channel and fails the first pending call, whose amount may have been added. Without
+   * this, a later reply could be matched to the wrong call. The drawback is that the calls after it
+   * complete without their replies.
    */
   void onMalformedReply() {
-    CounterCall call = owed.poll();
-    Channel useless = channel;
+    CounterCall call = pendingCalls.poll();
+    Channel failedChannel = channel;
     channel = null;
-    if (useless != null) {
-      useless.close();
+    if (failedChannel != null) {
+      failedChannel.close();
     }
     if (call != null) {
-      owner.onCallEnded(call, Status.MALFORMED_RESPONSE, 0);
+      owner.onCallCompleted(call, Status.MALFORMED_RESPONSE, 0);
     }
   }
 
-  /** The channel is closed: a call that was not written added nothing, any other may have. */
+  /**
+   * Fails all pending calls and schedules a reconnect. A call that was not written added nothing;
+   * any other call may have been executed.
+   */
   void onDisconnected() {
     channel = null;
-    while (!owed.isEmpty()) {
-      CounterCall call = owed.poll();
-      owner.onCallEnded(call, call.isWritten() ? Status.RESET : Status.CONNECT_FAILED, 0);
+    while (!pendingCalls.isEmpty()) {
+      CounterCall call = pendingCalls.poll();
+      owner.onCallCompleted(call, call.isWritten() ? Status.RESET : Status.CONNECT_FAILED, 0);
     }
     reconnectLater();
   }
--- a/src/main/java/quotagateway/counter/CounterReply.java
+++ b/src/main/java/quotagateway/counter/CounterReply.java
@@ -1,10 +1,10 @@
 package quotagateway.counter;
 
 /**
- * One line that came from the counter.
+ * One line received from the counter.
  *
- * @param kind what the line says
- * @param total the count after the increment; 0 except with {@link Kind#TOTAL}
+ * @param kind the kind of reply
+ * @param total the count after the increment; 0 unless the kind is {@link Kind#TOTAL}
  */
 record CounterReply(Kind kind, double total) {
 
@@ -12,15 +12,18 @@
   static final CounterReply PONG = new CounterReply(Kind.PONG, 0);
   static final CounterReply MALFORMED = new CounterReply(Kind.MALFORMED, 0);
 
-  /** What a line says. */
+  /** The kind of a reply. */
   enum Kind {
     /** The amount was added. */
     TOTAL,
-    /** The counter is overloaded or does not know the call; nothing was added. */
+    /** The counter is overloaded or does not know the call. Nothing was added. */
     REJECTED,
     /** The reply to a ping. */
     PONG,
-    /** It is no reply. The amount of the call that waits for it may have been added. */
+    /**
+     * The line is not a valid reply. The amount of the call that waits for the reply may have been
+     * added.
+     */
     MALFORMED
   }
 
--- a/src/main/java/quotagateway/counter/CounterReplyHandler.java
+++ b/src/main/java/quotagateway/counter/CounterReplyHandler.java
@@ -9,17 +9,17 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** Reports the lines of one channel, and its end, to its connection. */
+/** Passes the lines received on a channel, and the channel's close, to its connection. */
 final class CounterReplyHandler extends SimpleChannelInboundHandler<ByteBuf> {
 
-  /** Bounds a pause within a line: the counter writes each of them at once. */
+  /** Longest pause within a line; the counter writes each line in one piece. */
   private static final long PARTIAL_LINE_TIMEOUT_MS = 10;
 
   private final CounterConnection connection;
-  private final LineDecoder lines;
+  private final LineDecoder lineDecoder;
   private final EventLoop loop;
 
-  /** Splits the bytes of a channel into lines, and shows whether some are left over. */
+  /** Splits the received bytes into lines, and tells whether the last line is incomplete. */
   static final class LineDecoder extends LineBasedFrameDecoder {
 
     LineDecoder() {
@@ -34,11 +34,11 @@
   /**
    * Creates the handler.
    *
-   * @param lines the handler before this one
+   * @param lineDecoder the line decoder that precedes this handler in the pipeline
    */
-  CounterReplyHandler(CounterConnection connection, LineDecoder lines, EventLoop loop) {
+  CounterReplyHandler(CounterConnection connection, LineDecoder lineDecoder, EventLoop loop) {
     this.connection = connection;
-    this.lines = lines;
+    this.lineDecoder = lineDecoder;
     this.loop = loop;
   }
 
@@ -48,20 +48,21 @@
   }
 
   /**
-   * Prevents noise without a line end from becoming the start of the next reply, whose total would
-   * be misread. Cost: a timer for each read that ends within a line.
+   * Schedules a check of the incomplete line if the read ended within one. Without this, invalid
+   * bytes without a line end would become the start of the next reply, and its total would be
+   * misread. The drawback is a timer for each such read.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    if (lines.hasPartialLine()) {
+    if (lineDecoder.hasPartialLine()) {
       double lastLineAtMs = connection.lastLineAtMs();
       loop.schedule(
-          () -> failIfStalled(lastLineAtMs), PARTIAL_LINE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+          () -> failIfLineStalled(lastLineAtMs), PARTIAL_LINE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void failIfStalled(double lastLineAtMsThen) {
-    if (lines.hasPartialLine() && connection.lastLineAtMs() == lastLineAtMsThen) {
+  private void failIfLineStalled(double lastLineAtMsAtRead) {
+    if (lineDecoder.hasPartialLine() && connection.lastLineAtMs() == lastLineAtMsAtRead) {
       connection.onMalformedReply();
     }
   }
@@ -71,7 +72,7 @@
     connection.onDisconnected();
   }
 
-  /** The connection broke, or brought a line that is too long to be a reply. */
+  /** Closes the channel after an I/O error or a line that is too long to be a reply. */
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (cause instanceof TooLongFrameException) {
--- a/src/main/java/quotagateway/counter/package-info.java
+++ b/src/main/java/quotagateway/counter/package-info.java
@@ -1,2 +1,2 @@
-/** The client of the shared counter, on which the gateways count the use of each quota window. */
+/** The client of the shared counter, in which the gateways count the usage of each quota window. */
 package quotagateway.counter;
--- a/src/test/java/quotagateway/counter/CounterCallTimeoutsTest.java
+++ b/src/test/java/quotagateway/counter/CounterCallTimeoutsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import quotagateway.transport.MonotonicClock;
 
-/** When calls to the counter time out, in time that the test advances. */
+/** Tests the timeouts of counter calls with a manually advanced clock. */
 class CounterCallTimeoutsTest {
 
   private final EmbeddedChannel timers = new EmbeddedChannel();
@@ -20,12 +20,12 @@
       new CounterCallTimeouts(timers.eventLoop(), clock, 50, this::onTimeout);
 
   private void onTimeout(CounterCall call) {
-    if (call.end()) {
+    if (call.tryComplete()) {
       timedOut.add(call.counterName());
     }
   }
 
-  private CounterCall start(String name) {
+  private CounterCall startCall(String name) {
     CounterCall call = CounterCall.increment(name, clock.now(), null);
     timeouts.add(call);
     return call;
@@ -38,10 +38,10 @@
   }
 
   @Test
-  void endsEachCallAtItsOwnTime() {
-    start("a");
+  void timesOutEachCallAfterItsOwnTimeout() {
+    startCall("a");
     advance(30);
-    start("b");
+    startCall("b");
     advance(19);
     assertEquals(List.of(), timedOut);
     advance(2);
@@ -52,13 +52,16 @@
     assertEquals(List.of("a", "b"), timedOut);
   }
 
-  /** Nearly all calls end long before: they must neither time out nor hold up those behind them. */
+  /**
+   * Nearly all calls complete long before their timeout. They must neither time out nor delay the
+   * timeouts of the calls after them.
+   */
   @Test
-  void passesOverCallsThatEndedBefore() {
-    CounterCall ended = start("a");
+  void skipsCallsThatCompletedBeforeTheirTimeout() {
+    CounterCall completedCall = startCall("a");
     advance(10);
-    start("b");
-    ended.end();
+    startCall("b");
+    completedCall.tryComplete();
     advance(41);
     assertEquals(List.of(), timedOut);
     advance(10);
--- a/src/test/java/quotagateway/counter/CounterClientTest.java
+++ b/src/test/java/quotagateway/counter/CounterClientTest.java
@@ -28,14 +28,14 @@
 import quotagateway.transport.MonotonicClock;
 import quotagateway.transport.SocketTransport;
 
-/** The client of the counter over sockets, against a stand-in for the counter. */
+/** Tests the counter client over sockets, against a fake counter. */
 @Timeout(30)
 class CounterClientTest {
 
   private final FakeCounter counter = new FakeCounter();
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
-  private final BlockingQueue<CounterReplied> ends = new LinkedBlockingQueue<>();
+  private final BlockingQueue<CounterReplied> results = new LinkedBlockingQueue<>();
   private CounterClient client;
 
   @AfterEach
@@ -44,20 +44,23 @@
     counter.close();
   }
 
-  /** Calls until one gets through, as the connections come up on their own. */
-  private void start(double limitMs) throws Exception {
+  /**
+   * Starts the client and repeats a call until one succeeds, since the connections are established
+   * asynchronously.
+   */
+  private void start(double callTimeoutMs) throws Exception {
     client =
         new CounterClient(
             group.next(),
             new MonotonicClock(),
             Dialer.sockets(group.next(), 250),
             counter.address(),
-            limitMs,
-            ends::add);
+            callTimeoutMs,
+            results::add);
     group.next().submit(client::start).sync();
     do {
       add("up", 0);
-    } while (TestQueues.next(ends).status() == Status.CONNECT_FAILED);
+    } while (TestQueues.next(results).status() == Status.CONNECT_FAILED);
     counter.calls.clear();
   }
 
@@ -74,43 +77,50 @@
     start(5_000);
     add("a", 2);
     assertEquals("incr a 2 4000", TestQueues.next(counter.calls));
-    assertEquals(new CounterReplied("a", Status.OK, 2, 0).total(), TestQueues.next(ends).total());
+    assertEquals(
+        new CounterReplied("a", Status.OK, 2, 0).total(), TestQueues.next(results).total());
     add("a", -0.0000125);
     assertEquals("incr a -0.000013 4000", TestQueues.next(counter.calls));
-    TestQueues.next(ends);
+    TestQueues.next(results);
     counter.replies = line -> "busy";
     add("a", 1);
-    assertEquals(Status.REJECTED, TestQueues.next(ends).status());
+    assertEquals(Status.REJECTED, TestQueues.next(results).status());
   }
 
-  /** A part of the counter is slow. Calls for other names go over connections that owe nothing. */
+  /**
+   * While a part of the counter is slow, calls for other names use connections without pending
+   * replies.
+   */
   @Test
-  void aSlowReplyDoesNotDelayACallForAnotherName() throws Exception {
-    CountDownLatch go = new CountDownLatch(1);
+  void slowReplyDoesNotDelayCallForAnotherCounterName() throws Exception {
+    CountDownLatch replyAllowed = new CountDownLatch(1);
     counter.replies =
         line -> {
           if (line.contains("slow")) {
-            TestLatches.await(go);
+            TestLatches.await(replyAllowed);
           }
           return counter.count(line);
         };
     start(5_000);
     add("slow", 1);
     add("fast", 1);
-    assertEquals("fast", TestQueues.next(ends).counterName());
-    go.countDown();
-    assertEquals("slow", TestQueues.next(ends).counterName());
+    assertEquals("fast", TestQueues.next(results).counterName());
+    replyAllowed.countDown();
+    assertEquals("slow", TestQueues.next(results).counterName());
   }
 
-  /** Replies come in the order of the calls: one that timed out is still to be replied to first. */
+  /**
+   * Replies arrive in the order of the calls, so the reply to a call that timed out still precedes
+   * the replies to later calls.
+   */
   @Test
-  void theLateReplyToACallThatTimedOutIsNotTakenForThatOfAnother() throws Exception {
+  void lateReplyToTimedOutCallIsNotMatchedToAnotherCall() throws Exception {
     start(1_500);
-    CountDownLatch go = new CountDownLatch(1);
+    CountDownLatch replyAllowed = new CountDownLatch(1);
     counter.replies =
         line -> {
           if (line.contains(" 5 ")) {
-            TestLatches.await(go);
+            TestLatches.await(replyAllowed);
           }
           return counter.count(line);
         };
@@ -118,29 +128,30 @@
       add("n" + i, 5);
     }
     for (int i = 0; i < 12; i++) {
-      assertEquals(Status.TIMED_OUT, TestQueues.next(ends).status());
+      assertEquals(Status.TIMED_OUT, TestQueues.next(results).status());
     }
     add("x", 1);
-    go.countDown();
-    CounterReplied next = TestQueues.next(ends);
+    replyAllowed.countDown();
+    CounterReplied next = TestQueues.next(results);
     assertEquals(Status.OK, next.status());
     assertEquals(1, next.total());
   }
 
   @Test
-  void aMalformedReplyEndsItsCallAndTheConnection() throws Exception {
+  void malformedReplyFailsItsCallAndClosesTheConnection() throws Exception {
     start(5_000);
     counter.replies = line -> "what?";
     add("a", 1);
-    assertEquals(Status.MALFORMED_RESPONSE, TestQueues.next(ends).status());
+    assertEquals(Status.MALFORMED_RESPONSE, TestQueues.next(results).status());
     counter.replies = counter::count;
     add("b", 1);
-    assertEquals(Status.OK, TestQueues.next(ends).status());
+    assertEquals(Status.OK, TestQueues.next(results).status());
   }
 
   /**
-   * The counter's machine vanishes, and resets nothing. Its connections are replaced for their
-   * silence: calls succeed again though none of the old ones was ever replied to.
+   * The counter's machine vanishes without resetting its connections. The client replaces them
+   * because they are silent, and calls succeed again although the old connections never received a
+   * reply.
    */
   @Test
   void replacesSilentConnections() throws Exception {
@@ -148,76 +159,78 @@
     counter.replies = line -> null;
     for (int i = 0; i < 24; i++) {
       add("n" + i, 1);
-      assertNotEquals(Status.OK, TestQueues.next(ends).status());
+      assertNotEquals(Status.OK, TestQueues.next(results).status());
     }
     counter.replies = counter::count;
     do {
-      add("back", 0);
-    } while (TestQueues.next(ends).status() != Status.OK);
+      add("recovered", 0);
+    } while (TestQueues.next(results).status() != Status.OK);
   }
 
   /**
-   * The counter moves. The new one is used once it is up; replies that the old one owes still
-   * count.
+   * The counter's address changes. The client uses the new address once a connection to it is
+   * established, and still reports the pending replies of the old address.
    */
   @Test
-  void reportsRepliesOfTheOldAddressAfterAChangeOfAddress() throws Exception {
+  void reportsPendingRepliesOfOldAddressAfterAddressChange() throws Exception {
     start(5_000);
-    CountDownLatch moved = new CountDownLatch(1);
+    CountDownLatch addressChanged = new CountDownLatch(1);
     counter.replies =
         line -> {
-          TestLatches.await(moved);
+          TestLatches.await(addressChanged);
           return "ok 77";
         };
     add("a", 2);
     TestQueues.next(counter.calls);
-    try (FakeCounter other = new FakeCounter()) {
-      changeAddress(other.address());
-      moved.countDown();
-      assertEquals(77, TestQueues.next(ends).total());
+    try (FakeCounter newCounter = new FakeCounter()) {
+      changeAddress(newCounter.address());
+      addressChanged.countDown();
+      assertEquals(77, TestQueues.next(results).total());
       do {
         add("b", 1);
-        assertEquals(Status.OK, TestQueues.next(ends).status());
-      } while (other.calls.isEmpty());
+        assertEquals(Status.OK, TestQueues.next(results).status());
+      } while (newCounter.calls.isEmpty());
     }
   }
 
   /**
-   * Noise, with or without a line end, makes a reply malformed; calls go on over other connections.
+   * Invalid bytes, with or without a line end, count as a malformed reply. Later calls use other
+   * connections.
    */
   @Test
-  void noiseCostsOneReplyPerConnection() throws Exception {
+  void invalidBytesFailOneCallPerConnection() throws Exception {
     start(5_000);
-    try (ScriptedServer noisy = new ScriptedServer(50, CounterClientTest::replyWithoutLineEnd)) {
-      changeAddress(noisy.address());
-      assertEquals(Status.MALFORMED_RESPONSE, firstStatusThatIsNotOk());
+    try (ScriptedServer malformedReplyServer =
+        new ScriptedServer(50, CounterClientTest::replyWithoutLineEnd)) {
+      changeAddress(malformedReplyServer.address());
+      assertEquals(Status.MALFORMED_RESPONSE, callUntilFailure());
       counter.replies = line -> "total?";
       changeAddress(counter.address());
       counter.calls.clear();
       Status status = Status.OK;
       while (counter.calls.isEmpty()) {
         add("b", 1);
-        status = TestQueues.next(ends).status();
+        status = TestQueues.next(results).status();
       }
       assertEquals(Status.MALFORMED_RESPONSE, status);
       counter.replies = counter::count;
       do {
         add("c", 1);
-      } while (TestQueues.next(ends).status() != Status.OK);
+      } while (TestQueues.next(results).status() != Status.OK);
     }
   }
 
   private static void replyWithoutLineEnd(InputStream in, OutputStream out, Socket socket)
       throws IOException {
     in.read();
-    TextStreams.write(out, "no line's end");
+    TextStreams.write(out, "no line end");
   }
 
-  private Status firstStatusThatIsNotOk() throws InterruptedException {
+  private Status callUntilFailure() throws InterruptedException {
     Status status;
     do {
       add("a", 1);
-      status = TestQueues.next(ends).status();
+      status = TestQueues.next(results).status();
     } while (status == Status.OK);
     return status;
   }
--- a/src/test/java/quotagateway/counter/CounterConnectionTest.java
+++ b/src/test/java/quotagateway/counter/CounterConnectionTest.java
@@ -20,19 +20,19 @@
 import quotagateway.policy.event.Status;
 import quotagateway.transport.MonotonicClock;
 
-/** One connection to the counter, without sockets and in time that the test advances. */
+/** Tests a connection to the counter without sockets and with a manually advanced clock. */
 class CounterConnectionTest {
 
   private static final double SILENCE_TIMEOUT_MS = 600;
   private static final long PING_INTERVAL_MS = 3_000;
   private static final long PARTIAL_LINE_TIMEOUT_MS = 10;
 
-  /** The longest delay before the first attempt to connect again. */
+  /** Longest delay before the first reconnect attempt. */
   private static final long FIRST_BACKOFF_MS = 75;
 
   private final EmbeddedChannel timers = new EmbeddedChannel();
   private final List<EmbeddedChannel> channels = new ArrayList<>();
-  private final List<String> ends = new ArrayList<>();
+  private final List<String> results = new ArrayList<>();
   private long nanos;
   private boolean inUse = true;
   private boolean closed;
@@ -44,23 +44,23 @@
           (address, handler) -> open(handler),
           new InetSocketAddress(InetAddress.getLoopbackAddress(), 80),
           SILENCE_TIMEOUT_MS,
-          new Owner());
+          new RecordingOwner());
 
-  private final class Owner implements CounterConnection.Owner {
+  private final class RecordingOwner implements CounterConnection.Owner {
 
     @Override
-    public boolean isInUse(CounterConnection asked) {
+    public boolean isInUse(CounterConnection queriedConnection) {
       return inUse;
     }
 
     @Override
-    public void onClosed(CounterConnection ended) {
+    public void onClosed(CounterConnection closedConnection) {
       closed = true;
     }
 
     @Override
-    public void onCallEnded(CounterCall call, Status status, double total) {
-      ends.add(call.counterName() + " " + status + " " + total);
+    public void onCallCompleted(CounterCall call, Status status, double total) {
+      results.add(call.counterName() + " " + status + " " + total);
     }
   }
 
@@ -102,93 +102,99 @@
   }
 
   @Test
-  void matchesRepliesToCallsInTheirOrder() {
+  void matchesRepliesToCallsInOrder() {
     call("a");
     call("b");
     call("c");
     receive("ok 1\r\nbusy\r\n");
-    assertEquals(List.of("a OK 1.0", "b REJECTED 0.0"), ends);
-    assertEquals(1, connection.owedReplies());
+    assertEquals(List.of("a OK 1.0", "b REJECTED 0.0"), results);
+    assertEquals(1, connection.pendingReplyCount());
   }
 
   /**
-   * The total cannot be read, and what follows may be anything: calls behind it may have been
-   * added.
+   * After a malformed reply, whatever follows is unreliable. The calls after the failed one may
+   * have been executed, so they end as reset.
    */
   @Test
-  void endsTheChannelAtAMalformedReply() {
+  void closesChannelAndReconnectsAfterMalformedReply() {
     call("a");
     call("b");
     receive("what?\r\n");
     assertFalse(channels.get(0).isActive());
-    assertTrue(ends.contains("a MALFORMED_RESPONSE 0.0"), ends + "");
-    assertTrue(ends.contains("b RESET 0.0"), ends + "");
+    assertTrue(results.contains("a MALFORMED_RESPONSE 0.0"), results + "");
+    assertTrue(results.contains("b RESET 0.0"), results + "");
     advance(FIRST_BACKOFF_MS + 1);
     assertEquals(2, channels.size());
     assertTrue(connection.isOpen());
   }
 
   /**
-   * A proper reply comes in one read with a malformed one before it. It may be the reply to the
-   * call that the malformed one ended; taken for the next one's, a customer would get another's
-   * total.
+   * A valid reply arrives in the same read after a malformed one. It may be the reply to the call
+   * that the malformed reply failed. If it were matched to the next call, a customer would get the
+   * total of another customer.
    */
   @Test
-  void ignoresRepliesBehindAMalformedOne() {
+  void ignoresRepliesAfterMalformedReply() {
     call("a");
     call("b");
     receive("what?\r\nok 5\r\n");
-    assertEquals(List.of("a MALFORMED_RESPONSE 0.0", "b RESET 0.0"), ends);
+    assertEquals(List.of("a MALFORMED_RESPONSE 0.0", "b RESET 0.0"), results);
   }
 
-  /** The next reply would be added to such bytes, and its total misread. */
+  /** Without the timeout, the next reply would be appended to such bytes and its total misread. */
   @Test
-  void endsTheChannelAtNoiseWithoutALineEnd() {
+  void closesChannelWhenPartialLineStalls() {
     call("a");
     receive("ok 1");
     advance(PARTIAL_LINE_TIMEOUT_MS - 1);
     assertTrue(connection.isOpen());
     advance(2);
     assertFalse(channels.get(0).isActive());
-    assertEquals(List.of("a MALFORMED_RESPONSE 0.0"), ends);
+    assertEquals(List.of("a MALFORMED_RESPONSE 0.0"), results);
   }
 
-  /** A machine that vanished resets nothing: only silence shows it. */
+  /**
+   * A machine that vanished does not reset its connections, so only its silence reveals the
+   * failure.
+   */
   @Test
-  void endsAChannelThatOwesAReplyAndIsSilent() {
+  void closesSilentChannelWithPendingReply() {
     call("a");
     advance((long) SILENCE_TIMEOUT_MS - 1);
-    connection.checkAlive(clock.now());
+    connection.checkLiveness(clock.now());
     assertTrue(channels.get(0).isActive());
     advance(3);
-    connection.checkAlive(clock.now());
+    connection.checkLiveness(clock.now());
     assertFalse(channels.get(0).isActive());
-    assertEquals(List.of("a RESET 0.0"), ends);
+    assertEquals(List.of("a RESET 0.0"), results);
   }
 
-  /** The counter closes idle connections, and a dead one must show before it is needed. */
+  /**
+   * The counter closes idle connections, and a dead connection has to be detected before it is
+   * needed.
+   */
   @Test
-  void pingsAnIdleChannel() {
+  void pingsIdleChannel() {
     advance(PING_INTERVAL_MS + 1);
-    connection.checkAlive(clock.now());
+    connection.checkLiveness(clock.now());
     assertEquals("ping\r\n", written());
     receive("pong\r\n");
     assertTrue(connection.isOpen());
-    assertEquals(0, connection.owedReplies());
+    assertEquals(0, connection.pendingReplyCount());
   }
 
-  /** The total would be that of no call. */
+  /** A total in reply to a ping belongs to no call. */
   @Test
-  void endsTheChannelAtATotalForAPing() {
+  void closesChannelWhenPingIsAnsweredWithTotal() {
     advance(PING_INTERVAL_MS + 1);
-    connection.checkAlive(clock.now());
+    connection.checkLiveness(clock.now());
     receive("ok 1\r\n");
     assertFalse(channels.get(0).isActive());
   }
 
-  /** After a change of address the old connections are not wanted any more. */
+  /** After an address change, the connections to the old address are no longer needed. */
   @Test
-  void doesNotConnectAgainWhenItIsNotInUse() {
+  void doesNotReconnectWhenNoLongerInUse() {
     inUse = false;
     channels.get(0).close();
     advance(FIRST_BACKOFF_MS + 1);
--- a/src/test/java/quotagateway/counter/CounterRoutingTest.java
+++ b/src/test/java/quotagateway/counter/CounterRoutingTest.java
@@ -21,15 +21,15 @@
 import quotagateway.policy.event.Status;
 import quotagateway.transport.MonotonicClock;
 
-/** Which connection a call to the counter goes to, without sockets. */
+/** Tests which connection a counter call uses, without sockets. */
 class CounterRoutingTest {
 
-  private static final int MAX_OWED_REPLIES = 256;
-  private static final long RETIREMENT_MS = 1_300;
+  private static final int MAX_PENDING_REPLIES = 256;
+  private static final long RETIREMENT_DELAY_MS = 1_300;
 
   private final EmbeddedChannel timers = new EmbeddedChannel();
   private final List<EmbeddedChannel> channels = new ArrayList<>();
-  private final List<CounterReplied> ends = new ArrayList<>();
+  private final List<CounterReplied> results = new ArrayList<>();
   private long nanos;
   private boolean reachable = true;
   private final CounterClient client =
@@ -39,7 +39,7 @@
           (address, handler) -> open(handler),
           address(80),
           5_000,
-          ends::add);
+          results::add);
 
   private static InetSocketAddress address(int port) {
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
@@ -48,7 +48,8 @@
   private ChannelFuture open(ChannelHandler handler) {
     EmbeddedChannel channel = new EmbeddedChannel(handler);
     if (!reachable) {
-      return channel.newFailedFuture(new IllegalStateException("as the test has it"));
+      return channel.newFailedFuture(
+          new IllegalStateException("address is unreachable in this test"));
     }
     channels.add(channel);
     return channel.newSucceededFuture();
@@ -66,8 +67,11 @@
     timers.runScheduledPendingTasks();
   }
 
-  /** The number of the channel that a call is written to. */
-  private int channelOf(String counterName) {
+  /**
+   * Sends a call and returns the index of the channel that it is written to, or -1 if there is
+   * none.
+   */
+  private int sendAndFindChannel(String counterName) {
     client.increment(counterName, 1, 4_000);
     for (int i = 0; i < channels.size(); i++) {
       ByteBuf line = channels.get(i).readOutbound();
@@ -80,45 +84,48 @@
     return -1;
   }
 
-  /** On two connections, the second call could be executed first, and its total be too low. */
+  /**
+   * On two connections, the second call could be executed before the first, and its total would be
+   * too low.
+   */
   @Test
-  void callsForOneNameGoToOneConnectionWhileOneOfThemIsOpen() {
-    int first = channelOf("a");
-    assertEquals(first, channelOf("a"));
-    assertEquals(first, channelOf("a"));
+  void callsForOneNameUseSameConnectionWhileOneIsOpen() {
+    int first = sendAndFindChannel("a");
+    assertEquals(first, sendAndFindChannel("a"));
+    assertEquals(first, sendAndFindChannel("a"));
   }
 
   @Test
-  void callsForOtherNamesGoToTheConnectionThatOwesFewest() {
-    int first = channelOf("a");
-    int second = channelOf("b");
+  void callsForOtherNamesUseConnectionWithFewestPendingReplies() {
+    int first = sendAndFindChannel("a");
+    int second = sendAndFindChannel("b");
     assertFalse(first == second);
     for (int i = 2; i < CounterClient.CONNECTIONS; i++) {
-      channelOf("n" + i);
+      sendAndFindChannel("n" + i);
     }
     channels.get(second).writeInbound(Unpooled.copiedBuffer("ok 1\r\n", US_ASCII));
-    assertEquals(second, channelOf("c"));
+    assertEquals(second, sendAndFindChannel("c"));
   }
 
-  /** A counter that is silent must not fill the memory with calls that wait for it. */
+  /** A silent counter must not fill the memory with pending calls. */
   @Test
-  void aCallFailsAtOnceWhereItsConnectionOwesTooManyReplies() {
-    for (int i = 0; i < MAX_OWED_REPLIES; i++) {
-      channelOf("a");
+  void callFailsImmediatelyWhenItsConnectionHasTooManyPendingReplies() {
+    for (int i = 0; i < MAX_PENDING_REPLIES; i++) {
+      sendAndFindChannel("a");
     }
-    assertEquals(List.of(), ends);
-    assertEquals(-1, channelOf("a"));
-    assertEquals(List.of(new CounterReplied("a", Status.CONNECT_FAILED, 0, 0)), ends);
+    assertEquals(List.of(), results);
+    assertEquals(-1, sendAndFindChannel("a"));
+    assertEquals(List.of(new CounterReplied("a", Status.CONNECT_FAILED, 0, 0)), results);
   }
 
-  /** The counter moves, and the new address does not come up for a while. */
+  /** The counter's address changes, and no connection to the new address can be established. */
   @Test
-  void usesConnectionsOfTheOldAddressUntilOneOfTheNewIsUpOrTheyRetire() {
+  void usesConnectionsToOldAddressUntilTheyRetireWhenNewAddressIsUnreachable() {
     reachable = false;
     client.changeAddress(address(81));
-    assertTrue(channelOf("a") >= 0);
-    advance(RETIREMENT_MS + 1);
+    assertTrue(sendAndFindChannel("a") >= 0);
+    advance(RETIREMENT_DELAY_MS + 1);
     assertTrue(channels.stream().noneMatch(EmbeddedChannel::isActive));
-    assertEquals(-1, channelOf("b"));
+    assertEquals(-1, sendAndFindChannel("b"));
   }
 }
