--- a/src/main/java/quotagateway/discovery/DiscoveryClient.java
+++ b/src/main/java/quotagateway/discovery/DiscoveryClient.java
@@ -11,34 +11,35 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * Keeps one watch of the endpoint list open, and replaces it when it ends or falls silent. While no
- * watch is up, the last list stays in use. Not thread-safe: belongs to its event loop.
+ * Keeps one watch of the endpoint list open, and replaces the watch when it ends or falls silent.
+ * While no watch is established, the last endpoint list stays in use. Not thread-safe: belongs to
+ * its event loop.
  *
- * <p>A change counts as notified 6 s after discovery had it and could be reached, and 6 s after the
- * watch that misses it fell silent, even if watches failed meanwhile. The next watch begins, after
- * one
+ * <p>The gateway counts as notified of a change 6 s after discovery has the change and is
+ * reachable, and 6 s after the watch that misses the change fell silent, even if further watches
+ * fail in between. After a failure, the next watch starts within the following time:
  *
  * <ul>
- *   <li>that was refused, closed, answered by an error or ended: within the longest backoff, 300
- *       ms;
- *   <li>whose connection did not come up: within 500 ms and the backoff, 800 ms;
- *   <li>that was connected and got no response: within 500 ms;
- *   <li>that stopped within a message: within 300 ms and the backoff, 600 ms;
- *   <li>whose response began and brought nothing, or that fell silent: within 2,500 ms;
- *   <li>that brought the fourth invalid list in a row, or a later one: within 3,000 ms.
+ *   <li>300 ms, the longest backoff, after a watch was refused, closed, answered with an error or
+ *       ended;
+ *   <li>800 ms if the connection is not established: 500 ms and the backoff;
+ *   <li>500 ms if the connection is established but no response arrives;
+ *   <li>600 ms if the watch stops within a message: 300 ms and the backoff;
+ *   <li>2,500 ms if the response begins but brings no data, or the watch falls silent;
+ *   <li>3,000 ms after the fourth consecutive invalid list, and after each later one.
  * </ul>
  *
- * The backoff does not grow beyond its longest, so the sums hold however many watches failed
- * before. A watch that falls silent, one more that brings nothing and one that does not come up
- * make 5,800 ms.
+ * The backoff is limited, so these times hold regardless of how many watches failed before. For
+ * example, a watch that falls silent, a second one that brings no data and a third one whose
+ * connection is not established add up to 5,800 ms.
  */
 public final class DiscoveryClient {
 
   private static final Logger LOG = Logger.getLogger(DiscoveryClient.class.getName());
 
   /**
-   * Read from the socket in one turn of the event loop, also of a long list: some thirty endpoints,
-   * so that requests are served in between.
+   * Most bytes read from the socket in one turn of the event loop, enough for about thirty
+   * endpoints. A longer list is read in several turns, so that requests are served in between.
    */
   private static final int MAX_READ_BYTES = 4 * 1024;
 
@@ -52,27 +53,28 @@
 
   private final DiscoveryWatch.Owner watchOwner = new WatchOwner();
 
-  /** The version of the list in use. */
+  /** The version of the endpoint list in use. */
   private long version;
 
   private DiscoveryWatch currentWatch;
 
   /**
-   * The watch before, which was silent or at an address that is not configured any more; null where
-   * there is none. What it brings is still used until the current watch brings something.
+   * The replaced watch, which fell silent or whose address is no longer configured; null if there
+   * is none. Its messages are used until the current watch receives data.
    */
   private DiscoveryWatch previousWatch;
 
   /**
-   * Creates a client that has yet to be started.
+   * Creates a client that is not started yet.
    *
    * @param loop runs the client
-   * @param clock measures how long a watch lasted
+   * @param clock measures the duration of watches
    * @param dialer opens connections; see {@link #dialer}
-   * @param agent where discovery is watched
-   * @param version the version of the list in use: the watch begins with what changed after it
-   * @param maxEndpoints entries of the longest list that is accepted
-   * @param listener gets the messages of discovery in order, long ones in fragments
+   * @param agent the discovery agent's address
+   * @param version the version of the endpoint list in use; the first watch requests the changes
+   *     after that version
+   * @param maxEndpoints most entries that an accepted list may have
+   * @param listener receives discovery's messages in order, long ones in fragments
    */
   public DiscoveryClient(
       EventLoop loop,
@@ -91,11 +93,14 @@
     currentWatch = newWatch(agent);
   }
 
-  /** A dialer of sockets to discovery, which are to come up within the time of a response. */
+  /**
+   * Returns a dialer for connections to discovery, whose connect timeout equals the response
+   * timeout.
+   */
   public static Dialer dialer(EventLoop loop) {
-    FixedRecvByteBufAllocator reads = new FixedRecvByteBufAllocator(MAX_READ_BYTES);
-    reads.maxMessagesPerRead(1);
-    return Dialer.sockets(loop, DiscoveryWatch.RESPONSE_TIMEOUT_MS, reads);
+    FixedRecvByteBufAllocator recvAllocator = new FixedRecvByteBufAllocator(MAX_READ_BYTES);
+    recvAllocator.maxMessagesPerRead(1);
+    return Dialer.sockets(loop, DiscoveryWatch.RESPONSE_TIMEOUT_MS, recvAllocator);
   }
 
   /** Opens the first watch. */
@@ -103,7 +108,9 @@
     currentWatch.connect();
   }
 
-  /** Watches at another address; the old watch goes on until the new one brings something. */
+  /**
+   * Starts a watch at another address. The old watch stays open until the new one receives data.
+   */
   public void changeAddress(InetSocketAddress agent) {
     if (!agent.equals(currentWatch.agent())) {
       backoff.reset();
@@ -129,14 +136,14 @@
     }
   }
 
-  private void reopen(DiscoveryWatch ended) {
-    if (ended == currentWatch) {
-      currentWatch = newWatch(ended.agent());
+  private void reopen(DiscoveryWatch endedWatch) {
+    if (endedWatch == currentWatch) {
+      currentWatch = newWatch(endedWatch.agent());
       currentWatch.connect();
     }
   }
 
-  /** What the client does about events of its watches. */
+  /** Handles the events of the client's watches. */
   private final class WatchOwner implements DiscoveryWatch.Owner {
 
     @Override
@@ -163,7 +170,8 @@
 
     @Override
     public void onEndpointUpdate(EndpointUpdate update) {
-      // Prevents a watch from a version that discovery does not have: it would be refused for good.
+      // Without this check, the next watch could request the changes after a version that discovery
+      // does not have, and discovery would refuse every such watch.
       if (update.version() > EndpointUpdate.NO_VERSION) {
         version = update.version();
         if (backoff.onValidList()) {
--- a/src/main/java/quotagateway/discovery/DiscoveryProtocol.java
+++ b/src/main/java/quotagateway/discovery/DiscoveryProtocol.java
@@ -2,16 +2,16 @@
 
 import quotagateway.endpoint.EndpointState;
 
-/** The names that discovery uses on the wire, and what its states mean. */
+/** Names used in the discovery protocol, and the mapping of its endpoint states. */
 final class DiscoveryProtocol {
 
-  /** Fields of a message. */
+  // Fields of a message
   static final String VERSION = "version";
 
   static final String FULL = "full";
   static final String SERVERS = "servers";
 
-  /** Fields of an entry of a message's list. */
+  // Fields of a list entry
   static final String ID = "id";
 
   static final String ADDRESS = "addr";
@@ -23,14 +23,14 @@
 
   private DiscoveryProtocol() {}
 
-  /** The request target of a watch that begins with what changed after a version. */
+  /** Returns the request target of a watch for the changes after a version. */
   static String watchTarget(long version) {
     return "/discovery/hosts?stream=1&index=" + version;
   }
 
   /**
-   * Reads an endpoint's state. {@code leaving} means draining, and so does any state that is not
-   * known: such an endpoint must get no new requests.
+   * Parses an endpoint state. Both {@code leaving} and unknown states map to draining, since an
+   * endpoint in an unknown state must not receive new requests.
    */
   static EndpointState endpointState(String state) {
     return switch (state) {
--- a/src/main/java/quotagateway/discovery/DiscoveryWatch.java
+++ b/src/main/java/quotagateway/discovery/DiscoveryWatch.java
@@ -15,22 +15,25 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * One watch of the endpoint list, on a connection of its own: sends the request and notices
- * silence. Its pipeline is the HTTP codec, {@link WatchResponseHandler} and {@link
+ * One watch of the endpoint list on its own connection. Sends the request and detects silence. The
+ * pipeline consists of the HTTP codec, {@link WatchResponseHandler} and {@link
  * EndpointListHandler}. Not thread-safe: belongs to its event loop.
  */
 final class DiscoveryWatch extends ChannelInitializer<Channel> {
 
   /**
-   * Bounds the wait for a connection, and then for the response. Discovery's agent is on this
-   * machine and answers at once: a watch that takes longer is broken.
+   * Timeout for the connection, and then for the response. The discovery agent runs on the same
+   * machine and answers immediately, so a watch that takes longer is broken.
    */
   static final long RESPONSE_TIMEOUT_MS = 500;
 
-  /** While nothing changes, discovery sends an empty line this often, the first of them too. */
+  /**
+   * Interval at which discovery sends an empty line while nothing changes. The first line also
+   * arrives within this interval.
+   */
   private static final long HEARTBEAT_INTERVAL_MS = 2_000;
 
-  /** Bounds the time without data once the response has begun. */
+  /** Longest time without data after the response has begun. */
   private static final long SILENCE_TIMEOUT_MS = HEARTBEAT_INTERVAL_MS + RESPONSE_TIMEOUT_MS;
 
   private final EventLoop loop;
@@ -42,39 +45,45 @@
   private final double createdAtMs;
 
   /**
-   * When the watch was last known to be alive: connected, answered, or bringing data of the body.
-   * Bytes of less than that, such as those of a header that trickles in, are no sign of life.
+   * When the watch last showed a sign of life: its connection was established, its response began,
+   * or body data arrived. Smaller pieces, such as the bytes of a header that arrives slowly, do not
+   * count.
    */
-  private double aliveAtMs;
+  private double lastAliveAtMs;
 
   private boolean responseStarted;
   private Channel channel;
 
-  /** The client that opens and replaces watches. */
+  /**
+   * Receives the events of a watch; implemented by the client, which opens and replaces watches.
+   */
   interface Owner {
 
-    /** The version of the list in use. */
+    /** Returns the version of the endpoint list in use. */
     long version();
 
-    /** Whether it is the watch that is to be kept open. */
+    /** Returns whether the watch is the one to be kept open. */
     boolean isCurrent(DiscoveryWatch watch);
 
-    /** Whether messages of this watch are still to be used. */
+    /** Returns whether messages of the watch are still used. */
     boolean isInUse(DiscoveryWatch watch);
 
-    /** The watch brought data of the response's body, which has not been read yet. */
+    /** Called when data of the response's body has arrived, before the data is read. */
     void onData(DiscoveryWatch watch);
 
-    /** A message is complete. */
+    /** Called when a message is complete. */
     void onEndpointUpdate(EndpointUpdate update);
 
-    /** A message is invalid, and the watch is about to be closed. */
+    /** Called when a message is invalid, before the watch is closed. */
     void onInvalidList(InvalidEndpointListException cause);
 
-    /** The current watch brought nothing within its time limit; its connection is still open. */
+    /**
+     * Called when the current watch exceeds its time limit without data; its connection is still
+     * open.
+     */
     void onSilent(DiscoveryWatch watch);
 
-    /** The connection did not come up, or was closed by either side. */
+    /** Called when the connection could not be established or was closed by either side. */
     void onEnded(DiscoveryWatch watch);
   }
 
@@ -92,36 +101,36 @@
     this.owner = owner;
     reader = new EndpointListReader(maxEndpoints, owner::onEndpointUpdate);
     createdAtMs = clock.now();
-    aliveAtMs = createdAtMs;
+    lastAliveAtMs = createdAtMs;
   }
 
   InetSocketAddress agent() {
     return agent;
   }
 
-  /** When the watch was created, by the client's clock, in milliseconds. */
+  /** Returns when the watch was created, by the client's clock, in milliseconds. */
   double createdAtMs() {
     return createdAtMs;
   }
 
-  /** Opens the connection and sends the request; to be called once. */
+  /** Opens the connection and sends the request; must be called only once. */
   void connect() {
-    ChannelFuture connecting = dialer.dial(agent, this);
-    channel = connecting.channel();
-    connecting.addListener(
-        connected -> {
-          if (connected.isSuccess()) {
+    ChannelFuture connectFuture = dialer.dial(agent, this);
+    channel = connectFuture.channel();
+    connectFuture.addListener(
+        result -> {
+          if (result.isSuccess()) {
             onConnected();
           } else {
-            // Not by the channel's close: without a free descriptor there is no channel to close.
+            // Not reported by the close future: without a free descriptor, no channel is opened.
             owner.onEnded(this);
           }
         });
   }
 
   private void onConnected() {
-    channel.closeFuture().addListener(closed -> owner.onEnded(this));
-    aliveAtMs = clock.now();
+    channel.closeFuture().addListener(result -> owner.onEnded(this));
+    lastAliveAtMs = clock.now();
     channel.writeAndFlush(request());
     checkSilence();
   }
@@ -136,15 +145,16 @@
   }
 
   /**
-   * Prevents a watch that waits for ever for a machine that has vanished, which resets nothing: no
-   * change would be received again. Cost: a timer for each watch.
+   * Reports a watch that exceeds its time limit as silent, or schedules the next check. Without
+   * this, a watch would wait forever for a machine that vanished without resetting its connections,
+   * and no further change would be received. The drawback is a timer for each watch.
    */
   private void checkSilence() {
     if (!owner.isCurrent(this) || !channel.isActive()) {
       return;
     }
     double timeoutMs = responseStarted ? SILENCE_TIMEOUT_MS : RESPONSE_TIMEOUT_MS;
-    double remainingMs = timeoutMs - (clock.now() - aliveAtMs);
+    double remainingMs = timeoutMs - (clock.now() - lastAliveAtMs);
     if (remainingMs <= 0) {
       owner.onSilent(this);
     } else {
@@ -152,18 +162,18 @@
     }
   }
 
-  /** A valid part of the response has arrived that holds no data. */
+  /** Records that a valid part of the response without body data has arrived. */
   void onResponse() {
     if (!responseStarted) {
       responseStarted = true;
-      aliveAtMs = clock.now();
+      lastAliveAtMs = clock.now();
     }
   }
 
-  /** Data of the response's body has arrived. */
+  /** Records that body data has arrived. */
   void onData() {
     responseStarted = true;
-    aliveAtMs = clock.now();
+    lastAliveAtMs = clock.now();
     owner.onData(this);
   }
 
@@ -175,8 +185,8 @@
   }
 
   @Override
-  protected void initChannel(Channel connection) {
-    connection
+  protected void initChannel(Channel newChannel) {
+    newChannel
         .pipeline()
         .addLast(
             new HttpClientCodec(),
--- a/src/main/java/quotagateway/discovery/EndpointBuilder.java
+++ b/src/main/java/quotagateway/discovery/EndpointBuilder.java
@@ -10,8 +10,8 @@
 import quotagateway.transport.SocketAddresses;
 
 /**
- * Collects the fields of one entry of an endpoint list as they are read. A field that is missing or
- * of another type keeps its default.
+ * Collects the fields of one list entry while the entry is read. A field that is missing or of the
+ * wrong type keeps its default.
  */
 final class EndpointBuilder {
 
@@ -27,7 +27,7 @@
   private double weight = DEFAULT_WEIGHT;
   private double startedMs;
 
-  /** Sets a field to the value that the parser is at. */
+  /** Sets a field to the value at the parser's current token. */
   void set(String field, JsonToken token, JsonParser parser) throws IOException {
     if (token == JsonToken.VALUE_STRING) {
       setText(field, parser.getText());
@@ -58,7 +58,8 @@
   /**
    * Builds the endpoint.
    *
-   * @return null where it cannot be used: without an id, or serving without an IPv4 address
+   * @return null if the endpoint is unusable: it has no id, or it is serving but has no IPv4
+   *     address
    */
   Endpoint build() {
     EndpointState endpointState = DiscoveryProtocol.endpointState(state);
@@ -73,8 +74,8 @@
   }
 
   /**
-   * An endpoint's id as the number by which the policy knows it: FNV-1a without its lowest bit, the
-   * same at every gateway and never negative.
+   * Hashes an endpoint's id to the number that the policy identifies the endpoint by: FNV-1a
+   * without the lowest bit. The hash is the same at every gateway and never negative.
    */
   private static long hash(String id) {
     long hash = FNV_1A_OFFSET_BASIS;
--- a/src/main/java/quotagateway/discovery/EndpointListHandler.java
+++ b/src/main/java/quotagateway/discovery/EndpointListHandler.java
@@ -10,14 +10,15 @@
 import java.util.logging.Logger;
 
 /**
- * Hands the bytes of a watch to its reader, and closes the connection when a message is invalid or
- * stops before its end: the next watch begins after the last valid version and makes up for it.
+ * Feeds the bytes of a watch to its reader, and closes the connection if a message is invalid or
+ * incomplete. The next watch then requests the changes after the last valid version, so no change
+ * is lost.
  */
 final class EndpointListHandler extends SimpleChannelInboundHandler<ByteBuf> {
 
   private static final Logger LOG = Logger.getLogger(EndpointListHandler.class.getName());
 
-  /** Bounds a pause within a message: discovery writes each of them without one. */
+  /** Longest pause within a message; discovery writes each message without pauses. */
   private static final long PARTIAL_MESSAGE_TIMEOUT_MS = 300;
 
   private final DiscoveryWatch watch;
@@ -51,26 +52,28 @@
   }
 
   /**
-   * Prevents a message that stopped before its end from swallowing all that follows on the watch,
-   * as its heartbeats would keep the connection open. Cost: a timer for each read that ends within
-   * a message.
+   * Schedules a check of the incomplete message if the read ended within one. Without this,
+   * everything that follows an incomplete message would be read as part of it, as heartbeats keep
+   * the connection open. The drawback is a timer for each such read.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
     if (reader.hasPartialMessage()) {
-      long readsSoFar = readCount;
+      long readCountAtSchedule = readCount;
       loop.schedule(
-          () -> closeIfStalled(ctx, readsSoFar), PARTIAL_MESSAGE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+          () -> closeIfStalled(ctx, readCountAtSchedule),
+          PARTIAL_MESSAGE_TIMEOUT_MS,
+          TimeUnit.MILLISECONDS);
     }
   }
 
-  private void closeIfStalled(ChannelHandlerContext ctx, long readsBefore) {
-    if (reader.hasPartialMessage() && readCount == readsBefore) {
+  private void closeIfStalled(ChannelHandlerContext ctx, long readCountAtSchedule) {
+    if (reader.hasPartialMessage() && readCount == readCountAtSchedule) {
       ctx.close();
     }
   }
 
-  /** The connection broke, or brought what is no HTTP. */
+  /** Closes the connection after an I/O error or data that is not valid HTTP. */
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     LOG.log(Level.FINE, "watch failed", cause);
--- a/src/main/java/quotagateway/discovery/EndpointListReader.java
+++ b/src/main/java/quotagateway/discovery/EndpointListReader.java
@@ -12,25 +12,25 @@
 import quotagateway.endpoint.Endpoint;
 
 /**
- * Reads the messages of a watch, in JSON, as their bytes arrive, and passes each on once it is
- * complete: one that is cut off or malformed changes nothing. Until then its endpoints are kept in
- * memory, not its text, as only the end of a message shows its version and whether it is a
- * snapshot. Not thread-safe: belongs to the event loop of its watch.
+ * Incremental parser for the JSON messages of a watch. Passes on each message once it is complete,
+ * so that a message that is truncated or malformed has no effect. Keeps the endpoints of an
+ * incomplete message in memory instead of its text, since only the end of a message shows its
+ * version and whether it is a snapshot. Not thread-safe: belongs to the event loop of its watch.
  */
 public final class EndpointListReader {
 
   private static final JsonFactory JSON = new JsonFactory();
 
-  /** How many objects and arrays enclose a message. */
-  private static final int OUTSIDE_DEPTH = 0;
+  /** Number of objects and arrays that enclose a message. */
+  private static final int TOP_LEVEL_DEPTH = 0;
 
-  /** How many enclose the fields of a message. */
+  /** Number of objects and arrays that enclose the fields of a message. */
   private static final int MESSAGE_DEPTH = 1;
 
-  /** How many enclose the elements of its list. */
+  /** Number of objects and arrays that enclose the elements of the endpoint list. */
   private static final int LIST_DEPTH = 2;
 
-  /** How many enclose the fields of an entry of the list. */
+  /** Number of objects and arrays that enclose the fields of a list entry. */
   private static final int ENTRY_DEPTH = 3;
 
   private final int maxEndpoints;
@@ -38,9 +38,9 @@
   private final JsonParser parser;
   private final ByteArrayFeeder feeder;
   private int depth;
-  private String field;
+  private String fieldName;
 
-  // Of the message that is being read.
+  // State of the message that is being read
 
   private long version;
   private boolean snapshot;
@@ -49,14 +49,14 @@
   private int entryCount;
   private List<Endpoint> endpoints = new ArrayList<>();
 
-  /** The entry that is being read, or null. */
-  private EndpointBuilder entry;
+  /** The builder of the list entry that is being read; null outside an entry. */
+  private EndpointBuilder entryBuilder;
 
   /**
-   * Creates a reader of one stream.
+   * Creates a reader for one stream.
    *
-   * @param maxEndpoints entries of the longest list that is accepted
-   * @param listener gets each complete message
+   * @param maxEndpoints most entries that an accepted list may have
+   * @param listener receives each complete message
    */
   public EndpointListReader(int maxEndpoints, Consumer<EndpointUpdate> listener) {
     this.maxEndpoints = maxEndpoints;
@@ -72,8 +72,8 @@
   /**
    * Reads the next bytes of the stream.
    *
-   * @throws InvalidEndpointListException where a message cannot be accepted; the reader is of no
-   *     use then
+   * @throws InvalidEndpointListException if a message is rejected; the reader must not be used
+   *     afterwards
    */
   public void read(byte[] bytes) throws InvalidEndpointListException {
     try {
@@ -90,9 +90,9 @@
     }
   }
 
-  /** Whether a message has begun to arrive and is not complete. */
+  /** Returns whether a message has begun to arrive but is incomplete. */
   boolean hasPartialMessage() {
-    return depth > OUTSIDE_DEPTH;
+    return depth > TOP_LEVEL_DEPTH;
   }
 
   private void onToken(JsonToken token) throws IOException {
@@ -104,76 +104,78 @@
       onStructureEnd();
     } else if (token == JsonToken.FIELD_NAME) {
       onFieldName();
-    } else if (depth == OUTSIDE_DEPTH) {
-      throw new InvalidEndpointListException("a message that is no object");
+    } else if (depth == TOP_LEVEL_DEPTH) {
+      throw new InvalidEndpointListException("message is not a JSON object");
     } else if (depth == MESSAGE_DEPTH) {
       onMessageField(token);
-    } else if (depth == ENTRY_DEPTH && entry != null) {
-      entry.set(field, token, parser);
+    } else if (depth == ENTRY_DEPTH && entryBuilder != null) {
+      entryBuilder.set(fieldName, token, parser);
     }
   }
 
   private void onFieldName() throws IOException {
     if (depth == MESSAGE_DEPTH || depth == ENTRY_DEPTH) {
-      field = parser.currentName();
+      fieldName = parser.currentName();
     }
   }
 
-  /** An object or array starts; the depth is that of what encloses it. */
+  /**
+   * Processes the start of an object or array. {@code depth} is that of the enclosing structure.
+   */
   private void onStructureStart(JsonToken token) throws InvalidEndpointListException {
     boolean isObject = token == JsonToken.START_OBJECT;
-    if (depth == OUTSIDE_DEPTH && !isObject) {
-      throw new InvalidEndpointListException("a message that is no object");
-    } else if (depth == OUTSIDE_DEPTH) {
+    if (depth == TOP_LEVEL_DEPTH && !isObject) {
+      throw new InvalidEndpointListException("message is not a JSON object");
+    } else if (depth == TOP_LEVEL_DEPTH) {
       version = EndpointUpdate.NO_VERSION;
       snapshot = false;
       listFound = false;
       entryCount = 0;
-    } else if (depth == MESSAGE_DEPTH && !isObject && field.equals(DiscoveryProtocol.SERVERS)) {
+    } else if (depth == MESSAGE_DEPTH && !isObject && fieldName.equals(DiscoveryProtocol.SERVERS)) {
       inList = true;
       listFound = true;
     } else if (depth == LIST_DEPTH && inList && isObject) {
-      entry = new EndpointBuilder();
+      entryBuilder = new EndpointBuilder();
     }
   }
 
   private void onMessageField(JsonToken token) throws IOException {
-    if (field.equals(DiscoveryProtocol.VERSION) && token.isNumeric()) {
+    if (fieldName.equals(DiscoveryProtocol.VERSION) && token.isNumeric()) {
       version = (long) parser.getDoubleValue();
-    } else if (field.equals(DiscoveryProtocol.FULL)) {
+    } else if (fieldName.equals(DiscoveryProtocol.FULL)) {
       snapshot = token == JsonToken.VALUE_TRUE;
     }
   }
 
-  /** An object or array has ended; the depth is that of what encloses it. */
+  /** Processes the end of an object or array. {@code depth} is that of the enclosing structure. */
   private void onStructureEnd() throws InvalidEndpointListException {
-    if (depth == LIST_DEPTH && entry != null) {
-      addEntry(entry.build());
-      entry = null;
+    if (depth == LIST_DEPTH && entryBuilder != null) {
+      addEntry(entryBuilder.build());
+      entryBuilder = null;
     } else if (depth == MESSAGE_DEPTH) {
       inList = false;
-    } else if (depth == OUTSIDE_DEPTH) {
+    } else if (depth == TOP_LEVEL_DEPTH) {
       onMessageEnd();
     }
   }
 
   private void onMessageEnd() throws InvalidEndpointListException {
     if (!listFound) {
-      // Prevents a snapshot without a list, which is junk, from removing every endpoint: requests
-      // would have nowhere to go.
-      throw new InvalidEndpointListException("a message without a list");
+      // If a snapshot without a list were accepted, it would remove every endpoint, and no request
+      // could be forwarded.
+      throw new InvalidEndpointListException("message has no endpoint list");
     }
-    List<Endpoint> complete = endpoints;
+    List<Endpoint> messageEndpoints = endpoints;
     endpoints = new ArrayList<>();
-    listener.accept(new EndpointUpdate(version, snapshot, complete));
+    listener.accept(new EndpointUpdate(version, snapshot, messageEndpoints));
   }
 
   private void addEntry(Endpoint endpoint) throws InvalidEndpointListException {
     entryCount++;
     if (entryCount > maxEndpoints) {
-      throw new InvalidEndpointListException("a list of more than " + maxEndpoints + " backends");
+      throw new InvalidEndpointListException("list has more than " + maxEndpoints + " endpoints");
     }
-    // One entry that cannot be used must not hide the others, above all not those that drain.
+    // An unusable entry must not hide the other entries, above all not the draining endpoints.
     if (endpoint != null) {
       endpoints.add(endpoint);
     }
--- a/src/main/java/quotagateway/discovery/EndpointUpdate.java
+++ b/src/main/java/quotagateway/discovery/EndpointUpdate.java
@@ -10,30 +10,33 @@
 /**
  * One message of discovery, or a fragment of one.
  *
- * @param version the list's version after this message; {@link #NO_VERSION} where it is not known
- * @param form what the endpoints stand for
- * @param endpoints the endpoints that it names
+ * @param version the list's version after this message; {@link #NO_VERSION} if it is unknown
+ * @param form whether the endpoints are a snapshot, a delta or a fragment of a longer list
+ * @param endpoints the endpoints that the message names
  */
 public record EndpointUpdate(long version, EndpointListForm form, List<Endpoint> endpoints) {
 
-  /** Stands for a version that is not known. */
+  /** Denotes an unknown version. */
   static final long NO_VERSION = 0;
 
   /**
-   * A complete message.
+   * Creates a complete message.
    *
-   * @param snapshot whether it names all endpoints, and not only those that changed
+   * @param snapshot whether the message names all endpoints, rather than only the changed ones
    */
   public EndpointUpdate(long version, boolean snapshot, List<Endpoint> endpoints) {
     this(version, snapshot ? EndpointListForm.SNAPSHOT : EndpointListForm.DELTA, endpoints);
   }
 
-  /** Whether it is a list of all endpoints, or the last fragment of one. */
+  /** Returns whether the update is a snapshot or the last fragment of one. */
   public boolean isSnapshot() {
     return form == EndpointListForm.SNAPSHOT;
   }
 
-  /** Reads the endpoint list of a configuration, which has the form of a message. */
+  /**
+   * Converts the endpoint list of a configuration, which has the same form as a message of
+   * discovery.
+   */
   public static EndpointUpdate fromConfiguration(Map<String, Object> message) {
     List<Endpoint> endpoints = new ArrayList<>();
     for (Map<String, Object> fields : JsonFields.children(message, DiscoveryProtocol.SERVERS)) {
--- a/src/main/java/quotagateway/discovery/EndpointUpdateDispatcher.java
+++ b/src/main/java/quotagateway/discovery/EndpointUpdateDispatcher.java
@@ -8,14 +8,14 @@
 import quotagateway.endpoint.EndpointListForm;
 
 /**
- * Passes the messages of discovery to their listener in order, a long one in fragments, each in a
- * task of its own on the event loop, so that requests do not wait until a long list is applied. Not
- * thread-safe: belongs to the event loop that it is given.
+ * Delivers the messages of discovery to a listener in order. Splits a long message into fragments
+ * and delivers each in its own task on the event loop, so that requests do not wait until the
+ * complete list is applied. Not thread-safe: belongs to the event loop that it is given.
  */
 public final class EndpointUpdateDispatcher {
 
   /**
-   * Bounds the work of one task: applying an endpoint takes 10 us or less, so a fragment takes
+   * Limits the work of one task: applying an endpoint takes 10 us or less, so a fragment takes
    * about a millisecond.
    */
   static final int MAX_FRAGMENT_ENDPOINTS = 128;
@@ -28,8 +28,8 @@
   /**
    * Creates a dispatcher.
    *
-   * @param loop runs the tasks after the first
-   * @param listener gets the messages and fragments
+   * @param loop runs the tasks after the first one
+   * @param listener receives the messages and fragments
    */
   public EndpointUpdateDispatcher(Executor loop, Consumer<EndpointUpdate> listener) {
     this.loop = loop;
@@ -37,22 +37,24 @@
   }
 
   /**
-   * Passes on a complete message: its first fragment, or all of a short one, before this returns,
-   * unless others are still waiting.
+   * Delivers a complete message. If no earlier fragments are waiting, its first fragment, or all of
+   * a short message, is delivered before this method returns.
    */
   public void dispatch(EndpointUpdate update) {
     List<Endpoint> endpoints = update.endpoints();
-    int from = 0;
-    while (endpoints.size() - from > MAX_FRAGMENT_ENDPOINTS) {
-      int to = from + MAX_FRAGMENT_ENDPOINTS;
+    int startIndex = 0;
+    while (endpoints.size() - startIndex > MAX_FRAGMENT_ENDPOINTS) {
+      int endIndex = startIndex + MAX_FRAGMENT_ENDPOINTS;
       fragments.add(
           new EndpointUpdate(
-              EndpointUpdate.NO_VERSION, EndpointListForm.FRAGMENT, endpoints.subList(from, to)));
-      from = to;
+              EndpointUpdate.NO_VERSION,
+              EndpointListForm.FRAGMENT,
+              endpoints.subList(startIndex, endIndex)));
+      startIndex = endIndex;
     }
     fragments.add(
         new EndpointUpdate(
-            update.version(), update.form(), endpoints.subList(from, endpoints.size())));
+            update.version(), update.form(), endpoints.subList(startIndex, endpoints.size())));
     if (!dispatching) {
       dispatchNext();
     }
--- a/src/main/java/quotagateway/discovery/InvalidEndpointListException.java
+++ b/src/main/java/quotagateway/discovery/InvalidEndpointListException.java
@@ -3,8 +3,9 @@
 import java.io.IOException;
 
 /**
- * A message of discovery that is malformed, has no list of endpoints, or has more of them than this
- * gateway has memory for. Nothing of it takes effect, and nothing more can be read from its stream.
+ * Thrown if a message of discovery is malformed, has no endpoint list, or has more endpoints than
+ * this gateway has memory for. The message has no effect, and the rest of its stream cannot be
+ * read.
  */
 public final class InvalidEndpointListException extends IOException {
 
--- a/src/main/java/quotagateway/discovery/WatchResponseHandler.java
+++ b/src/main/java/quotagateway/discovery/WatchResponseHandler.java
@@ -10,14 +10,15 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * Checks the response to a watch and passes on the bytes of its body; messages and chunks may end
- * anywhere in them. Closes the connection of a response that is malformed, not 200 or complete.
+ * Validates the response to a watch and passes on the bytes of its body, in which messages and
+ * chunks may end at any position. Closes the connection if the response is malformed, has a status
+ * other than 200, or is complete.
  */
 final class WatchResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
 
   private final DiscoveryWatch watch;
 
-  /** Whether the connection is being closed: nothing that still comes on it is to be used. */
+  /** Whether the connection is being closed. Data that still arrives is ignored. */
   private boolean closing;
 
   WatchResponseHandler(DiscoveryWatch watch) {
@@ -46,8 +47,8 @@
   }
 
   /**
-   * Closes the connection. Prevents the rest of a read from being used: the decoder passes on all
-   * parts of it, whether or not the channel was closed at one of them.
+   * Closes the connection and ignores the rest of the current read, as the decoder passes on all
+   * parts of a read even after the channel was closed.
    */
   private void close(ChannelHandlerContext ctx) {
     closing = true;
--- a/src/main/java/quotagateway/discovery/package-info.java
+++ b/src/main/java/quotagateway/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** The client of discovery, which watches the list of endpoints. */
+/** The discovery client, which watches the endpoint list. */
 package quotagateway.discovery;
--- a/src/test/java/quotagateway/discovery/DiscoveryClientTest.java
+++ b/src/test/java/quotagateway/discovery/DiscoveryClientTest.java
@@ -21,8 +21,8 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * When a watch is opened, replaced and closed, without sockets and in time that the test advances,
- * so that no delay of the machine changes what is seen.
+ * Tests when watches are opened, replaced and closed, without sockets and with a manually advanced
+ * clock, so that delays of the machine do not affect the result.
  */
 class DiscoveryClientTest {
 
@@ -30,7 +30,7 @@
   private static final long SILENCE_TIMEOUT_MS = 2_500;
   private static final long PARTIAL_MESSAGE_TIMEOUT_MS = 300;
 
-  /** The longest delay before the watch after one that ended, where the one before did not end. */
+  /** Longest delay before the watch that follows an ended one, if no earlier watch ended. */
   private static final long FIRST_BACKOFF_MS = 150;
 
   private static final InetSocketAddress AGENT =
@@ -56,7 +56,7 @@
     return watch.newSucceededFuture();
   }
 
-  /** Lets so much time pass, a millisecond at a time. */
+  /** Advances the clock and the timers one millisecond at a time. */
   private void advance(long ms) {
     for (long i = 0; i < ms; i++) {
       nanos += TimeUnit.MILLISECONDS.toNanos(1);
@@ -90,9 +90,9 @@
     return updates.stream().map(EndpointUpdate::version).toList();
   }
 
-  /** Line ends and indentation between and within messages are no junk: the watch goes on. */
+  /** Line ends and indentation between and within messages are valid, so the watch stays open. */
   @Test
-  void goesOnWithOneWatchThroughIndentedMessagesOneBehindAnother() {
+  void keepsWatchOpenForConsecutiveIndentedMessages() {
     client.start();
     String indented = EndpointListJson.list(8, false).replace(",", ",\n  ").replace("{", "{\r\n\t");
     String messages = indented + "\n\n" + EndpointListJson.list(9, false);
@@ -105,9 +105,9 @@
     assertTrue(watch(1).isActive());
   }
 
-  /** A machine that vanished after it accepted the connection resets nothing. */
+  /** A machine that vanishes after it accepted the connection does not reset it. */
   @Test
-  void replacesAWatchWhoseResponseDoesNotBegin() {
+  void replacesWatchWithoutResponse() {
     client.start();
     advance(RESPONSE_TIMEOUT_MS - 1);
     assertEquals(1, watches.size());
@@ -115,9 +115,9 @@
     assertEquals(2, watches.size());
   }
 
-  /** What the old watch brings may be all there is for a while: the new one may not come up. */
+  /** Until the new watch is established, the old watch may be the only source of changes. */
   @Test
-  void usesAReplacedWatchUntilTheNextOneBringsData() {
+  void usesReplacedWatchUntilNextWatchReceivesData() {
     client.start();
     advance(RESPONSE_TIMEOUT_MS + 2);
     receive(watch(1), FakeDiscovery.RESPONSE_HEAD + message(8));
@@ -130,9 +130,9 @@
     assertFalse(watch(1).isActive());
   }
 
-  /** An established watch of a machine that vanished stays open and silent. */
+  /** An established watch of a machine that vanished stays open but silent. */
   @Test
-  void replacesAWatchWithoutDataOrHeartbeats() {
+  void replacesWatchWithoutDataOrHeartbeats() {
     client.start();
     receive(watch(1), FakeDiscovery.RESPONSE_HEAD + message(8));
     for (int i = 0; i < 5; i++) {
@@ -147,9 +147,9 @@
     assertEquals("GET /discovery/hosts?stream=1&index=8 HTTP/1.1", requestLine(watch(2)));
   }
 
-  /** Nothing that follows an invalid message can be read, so a new watch makes up for it. */
+  /** Nothing after an invalid message can be read, so a new watch requests the missed changes. */
   @Test
-  void closesAWatchAtAnInvalidMessageAndGoesOnAfterTheLastValidOne() {
+  void closesWatchAfterInvalidMessageAndResumesFromLastValidVersion() {
     client.start();
     receive(watch(1), FakeDiscovery.RESPONSE_HEAD + message(8));
     receive(watch(1), FakeDiscovery.chunk("{\"version\":9}") + message(10));
@@ -160,9 +160,9 @@
     assertEquals("GET /discovery/hosts?stream=1&index=8 HTTP/1.1", requestLine(watch(2)));
   }
 
-  /** A watch from a version that discovery does not have would be refused for good. */
+  /** Discovery would refuse every watch for the changes after a version that it does not have. */
   @Test
-  void keepsTheLastVersionWhereAMessageHasNoProperOne() {
+  void keepsLastVersionWhenMessageHasNoValidVersion() {
     client.start();
     receive(watch(1), FakeDiscovery.RESPONSE_HEAD + message(8) + message(-4) + message(0));
     assertEquals(List.of(8L, -4L, 0L), versions());
@@ -171,9 +171,12 @@
     assertEquals("GET /discovery/hosts?stream=1&index=8 HTTP/1.1", requestLine(watch(2)));
   }
 
-  /** Heartbeats would keep such a watch open, and be read as part of the message. */
+  /**
+   * Without the timeout, heartbeats would keep such a watch open and be read as part of the
+   * message.
+   */
   @Test
-  void closesAWatchThatStopsWithinAMessage() {
+  void closesWatchThatStopsWithinMessage() {
     client.start();
     receive(watch(1), FakeDiscovery.RESPONSE_HEAD + FakeDiscovery.chunk("{\"version\":9,"));
     advance(PARTIAL_MESSAGE_TIMEOUT_MS - 1);
@@ -182,9 +185,9 @@
     assertFalse(watch(1).isActive());
   }
 
-  /** The agent may be up before it has a list: the next watch follows soon. */
+  /** The agent may be running before it has a list, so the next watch starts soon. */
   @Test
-  void closesAWatchThatIsAnsweredByAnError() {
+  void closesWatchThatIsAnsweredWithError() {
     client.start();
     receive(watch(1), "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
     assertFalse(watch(1).isActive());
@@ -193,8 +196,9 @@
   }
 
   /**
-   * An agent, or something in front of it, may answer by an error whose body is a list that is not
-   * for use. It arrives in one read with its head, before the watch is closed.
+   * The agent, or a proxy in front of it, may answer with an error whose body is an endpoint list
+   * that must not be used. The body arrives in the same read as the header, before the watch is
+   * closed.
    */
   @Test
   void ignoresTheBodyOfAnErrorResponse() {
--- a/src/test/java/quotagateway/discovery/DiscoveryFailureTest.java
+++ b/src/test/java/quotagateway/discovery/DiscoveryFailureTest.java
@@ -40,39 +40,44 @@
 import quotagateway.transport.SocketTransport;
 
 /**
- * A change counts as notified 6 s after discovery had it and could be reached, even if watches fail
- * meanwhile. Here a watch falls silent, which is noticed after 2.5 s, and the watches that follow
- * it fail: as many of each kind of failure as its longest duration leaves room for.
+ * Tests that the gateway receives a change within 6 s after a watch fell silent, even if the next
+ * watches fail. The gateway counts as notified of a change 6 s after discovery has the change and
+ * is reachable, even if watches fail in between. Here a watch falls silent, which is detected after
+ * 2.5 s, and the next watches fail: as many watches for each kind of failure as fit into the
+ * remaining time at that failure's longest duration.
  */
 @Timeout(40)
 class DiscoveryFailureTest {
 
   private static final long NOTIFICATION_LIMIT_MS = 6_000;
-  private static final long SILENT_MS = 2_500;
+  private static final long SILENCE_TIMEOUT_MS = 2_500;
 
-  /** Left over for a machine that is late. */
+  /** Margin for delays of the machine. */
   private static final long MARGIN_MS = 900;
 
-  private static final String HEAD = FakeDiscovery.RESPONSE_HEAD;
+  private static final String RESPONSE_HEAD = FakeDiscovery.RESPONSE_HEAD;
 
-  /** How a watch fails, and for how long at most that delays the next one. */
+  /**
+   * The kinds of failure of a watch, each with the longest time by which it delays the next watch.
+   */
   enum Failure {
     NO_DESCRIPTOR(300),
     REFUSED(300),
-    NEVER_UP(800),
+    CONNECT_TIMEOUT(800),
     CLOSED(300),
-    SILENT(500),
-    HEAD_TRICKLES(500),
-    HEAD_ONLY(2_500),
-    LIST_CUT(600),
-    CHUNK_CUT(2_500),
-    ENDS_WITHOUT_DATA(300),
-    ERROR(300);
-
-    final int watches;
-
-    Failure(long longestMs) {
-      watches = (int) ((NOTIFICATION_LIMIT_MS - SILENT_MS - MARGIN_MS) / longestMs);
+    NO_RESPONSE(500),
+    SLOW_HEADER(500),
+    HEADER_ONLY(2_500),
+    LIST_TRUNCATED(600),
+    CHUNK_HEADER_TRUNCATED(2_500),
+    END_WITHOUT_DATA(300),
+    ERROR_STATUS(300);
+
+    final int watchCount;
+
+    Failure(long longestDelayMs) {
+      watchCount =
+          (int) ((NOTIFICATION_LIMIT_MS - SILENCE_TIMEOUT_MS - MARGIN_MS) / longestDelayMs);
     }
   }
 
@@ -80,32 +85,32 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
   private final EventLoop loop = group.next();
-  private final List<SocketChannel> filling = new ArrayList<>();
-  private ServerSocket full;
-  private InetSocketAddress refusing;
+  private final List<SocketChannel> backlogChannels = new ArrayList<>();
+  private ServerSocket fullServer;
+  private InetSocketAddress refusingAddress;
 
   @AfterEach
   void close() throws Exception {
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
-    for (SocketChannel channel : filling) {
+    for (SocketChannel channel : backlogChannels) {
       channel.close();
     }
-    full.close();
+    fullServer.close();
     for (ScriptedServer agent : agents) {
       agent.close();
     }
   }
 
   @Test
-  void receivesInTimeWhatASilentWatchMissedHoweverTheNextOnesFail() throws Exception {
-    full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+  void receivesMissedChangeInTimeWhenWatchesAfterSilentWatchFail() throws Exception {
+    fullServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     for (int i = 0; i < 8; i++) {
-      filling.add(SocketChannel.open());
-      filling.get(i).configureBlocking(false);
-      filling.get(i).connect(full.getLocalSocketAddress());
+      backlogChannels.add(SocketChannel.open());
+      backlogChannels.get(i).configureBlocking(false);
+      backlogChannels.get(i).connect(fullServer.getLocalSocketAddress());
     }
-    try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      refusing = (InetSocketAddress) closed.getLocalSocketAddress();
+    try (ServerSocket closedServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      refusingAddress = (InetSocketAddress) closedServer.getLocalSocketAddress();
     }
     Map<Failure, CompletableFuture<Long>> received = new EnumMap<>(Failure.class);
     for (Failure failure : Failure.values()) {
@@ -114,24 +119,24 @@
     assertAll(
         received.entrySet().stream()
             .map(
-                t ->
+                entry ->
                     () -> {
-                      long ms = t.getValue().get(20, TimeUnit.SECONDS);
+                      long ms = entry.getValue().get(20, TimeUnit.SECONDS);
                       assertTrue(
                           ms < NOTIFICATION_LIMIT_MS,
-                          t.getKey() + ": received " + ms + " ms after the watch fell silent");
+                          entry.getKey() + ": received " + ms + " ms after the watch fell silent");
                     }));
   }
 
-  /** A client whose first watch falls silent, and whose next ones fail in one way. */
+  /** A client whose first watch falls silent and whose next watches all fail in the same way. */
   private final class FailingWatches {
 
     private final Failure failure;
 
-    /** The watches that were dialed so far. */
-    private final AtomicInteger dialed = new AtomicInteger();
+    /** Number of watches dialed so far. */
+    private final AtomicInteger dialedCount = new AtomicInteger();
 
-    private final AtomicLong silentSince = new AtomicLong();
+    private final AtomicLong silentSinceNanos = new AtomicLong();
     private final CompletableFuture<Long> received = new CompletableFuture<>();
     private final Dialer sockets = DiscoveryClient.dialer(loop);
     private final ScriptedServer agent = new ScriptedServer(50, this::serve);
@@ -144,7 +149,8 @@
     /**
      * Starts the client.
      *
-     * @return how many milliseconds after the first watch fell silent the change is received
+     * @return the time from when the first watch fell silent until the change is received, in
+     *     milliseconds
      */
     CompletableFuture<Long> start() {
       DiscoveryClient client =
@@ -161,34 +167,36 @@
     }
 
     private long msSinceSilence() {
-      return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - silentSince.get());
+      return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - silentSinceNanos.get());
     }
 
     private boolean fails(int number) {
-      return number > 1 && number <= 1 + failure.watches;
+      return number > 1 && number <= 1 + failure.watchCount;
     }
 
     private void serve(InputStream in, OutputStream out, Socket socket) throws IOException {
       HttpMessage.read(in);
-      int number = dialed.get();
+      int number = dialedCount.get();
       if (number == 1) {
-        TextStreams.write(out, HEAD + FakeDiscovery.chunk("\n"));
-        silentSince.set(System.nanoTime());
+        TextStreams.write(out, RESPONSE_HEAD + FakeDiscovery.chunk("\n"));
+        silentSinceNanos.set(System.nanoTime());
       } else if (fails(number)) {
         fail(failure, in, out, socket);
       } else {
-        TextStreams.write(out, HEAD + FakeDiscovery.chunk(EndpointListJson.list(8, true) + "\n"));
+        TextStreams.write(
+            out, RESPONSE_HEAD + FakeDiscovery.chunk(EndpointListJson.list(8, true) + "\n"));
       }
     }
 
     private ChannelFuture dial(InetSocketAddress address, ChannelHandler handler) {
-      if (!fails(dialed.incrementAndGet())) {
+      if (!fails(dialedCount.incrementAndGet())) {
         return sockets.dial(address, handler);
       }
       return switch (failure) {
         case NO_DESCRIPTOR -> dialWithoutDescriptor(address, handler);
-        case REFUSED -> sockets.dial(refusing, handler);
-        case NEVER_UP -> sockets.dial((InetSocketAddress) full.getLocalSocketAddress(), handler);
+        case REFUSED -> sockets.dial(refusingAddress, handler);
+        case CONNECT_TIMEOUT ->
+            sockets.dial((InetSocketAddress) fullServer.getLocalSocketAddress(), handler);
         default -> sockets.dial(address, handler);
       };
     }
@@ -199,7 +207,7 @@
           .handler(handler)
           .channelFactory(
               () -> {
-                throw new ChannelException("no descriptor is left");
+                throw new ChannelException("no file descriptors left");
               })
           .connect(address);
     }
@@ -209,19 +217,20 @@
       throws IOException {
     switch (failure) {
       case CLOSED -> socket.close();
-      case HEAD_TRICKLES -> trickle(HEAD, in, out, socket);
-      case HEAD_ONLY -> TextStreams.write(out, HEAD);
-      case LIST_CUT ->
+      case SLOW_HEADER -> trickle(RESPONSE_HEAD, in, out, socket);
+      case HEADER_ONLY -> TextStreams.write(out, RESPONSE_HEAD);
+      case LIST_TRUNCATED ->
           TextStreams.write(
-              out, HEAD + FakeDiscovery.chunk(EndpointListJson.list(8, true).substring(0, 20)));
-      case CHUNK_CUT -> TextStreams.write(out, HEAD + "1f");
-      case ENDS_WITHOUT_DATA -> TextStreams.write(out, HEAD + "0\r\n\r\n");
-      case ERROR -> TextStreams.write(out, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
+              out,
+              RESPONSE_HEAD + FakeDiscovery.chunk(EndpointListJson.list(8, true).substring(0, 20)));
+      case CHUNK_HEADER_TRUNCATED -> TextStreams.write(out, RESPONSE_HEAD + "1f");
+      case END_WITHOUT_DATA -> TextStreams.write(out, RESPONSE_HEAD + "0\r\n\r\n");
+      case ERROR_STATUS -> TextStreams.write(out, "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n");
       default -> {}
     }
   }
 
-  /** A byte from time to time, for as long as the other side keeps the connection. */
+  /** Sends one byte at a time until the peer closes the connection. */
   private static void trickle(String text, InputStream in, OutputStream out, Socket socket)
       throws IOException {
     socket.setSoTimeout(100);
@@ -232,7 +241,7 @@
           return;
         }
       } catch (SocketTimeoutException e) {
-        // It still listens.
+        // The peer keeps the connection open.
       }
     }
   }
--- a/src/test/java/quotagateway/discovery/EndpointListReaderTest.java
+++ b/src/test/java/quotagateway/discovery/EndpointListReaderTest.java
@@ -16,7 +16,7 @@
 import quotagateway.endpoint.EndpointState;
 import quotagateway.transport.BackendAddress;
 
-/** The messages of a watch, whose bytes arrive in pieces of any length. */
+/** Tests the parsing of messages whose bytes arrive in pieces of any length. */
 class EndpointListReaderTest {
 
   private static final String FIRST =
@@ -37,10 +37,10 @@
   private final List<EndpointUpdate> received = new ArrayList<>();
   private final EndpointListReader reader = new EndpointListReader(5, received::add);
 
-  private void read(String text, int pieces) throws IOException {
+  private void read(String text, int pieceLength) throws IOException {
     byte[] bytes = text.getBytes(UTF_8);
-    for (int at = 0; at < bytes.length; at += pieces) {
-      reader.read(Arrays.copyOfRange(bytes, at, Math.min(bytes.length, at + pieces)));
+    for (int offset = 0; offset < bytes.length; offset += pieceLength) {
+      reader.read(Arrays.copyOfRange(bytes, offset, Math.min(bytes.length, offset + pieceLength)));
     }
   }
 
@@ -49,28 +49,35 @@
   }
 
   @Test
-  void readsTheSameMessagesWhereverTheBytesAreCut() throws IOException {
+  void readsSameMessagesForAnySplitOfTheBytes() throws IOException {
     read(FIRST + "\n\n" + SECOND, Integer.MAX_VALUE);
     assertEquals(2, received.size());
-    List<Endpoint> whole = entries();
-    assertEquals(4, whole.size());
-    long place = BackendAddress.encode(new InetSocketAddress("10.1.0.18", 7070));
+    List<Endpoint> expected = entries();
+    assertEquals(4, expected.size());
+    long encodedAddress = BackendAddress.encode(new InetSocketAddress("10.1.0.18", 7070));
     assertEquals(
-        new Endpoint(whole.get(0).id(), "a", 3, EndpointState.SERVING, 1.5, 1760000000000.0, place),
-        whole.get(0));
-    assertEquals("zé", whole.get(1).zone());
+        new Endpoint(
+            expected.get(0).id(),
+            "a",
+            3,
+            EndpointState.SERVING,
+            1.5,
+            1760000000000.0,
+            encodedAddress),
+        expected.get(0));
+    assertEquals("zé", expected.get(1).zone());
     assertEquals(
         List.of(
             EndpointState.SERVING,
             EndpointState.DRAINING,
             EndpointState.REMOVED,
             EndpointState.REMOVED),
-        whole.stream().map(Endpoint::state).toList());
-    assertEquals(whole.get(1).id(), whole.get(3).id());
-    for (int pieces = 1; pieces < 200; pieces++) {
+        expected.stream().map(Endpoint::state).toList());
+    assertEquals(expected.get(1).id(), expected.get(3).id());
+    for (int pieceLength = 1; pieceLength < 200; pieceLength++) {
       received.clear();
-      read(FIRST + "\n\n" + SECOND, pieces);
-      assertEquals(whole, entries());
+      read(FIRST + "\n\n" + SECOND, pieceLength);
+      assertEquals(expected, entries());
       assertEquals(List.of(41L, 43L), received.stream().map(EndpointUpdate::version).toList());
       assertEquals(
           List.of(true, false), received.stream().map(EndpointUpdate::isSnapshot).toList());
@@ -79,12 +86,13 @@
   }
 
   /**
-   * What follows may never come, or be junk: nothing is passed on before the message is complete.
+   * The rest of a message may be invalid or never arrive, so nothing is passed on before the
+   * message is complete.
    */
   @Test
-  void passesNothingOnOfAMessageThatIsCutOffOrMalformed() throws IOException {
-    int cut = FIRST.indexOf("{\"addr\"");
-    read(FIRST.substring(0, cut), 40);
+  void passesOnNothingOfTruncatedOrMalformedMessage() throws IOException {
+    int truncatedLength = FIRST.indexOf("{\"addr\"");
+    read(FIRST.substring(0, truncatedLength), 40);
     assertTrue(reader.hasPartialMessage());
     assertEquals(List.of(), received);
     assertThrows(InvalidEndpointListException.class, () -> read("junk", 40));
@@ -92,8 +100,8 @@
   }
 
   @Test
-  void rejectsMessagesWithoutAList() {
-    for (String junk :
+  void rejectsMessagesWithoutList() {
+    for (String invalidMessage :
         new String[] {
           "[]",
           "7 ",
@@ -103,16 +111,18 @@
           "{\"version\":4,\"servers\":7}",
           "<html>"
         }) {
-      EndpointListReader other = new EndpointListReader(5, received::add);
+      EndpointListReader newReader = new EndpointListReader(5, received::add);
       assertThrows(
-          InvalidEndpointListException.class, () -> other.read(junk.getBytes(UTF_8)), junk);
+          InvalidEndpointListException.class,
+          () -> newReader.read(invalidMessage.getBytes(UTF_8)),
+          invalidMessage);
     }
     assertEquals(List.of(), received);
   }
 
-  /** Of a list too long for the memory, the part that fits must not be taken for a snapshot. */
+  /** If a list exceeds the memory limit, the part that fits must not be treated as a snapshot. */
   @Test
-  void rejectsAListOfMoreEndpointsThanTheLimit() {
+  void rejectsListWithMoreEndpointsThanLimit() {
     String entry = "{\"id\":\"s\",\"state\":\"leaving\"}";
     String list =
         "{\"version\":4,\"full\":true,\"servers\":[" + (entry + ",").repeat(5) + entry + "]}";
--- a/src/test/java/quotagateway/discovery/EndpointListTiming.java
+++ b/src/test/java/quotagateway/discovery/EndpointListTiming.java
@@ -21,14 +21,14 @@
 import quotagateway.policy.settings.PolicySettings;
 
 /**
- * Prints for how long a snapshot, and the removal of a zone at once, occupy the event loop, by the
- * clock and by the thread's own processor time, which leaves out garbage collections and other
- * programs; and the heap in use after each.
+ * Prints how long a snapshot, and the removal of a complete zone, occupy the event loop. Reports
+ * the elapsed time, and the thread's CPU time, which excludes garbage collection and other
+ * programs, and the heap in use after each list.
  */
 final class EndpointListTiming {
 
   private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
-  private static final int LENGTH = 200_000;
+  private static final int ENDPOINT_COUNT = 200_000;
   private static final int ZONES = 19;
   private static final int CELLS = 20;
   private static final int READ_BYTES = 4 * 1024;
@@ -37,8 +37,8 @@
 
   private final GatewayPolicy policy;
   private final EndpointListReader reader;
-  private final double[] micros = new double[LENGTH];
-  private final double[] ownMicros = new double[LENGTH];
+  private final double[] micros = new double[ENDPOINT_COUNT];
+  private final double[] cpuMicros = new double[ENDPOINT_COUNT];
   private final Queue<Runnable> tasks = new ArrayDeque<>();
   private int steps;
   private boolean sweepPending;
@@ -68,18 +68,22 @@
   private void apply(List<Action> actions) {
     sweepPending =
         actions.stream()
-            .anyMatch(a -> a instanceof ScheduleTimer wake && wake.timer() == Timer.ENDPOINT_SWEEP);
+            .anyMatch(
+                action ->
+                    action instanceof ScheduleTimer schedule
+                        && schedule.timer() == Timer.ENDPOINT_SWEEP);
   }
 
-  private void send(String name, boolean full, String state, IntPredicate which)
+  private void send(String name, boolean snapshot, String state, IntPredicate included)
       throws IOException {
     steps = 0;
-    StringBuilder text = new StringBuilder("{\"version\":7,\"full\":" + full + ",\"servers\":[");
-    String comma = "";
-    for (int i = 0; i < LENGTH; i++) {
-      if (which.test(i)) {
-        text.append(comma).append(entry(i, state));
-        comma = ",";
+    StringBuilder text =
+        new StringBuilder("{\"version\":7,\"full\":" + snapshot + ",\"servers\":[");
+    String separator = "";
+    for (int i = 0; i < ENDPOINT_COUNT; i++) {
+      if (included.test(i)) {
+        text.append(separator).append(entry(i, state));
+        separator = ",";
       }
       if (text.length() > READ_BYTES - ENTRY_BYTES) {
         read(text);
@@ -93,8 +97,8 @@
       step(() -> apply(policy.on(NOW_MS, new TimerFired(Timer.ENDPOINT_SWEEP))));
     }
     Arrays.sort(micros, 0, steps);
-    Arrays.sort(ownMicros, 0, steps);
-    double sum = Arrays.stream(micros, 0, steps).sum();
+    Arrays.sort(cpuMicros, 0, steps);
+    double sumMicros = Arrays.stream(micros, 0, steps).sum();
     System.gc();
     Runtime runtime = Runtime.getRuntime();
     System.out.printf(
@@ -102,11 +106,11 @@
             + "%4.1f MB%n",
         name,
         steps,
-        sum / 1e3,
+        sumMicros / 1e3,
         micros[steps / 2],
         micros[(int) (0.99 * steps)],
         micros[steps - 1],
-        ownMicros[steps - 1],
+        cpuMicros[steps - 1],
         (runtime.totalMemory() - runtime.freeMemory()) / 1e6);
   }
 
@@ -139,11 +143,11 @@
   }
 
   private void step(Step step) throws IOException {
-    long begunOwn = THREADS.getCurrentThreadCpuTime();
-    long begun = System.nanoTime();
+    long cpuStartNanos = THREADS.getCurrentThreadCpuTime();
+    long startNanos = System.nanoTime();
     step.run();
-    micros[steps] = (System.nanoTime() - begun) / 1e3;
-    ownMicros[steps] = (THREADS.getCurrentThreadCpuTime() - begunOwn) / 1e3;
+    micros[steps] = (System.nanoTime() - startNanos) / 1e3;
+    cpuMicros[steps] = (THREADS.getCurrentThreadCpuTime() - cpuStartNanos) / 1e3;
     steps++;
   }
 }
--- a/src/test/java/quotagateway/discovery/EndpointUpdateDispatcherTest.java
+++ b/src/test/java/quotagateway/discovery/EndpointUpdateDispatcherTest.java
@@ -12,28 +12,32 @@
 import quotagateway.endpoint.EndpointListForm;
 import quotagateway.endpoint.EndpointState;
 
-/** How messages of discovery reach their listener, and in what parts. */
+/** Tests the order and the fragments in which messages of discovery reach their listener. */
 class EndpointUpdateDispatcherTest {
 
   private final List<EndpointUpdate> received = new ArrayList<>();
 
-  /** Each fragment has a task of its own, and a message behind a long one waits for its last. */
+  /**
+   * Each fragment is delivered in its own task, and a message that follows a long one waits for its
+   * last fragment.
+   */
   @Test
-  void dispatchesALongListInFragmentsAndInOrder() {
+  void dispatchesLongListInFragmentsAndInOrder() {
     Queue<Runnable> tasks = new ArrayDeque<>();
     EndpointUpdateDispatcher dispatcher = new EndpointUpdateDispatcher(tasks::add, received::add);
     int length = 2 * EndpointUpdateDispatcher.MAX_FRAGMENT_ENDPOINTS + 1;
-    List<Endpoint> all =
+    List<Endpoint> allEndpoints =
         IntStream.range(0, length)
             .mapToObj(id -> new Endpoint(id, "a", 0, EndpointState.SERVING, 1, 0))
             .toList();
-    dispatcher.dispatch(new EndpointUpdate(5, true, all));
+    dispatcher.dispatch(new EndpointUpdate(5, true, allEndpoints));
     dispatcher.dispatch(new EndpointUpdate(6, false, List.of()));
     assertEquals(1, received.size());
     while (!tasks.isEmpty()) {
       tasks.poll().run();
     }
-    assertEquals(all, received.stream().flatMap(update -> update.endpoints().stream()).toList());
+    assertEquals(
+        allEndpoints, received.stream().flatMap(update -> update.endpoints().stream()).toList());
     assertEquals(
         List.of(
             EndpointListForm.FRAGMENT,
--- a/src/test/java/quotagateway/discovery/WatchBackoffTest.java
+++ b/src/test/java/quotagateway/discovery/WatchBackoffTest.java
@@ -7,68 +7,72 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The delays between watches of the endpoint list. */
+/** Tests the delays between watches of the endpoint list. */
 class WatchBackoffTest {
 
-  /** Without jitter: each delay is its base. */
-  private final WatchBackoff even = new WatchBackoff(() -> 0.5);
+  /** Without jitter: each delay equals its base. */
+  private final WatchBackoff backoff = new WatchBackoff(() -> 0.5);
 
+  /** A draining endpoint leaves one second for its last requests; the delay uses little of it. */
   @Test
-  void delayAfterAnEndedWatchLeavesMostOfTheSecondThatADrainingEndpointHas() {
+  void delayAfterEndedWatchIsShortAndResetsAfterStableWatch() {
     for (int i = 0; i < 20; i++) {
-      assertTrue(even.nextDelayMs(10) <= 300);
+      assertTrue(backoff.nextDelayMs(10) <= 300);
     }
-    assertEquals(100, even.nextDelayMs(6_000));
+    assertEquals(100, backoff.nextDelayMs(6_000));
   }
 
   @Test
-  void delaysGrowWhileListsAreInvalidAndResetWithAValidOne() {
-    assertTrue(even.onInvalidList());
-    double sumMs = even.nextDelayMs(10);
+  void delaysGrowWhileListsAreInvalidAndResetAfterValidList() {
+    assertTrue(backoff.onInvalidList());
+    double sumMs = backoff.nextDelayMs(10);
     for (int i = 0; i < 11; i++) {
-      assertFalse(even.onInvalidList());
-      sumMs += even.nextDelayMs(10);
+      assertFalse(backoff.onInvalidList());
+      sumMs += backoff.nextDelayMs(10);
     }
-    assertEquals(2_000, even.nextDelayMs(60_000));
+    assertEquals(2_000, backoff.nextDelayMs(60_000));
     assertTrue(sumMs > 15_000, sumMs + " ms for twelve lists");
-    assertTrue(even.onValidList());
-    assertFalse(even.onValidList());
-    assertEquals(100, even.nextDelayMs(10));
-    assertTrue(even.onInvalidList());
+    assertTrue(backoff.onValidList());
+    assertFalse(backoff.onValidList());
+    assertEquals(100, backoff.nextDelayMs(10));
+    assertTrue(backoff.onInvalidList());
   }
 
-  /** A change counts as notified after 6 s: two watches have to fit into these. */
+  /**
+   * The gateway counts as notified of a change after 6 s, so two watches have to fit into that
+   * time.
+   */
   @Test
-  void longestDelayLeavesTimeForAnotherWatch() {
-    WatchBackoff longest = new WatchBackoff(() -> 1);
+  void longestDelayLeavesTimeForAnotherWatchWithinNotificationLimit() {
+    WatchBackoff maxJitterBackoff = new WatchBackoff(() -> 1);
     for (int i = 0; i < 50; i++) {
-      longest.onInvalidList();
-      assertTrue(longest.nextDelayMs(10) <= 3_000);
+      maxJitterBackoff.onInvalidList();
+      assertTrue(maxJitterBackoff.nextDelayMs(10) <= 3_000);
     }
   }
 
   /**
-   * Bytes damaged on the way make a list invalid. The next watch follows as soon as after any other
-   * that ended, so that no draining endpoint is missed for them.
+   * Bytes damaged in transit make a list invalid. The next watch follows as soon as after a watch
+   * that ended, so that no draining endpoint is missed because of such damage.
    */
   @Test
-  void delaysDoNotGrowForAFewInvalidLists() {
+  void delaysDoNotGrowForFirstInvalidLists() {
     for (int i = 0; i < 3; i++) {
-      even.onInvalidList();
-      assertTrue(even.nextDelayMs(10) <= 300);
+      backoff.onInvalidList();
+      assertTrue(backoff.nextDelayMs(10) <= 300);
     }
   }
 
   @Test
-  void delaysOfGatewaysThatLostTheirWatchTogetherAreSpread() {
+  void delaysOfGatewaysThatLostTheirWatchSimultaneouslyAreSpread() {
     SplittableRandom random = new SplittableRandom(4);
-    double least = Double.POSITIVE_INFINITY;
-    double most = 0;
+    double minDelayMs = Double.POSITIVE_INFINITY;
+    double maxDelayMs = 0;
     for (int i = 0; i < 100; i++) {
       double delayMs = new WatchBackoff(random::nextDouble).nextDelayMs(10);
-      least = Math.min(least, delayMs);
-      most = Math.max(most, delayMs);
+      minDelayMs = Math.min(minDelayMs, delayMs);
+      maxDelayMs = Math.max(maxDelayMs, delayMs);
     }
-    assertTrue(least < 60 && most > 140, least + " to " + most);
+    assertTrue(minDelayMs < 60 && maxDelayMs > 140, minDelayMs + " to " + maxDelayMs);
   }
 }
