--- a/src/main/java/quotagateway/config/ConfigurationFile.java
+++ b/src/main/java/quotagateway/config/ConfigurationFile.java
@@ -12,27 +12,28 @@
 import java.util.Map;
 
 /**
- * Reads the configuration file at a start and at a reload. Either gives a whole, valid
- * configuration or throws; any thread may call it.
+ * Reads the configuration file at startup and on a reload. Each read returns a complete, valid
+ * configuration or throws. Thread-safe.
  */
 public final class ConfigurationFile {
 
   private ConfigurationFile() {}
 
   /**
-   * Reads the file at a start.
+   * Reads the file at startup.
    *
-   * @throws InvalidConfigurationException where it cannot be read or cannot be served by
+   * @throws InvalidConfigurationException if the file cannot be read or is not a valid
+   *     configuration
    */
   public static GatewayConfig read(Path file) throws InvalidConfigurationException {
     return GatewayConfig.of(fields(file));
   }
 
   /**
-   * Reads a replaced file, which must have every key that the configuration in use has.
+   * Reads the file on a reload. The file must have every key that the configuration in use has.
    *
-   * @throws InvalidConfigurationException where it lacks one, cannot be read, or cannot be served
-   *     by
+   * @throws InvalidConfigurationException if the file lacks a key, cannot be read or is not a valid
+   *     configuration
    */
   public static GatewayConfig reread(Path file, GatewayConfig inUse)
       throws InvalidConfigurationException {
@@ -42,11 +43,12 @@
   }
 
   private static Map<String, Object> fields(Path file) throws InvalidConfigurationException {
-    try (JsonParser in = new JsonFactory().createParser(Files.readAllBytes(file))) {
-      in.nextToken();
-      Map<String, Object> fields = JsonFields.readObject(in);
-      if (in.nextToken() != null) {
-        throw new InvalidConfigurationException(file.toString(), "has more behind its object");
+    try (JsonParser parser = new JsonFactory().createParser(Files.readAllBytes(file))) {
+      parser.nextToken();
+      Map<String, Object> fields = JsonFields.readObject(parser);
+      if (parser.nextToken() != null) {
+        throw new InvalidConfigurationException(
+            file.toString(), "has content after its JSON object");
       }
       return fields;
     } catch (NoSuchFileException e) {
@@ -61,9 +63,10 @@
   }
 
   /**
-   * Prevents a reload from a file that was cut or mistyped: what it lacks would be read as 0 or as
-   * a default, and quotas or attempts would change unnoticed. Cost: a key cannot be dropped without
-   * a restart.
+   * Checks that a reloaded file has every required key of the configuration in use. Without this,
+   * keys missing from a truncated or mistyped file would be read as 0 or as a default, and quotas
+   * or attempts would change unnoticed. The drawback is that a key cannot be removed without a
+   * restart.
    */
   private static void requireKeysOf(
       Map<String, Object> inUse, Map<String, Object> fields, String prefix)
@@ -83,17 +86,17 @@
     }
   }
 
-  /** Each item must have the keys that all items of the list in use have. */
+  /** Checks that each item has the keys that all items of the list in use have. */
   private static void requireKeysOfItems(
       List<Map<String, Object>> inUse, List<Map<String, Object>> items, String prefix)
       throws InvalidConfigurationException {
     if (inUse.isEmpty()) {
       return;
     }
-    Map<String, Object> common = new HashMap<>(inUse.get(0));
-    inUse.forEach(item -> common.keySet().retainAll(item.keySet()));
+    Map<String, Object> commonKeys = new HashMap<>(inUse.get(0));
+    inUse.forEach(item -> commonKeys.keySet().retainAll(item.keySet()));
     for (Map<String, Object> item : items) {
-      requireKeysOf(common, item, prefix);
+      requireKeysOf(commonKeys, item, prefix);
     }
   }
 }
--- a/src/main/java/quotagateway/config/GatewayConfig.java
+++ b/src/main/java/quotagateway/config/GatewayConfig.java
@@ -7,19 +7,19 @@
 import quotagateway.transport.SocketAddresses;
 
 /**
- * The configuration of one gateway process; immutable, and replaced whole on a reload.
+ * The configuration of one gateway process. Immutable; a reload replaces it as a whole.
  *
- * @param listenAddress where clients connect
- * @param adminAddress where operators connect; null where they cannot
- * @param discoveryAddress of the discovery agent
- * @param counterAddress of the shared counter; null where there is none
- * @param seed of the policy's random draws
- * @param settings that decisions depend on
- * @param limits of what the process may hold
- * @param connectTimeoutMs after which a connection to a backend that has not come up has failed
- * @param idleTimeoutMs after which backends close an idle connection themselves
- * @param knownEndpoints the endpoint list as this gateway last had it, in discovery's form
- * @param fields the file that all this was read from, which a reload is compared with
+ * @param listenAddress the address that clients connect to
+ * @param adminAddress the address that operators connect to; null if there is none
+ * @param discoveryAddress the discovery agent's address
+ * @param counterAddress the shared counter's address; null if there is none
+ * @param seed the seed of the policy's random draws
+ * @param settings the settings that the policy's decisions depend on
+ * @param limits the resource limits of the process
+ * @param connectTimeoutMs connect timeout of a connection to a backend, in milliseconds
+ * @param idleTimeoutMs idle time after which backends close a connection, in milliseconds
+ * @param knownEndpoints the endpoint list as this gateway last had it, in discovery's format
+ * @param fields the fields of the configuration file, which a reload is compared with
  */
 public record GatewayConfig(
     InetSocketAddress listenAddress,
@@ -34,7 +34,10 @@
     Map<String, Object> knownEndpoints,
     Map<String, Object> fields) {
 
-  /** The list within {@code knownEndpoints}: entries come and go from one file to the next. */
+  /**
+   * The key of the list within {@code knownEndpoints}, whose entries may differ from one file to
+   * the next.
+   */
   static final String KNOWN_ENDPOINT_LIST = "servers";
 
   private static final String LISTEN = "listen";
@@ -44,22 +47,23 @@
   private static final String SEED = "seed";
 
   /**
-   * The configuration of a file's fields.
+   * Creates the configuration from the fields of a file.
    *
-   * @throws InvalidConfigurationException where the gateway cannot serve by it
+   * @throws InvalidConfigurationException if the configuration is invalid
    */
   public static GatewayConfig of(Map<String, Object> fields) throws InvalidConfigurationException {
     Map<String, Object> settings = JsonFields.child(fields, "settings");
     SettingsParser.validate(settings);
-    PolicySettings parsed = SettingsParser.parse(settings);
-    boolean hasCounter = fields.get(COUNTER) != null || parsed.capabilities().sharedCounter();
+    PolicySettings policySettings = SettingsParser.parse(settings);
+    boolean hasCounter =
+        fields.get(COUNTER) != null || policySettings.capabilities().sharedCounter();
     return new GatewayConfig(
         address(fields, LISTEN),
         fields.get(ADMIN) == null ? null : address(fields, ADMIN),
         address(fields, DISCOVERY),
         hasCounter ? address(fields, COUNTER) : null,
         seed(fields),
-        parsed,
+        policySettings,
         limits(JsonFields.child(fields, "limits")),
         SettingsParser.connectTimeoutMs(settings),
         SettingsParser.idleTimeoutMs(settings),
@@ -68,10 +72,11 @@
   }
 
   /**
-   * The same with another address for operators, or the same where that is null. Each process has
-   * its own environment, while two may share the file, so what the environment names goes first.
+   * Returns this configuration with another admin address, or unchanged if the address is null. The
+   * environment takes precedence over the file, because each process has its own environment while
+   * two processes may share the file.
    *
-   * @throws InvalidConfigurationException where it is not an address and port
+   * @throws InvalidConfigurationException if the text is not an address and port
    */
   public GatewayConfig withAdminAddress(String address) throws InvalidConfigurationException {
     if (address == null) {
--- a/src/main/java/quotagateway/config/InvalidConfigurationException.java
+++ b/src/main/java/quotagateway/config/InvalidConfigurationException.java
@@ -1,6 +1,6 @@
 package quotagateway.config;
 
-/** The configuration, or what the environment says of it, cannot be served by. */
+/** Thrown if the configuration, or a setting from the environment, is invalid. */
 public final class InvalidConfigurationException extends Exception {
 
   private static final long serialVersionUID = 1;
@@ -8,20 +8,20 @@
   private final String key;
 
   /**
-   * @param key the setting at fault, or the name of the whole where no single one is
-   * @param reason what is wrong with it, in words for those on call
+   * @param key the invalid setting, or the configuration file if no single setting is at fault
+   * @param reason what is wrong with the setting, in words for operators
    */
   public InvalidConfigurationException(String key, String reason) {
     this(key, reason, null);
   }
 
-  /** The same, with the failure that showed it. */
+  /** Creates an exception with the failure that caused it. */
   public InvalidConfigurationException(String key, String reason, Throwable cause) {
     super(key + " " + reason, cause);
     this.key = key;
   }
 
-  /** The setting at fault. */
+  /** Returns the invalid setting, or the configuration file if no single setting is at fault. */
   public String key() {
     return key;
   }
--- a/src/main/java/quotagateway/config/JsonFields.java
+++ b/src/main/java/quotagateway/config/JsonFields.java
@@ -11,93 +11,93 @@
 import java.util.Map;
 
 /**
- * JSON objects as plain maps, and lenient access to their fields: one that is missing or of another
- * kind counts as absent.
+ * Reads JSON objects into plain maps, and provides lenient access to their fields: a field that is
+ * missing or of another type counts as absent.
  */
 public final class JsonFields {
 
   private JsonFields() {}
 
   /**
-   * Reads the object at the parser's position.
+   * Reads the object at the parser's current token.
    *
-   * @throws JsonProcessingException where it is not a whole object
+   * @throws JsonProcessingException if there is no complete object
    */
-  public static Map<String, Object> readObject(JsonParser in) throws IOException {
-    if (in.currentToken() != JsonToken.START_OBJECT) {
-      throw new JsonParseException(in, "expected an object, found " + in.currentToken());
+  public static Map<String, Object> readObject(JsonParser parser) throws IOException {
+    if (parser.currentToken() != JsonToken.START_OBJECT) {
+      throw new JsonParseException(parser, "expected an object, found " + parser.currentToken());
     }
     Map<String, Object> fields = new HashMap<>();
-    while (in.nextToken() == JsonToken.FIELD_NAME) {
-      String field = in.currentName();
-      in.nextToken();
-      fields.put(field, value(in));
+    while (parser.nextToken() == JsonToken.FIELD_NAME) {
+      String field = parser.currentName();
+      parser.nextToken();
+      fields.put(field, value(parser));
     }
-    if (in.currentToken() != JsonToken.END_OBJECT) {
-      throw new JsonParseException(in, "input ends inside an object");
+    if (parser.currentToken() != JsonToken.END_OBJECT) {
+      throw new JsonParseException(parser, "input ends inside an object");
     }
     return fields;
   }
 
-  private static Object value(JsonParser in) throws IOException {
-    return switch (in.currentToken()) {
-      case START_OBJECT -> readObject(in);
+  private static Object value(JsonParser parser) throws IOException {
+    return switch (parser.currentToken()) {
+      case START_OBJECT -> readObject(parser);
       case START_ARRAY -> {
         List<Object> items = new ArrayList<>();
-        while (in.nextToken() != JsonToken.END_ARRAY) {
-          items.add(value(in));
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+          items.add(value(parser));
         }
         yield items;
       }
-      case VALUE_STRING -> in.getText();
+      case VALUE_STRING -> parser.getText();
       case VALUE_NUMBER_INT ->
-          in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-              ? (Object) in.getBigIntegerValue()
-              : (Object) in.getLongValue();
-      case VALUE_NUMBER_FLOAT -> in.getDoubleValue();
+          parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+              ? (Object) parser.getBigIntegerValue()
+              : (Object) parser.getLongValue();
+      case VALUE_NUMBER_FLOAT -> parser.getDoubleValue();
       case VALUE_TRUE -> true;
       case VALUE_FALSE -> false;
       default -> null;
     };
   }
 
-  /** The text of a field; empty where it is absent. */
+  /** Returns the text of a field, or an empty string if the field is absent. */
   public static String text(Map<String, Object> fields, String name) {
-    return fields.get(name) instanceof String s ? s : "";
+    return fields.get(name) instanceof String string ? string : "";
   }
 
-  /** The number of a field; 0 where it is absent. */
+  /** Returns the number of a field, or 0 if the field is absent. */
   public static double number(Map<String, Object> fields, String name) {
     return number(fields, name, 0);
   }
 
-  /** The number of a field, or the given one where it is absent. */
-  public static double number(Map<String, Object> fields, String name, double otherwise) {
-    return fields.get(name) instanceof Number n ? n.doubleValue() : otherwise;
+  /** Returns the number of a field, or the default value if the field is absent. */
+  public static double number(Map<String, Object> fields, String name, double defaultValue) {
+    return fields.get(name) instanceof Number numeric ? numeric.doubleValue() : defaultValue;
   }
 
-  /** The truth of a field; false where it is absent. */
+  /** Returns the boolean value of a field, or false if the field is absent. */
   public static boolean flag(Map<String, Object> fields, String name) {
     return Boolean.TRUE.equals(fields.get(name));
   }
 
-  /** The object of a field; empty where it is absent. */
+  /** Returns the object of a field, or an empty map if the field is absent. */
   @SuppressWarnings("unchecked")
   public static Map<String, Object> child(Map<String, Object> fields, String name) {
-    return fields.get(name) instanceof Map<?, ?> m ? (Map<String, Object>) m : Map.of();
+    return fields.get(name) instanceof Map<?, ?> map ? (Map<String, Object>) map : Map.of();
   }
 
-  /** The objects in the array of a field; none where it is absent. */
+  /** Returns the objects in the array of a field, or an empty list if the field is absent. */
   @SuppressWarnings("unchecked")
   public static List<Map<String, Object>> children(Map<String, Object> fields, String name) {
-    List<Map<String, Object>> found = new ArrayList<>();
+    List<Map<String, Object>> objects = new ArrayList<>();
     if (fields.get(name) instanceof List<?> items) {
       for (Object item : items) {
-        if (item instanceof Map<?, ?> m) {
-          found.add((Map<String, Object>) m);
+        if (item instanceof Map<?, ?> map) {
+          objects.add((Map<String, Object>) map);
         }
       }
     }
-    return found;
+    return objects;
   }
 }
--- a/src/main/java/quotagateway/config/ResourceLimits.java
+++ b/src/main/java/quotagateway/config/ResourceLimits.java
@@ -1,19 +1,20 @@
 package quotagateway.config;
 
 /**
- * What the process may hold, derived from the limits in its configuration. It is the one place that
- * divides the descriptors among all kinds of sockets.
+ * Resource limits of the process, derived from the limits in its configuration. This class alone
+ * divides the file descriptors among all kinds of sockets.
  *
- * <p>Prevents descriptors from running out, which takes the whole process down: a class that loads
- * late or a log line needs one too. Cost: some descriptors stay unused.
+ * <p>Without this division, the process could run out of descriptors and fail as a whole, since
+ * loading a class or writing a log line needs a descriptor too. The drawback is that some
+ * descriptors stay unused.
  *
- * @param connections to clients and to backends, together
- * @param connectionsDuringUpgrade the same while a second process with the same limits runs beside
- *     this one
- * @param bodyBytes of request bodies that may be held
- * @param streams responses that may be streamed at a time
- * @param endpoints that a list of discovery may name
- * @param cores the part of one core that the process gets, or more than one
+ * @param connections most connections to clients and backends together
+ * @param connectionsDuringUpgrade the same limit while a second process with the same limits runs
+ *     in parallel
+ * @param bodyBytes most bytes of request bodies that may be held in memory
+ * @param streams most responses that may be streamed at a time
+ * @param endpoints most endpoints that an endpoint list may name
+ * @param cores processor cores available to the process; may be a fraction
  */
 public record ResourceLimits(
     int connections,
@@ -24,30 +25,40 @@
     double cores) {
 
   /**
-   * Connections to the counter, which holds 32 for a gateway; that has to do for a second process
-   * beside this one too.
+   * Connections to the counter. The counter accepts 32 connections from a gateway, which must also
+   * be enough for a second process during an upgrade.
    */
   public static final int COUNTER_CONNECTIONS = 12;
 
-  /** Callers that the admin server serves at a time. */
+  /** Most connections that the admin server serves at a time. */
   public static final int MAX_ADMIN_CONNECTIONS = 8;
 
-  /** The admin server's event loop and its listening socket, and one caller being accepted. */
+  /**
+   * Descriptors of the admin server: its connections, its event loop, its listening socket, and one
+   * connection that is being accepted.
+   */
   private static final int ADMIN_DESCRIPTORS = MAX_ADMIN_CONNECTIONS + 5;
 
-  /** The JVM's files, the jar, and the epoll, timer and event descriptors of the event loop. */
+  /**
+   * Descriptors of the process itself: the files of the JVM, the jar, and the epoll, timer and
+   * event descriptors of the event loop.
+   */
   private static final int PROCESS_DESCRIPTORS = 24;
 
-  /** To the counter and to discovery, twice: a reload opens the new before it closes the old. */
+  /**
+   * Connections to the counter and to discovery. Each is counted twice, because a reload opens the
+   * new connections before it closes the old ones.
+   */
   private static final int CONTROL_CONNECTIONS = 2 * (COUNTER_CONNECTIONS + 1);
 
-  /** Kept free for what the parts above do not count. */
+  /** Reserve for descriptors that the other constants do not cover. */
   private static final int SPARE_DESCRIPTORS = 14;
 
-  /** However few descriptors there are, so many connections are allowed. */
+  /** Number of connections that is allowed even if fewer descriptors are available. */
   private static final int MIN_CONNECTIONS = 16;
 
-  /** Without limits in the configuration, those of a middling machine hold. */
+  // Defaults for limits that the configuration does not set, those of a medium-sized machine
+
   static final double DEFAULT_DESCRIPTORS = 1024;
 
   static final double DEFAULT_MEMORY_MB = 128;
@@ -57,31 +68,35 @@
   private static final double BODY_MEMORY_SHARE = 1.0 / 16;
   private static final double STREAM_MEMORY_SHARE = 1.0 / 8;
 
-  /** The most that a body or response in transfer has waiting or being read. */
+  /** Most bytes of one body or response in transfer that are waiting or being read. */
   private static final int MAX_STREAM_BYTES = 64 * 1024;
 
   private static final double ENDPOINT_MEMORY_SHARE = 1.0 / 6;
   private static final double ENDPOINT_HEAP_SHARE = 2.0 / 3;
 
-  /** What an endpoint takes in the index, and as much again until it is there. */
+  /** Memory of an endpoint in the index; it needs as much again until it is added there. */
   private static final int ENDPOINT_BYTES = 150;
 
   /**
-   * The limits of a process.
+   * Derives the limits of a process.
    *
-   * @param descriptors that it may have open
-   * @param memoryMb that it may use
-   * @param cores of which it gets the time
+   * @param descriptors descriptors that the process may open
+   * @param memoryMb memory that the process may use, in MB (2^20 bytes)
+   * @param cores processor cores available to the process; may be a fraction
    */
   public static ResourceLimits of(double descriptors, double memoryMb, double cores) {
-    int whole = (int) descriptors;
+    int totalDescriptors = (int) descriptors;
     int connections =
-        whole - PROCESS_DESCRIPTORS - CONTROL_CONNECTIONS - ADMIN_DESCRIPTORS - SPARE_DESCRIPTORS;
-    int duringUpgrade =
-        whole / 2 - PROCESS_DESCRIPTORS - CONTROL_CONNECTIONS / 2 - ADMIN_DESCRIPTORS;
+        totalDescriptors
+            - PROCESS_DESCRIPTORS
+            - CONTROL_CONNECTIONS
+            - ADMIN_DESCRIPTORS
+            - SPARE_DESCRIPTORS;
+    int connectionsDuringUpgrade =
+        totalDescriptors / 2 - PROCESS_DESCRIPTORS - CONTROL_CONNECTIONS / 2 - ADMIN_DESCRIPTORS;
     return new ResourceLimits(
         Math.max(MIN_CONNECTIONS, connections),
-        Math.max(MIN_CONNECTIONS, duringUpgrade),
+        Math.max(MIN_CONNECTIONS, connectionsDuringUpgrade),
         (int) (memoryMb * BODY_MEMORY_SHARE * BYTES_PER_MB),
         (int) (memoryMb * STREAM_MEMORY_SHARE * BYTES_PER_MB / MAX_STREAM_BYTES),
         maxEndpoints(memoryMb, (double) Runtime.getRuntime().maxMemory()),
--- a/src/main/java/quotagateway/config/SettingsParser.java
+++ b/src/main/java/quotagateway/config/SettingsParser.java
@@ -20,12 +20,12 @@
 import quotagateway.policy.settings.ServiceRules;
 
 /**
- * The settings object, in the configuration file and in the simulator's first message: the one
- * place that knows its keys.
+ * Parses the settings object of the configuration file and of the simulator's first message. The
+ * settings' keys are defined only in this class.
  */
 public final class SettingsParser {
 
-  /** Keys that a file may lack though the file before had them. */
+  /** Keys that a reloaded file may omit even if the file in use has them. */
   static final Set<String> OPTIONAL_KEYS = Set.of("AimStretch", "Fleet");
 
   private static final String CLASSES = "Profiles";
@@ -40,25 +40,25 @@
   private static final String IDEMPOTENT_WITH_KEY = "token";
   private static final String NOT_IDEMPOTENT = "side_effect";
 
-  /** Holds where the settings state none. */
+  // Defaults for timeouts that the settings do not state
+
   private static final double DEFAULT_CONNECT_TIMEOUT_MS = 250;
 
-  /** Holds where the settings state none. */
   private static final double DEFAULT_IDLE_TIMEOUT_MS = 15_000;
 
   private SettingsParser() {}
 
-  /** Reads the settings; what is missing or of another kind is read as a default. */
+  /** Parses the settings. A setting that is missing or of another type gets its default. */
   public static PolicySettings parse(Map<String, Object> settings) {
     Map<String, Object> extra = child(settings, "Extra");
-    String weights = text(settings, "WeightKind");
+    String weightKind = text(settings, "WeightKind");
     return new PolicySettings(
         (int) number(settings, "Balancers", 1),
         (int) number(settings, "SelfIndex"),
         text(settings, "MyZone"),
         number(extra, "MaxUnits", 1),
         number(child(settings, "Prices"), "CrossZone"),
-        weights.equals("nominal") || weights.equals("rough"),
+        weightKind.equals("nominal") || weightKind.equals("rough"),
         requestClasses(settings),
         plans(settings),
         capabilities(settings),
@@ -142,44 +142,44 @@
         number(rules, "TipAfterMs", 1));
   }
 
-  /** After which a connection to a backend that has not come up has failed. */
+  /** Returns the connect timeout of a connection to a backend, in milliseconds. */
   static double connectTimeoutMs(Map<String, Object> settings) {
     return number(child(settings, BOUNDS), "DialTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS);
   }
 
-  /** After which backends close an idle connection themselves. */
+  /** Returns the idle time after which backends close a connection, in milliseconds. */
   static double idleTimeoutMs(Map<String, Object> settings) {
     return number(child(settings, BOUNDS), "ConnIdleMs", DEFAULT_IDLE_TIMEOUT_MS);
   }
 
   /**
-   * Checks what must not be read as a default, as requests would be rejected, or repeated, by it.
+   * Validates the settings for which a default would cause requests to be rejected or repeated.
    *
-   * @throws InvalidConfigurationException where the settings cannot be served by
+   * @throws InvalidConfigurationException if the settings are invalid
    */
   static void validate(Map<String, Object> settings) throws InvalidConfigurationException {
     if (children(settings, CLASSES).isEmpty()) {
-      throw new InvalidConfigurationException("settings." + CLASSES, "names no classes");
+      throw new InvalidConfigurationException("settings." + CLASSES, "defines no request classes");
     }
     if (children(settings, PLANS).isEmpty()) {
-      throw new InvalidConfigurationException("settings." + PLANS, "names no plans");
+      throw new InvalidConfigurationException("settings." + PLANS, "defines no plans");
     }
-    // A negated comparison, so that a number that is none fails it too.
+    // The comparison is negated so that NaN is rejected too.
     if (!(number(child(settings, BOUNDS), MAX_ATTEMPTS) >= 1)) {
       throw new InvalidConfigurationException(
           "settings." + BOUNDS + "." + MAX_ATTEMPTS, "is not a positive number");
     }
-    Set<String> names = new HashSet<>();
+    Set<String> seenNames = new HashSet<>();
     for (Map<String, Object> fields : children(settings, CLASSES)) {
-      validateClass(fields, names);
+      validateClass(fields, seenNames);
     }
   }
 
-  private static void validateClass(Map<String, Object> fields, Set<String> namesBefore)
+  private static void validateClass(Map<String, Object> fields, Set<String> seenNames)
       throws InvalidConfigurationException {
     String name = text(fields, NAME);
     String prefix = "settings." + CLASSES + "." + name + ".";
-    if (name.isEmpty() || !namesBefore.add(name)) {
+    if (name.isEmpty() || !seenNames.add(name)) {
       throw new InvalidConfigurationException(prefix + NAME, "is empty or not unique");
     }
     double deadlineMs = number(fields, DEADLINE_MS);
@@ -188,7 +188,8 @@
     }
     switch (text(fields, IDEMPOTENCY)) {
       case IDEMPOTENT, IDEMPOTENT_WITH_KEY, NOT_IDEMPOTENT -> {}
-      default -> throw new InvalidConfigurationException(prefix + IDEMPOTENCY, "is unknown");
+      default ->
+          throw new InvalidConfigurationException(prefix + IDEMPOTENCY, "is not a known value");
     }
   }
 }
--- a/src/test/java/quotagateway/config/GatewayConfigTest.java
+++ b/src/test/java/quotagateway/config/GatewayConfigTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import quotagateway.testing.GatewayFixture;
 
-/** What a configuration file is read as, and which files are rejected. */
+/** Tests how configuration files are parsed and which files are rejected. */
 class GatewayConfigTest {
 
   private final GatewayFixture fixture = new GatewayFixture();
@@ -24,12 +24,13 @@
     fixture.close();
   }
 
-  /** A start that fails must name the setting at fault, or nobody finds it at night. */
+  /** If a start fails, the message must name the invalid setting, so that operators can find it. */
   @Test
-  void rejectedConfigurationNamesTheSettingAtFault() throws Exception {
-    String good = fixture.config();
-    assertEquals(50, GatewayFixture.parse(good).settings().capabilities().counterTimeoutMs());
-    for (String[] bad :
+  void rejectionNamesInvalidSetting() throws Exception {
+    String validConfig = fixture.config();
+    assertEquals(
+        50, GatewayFixture.parse(validConfig).settings().capabilities().counterTimeoutMs());
+    for (String[] replacement :
         new String[][] {
           {"127.0.0.1:0", "somewhere:80", "listen"},
           {"8c1f30d27a5be964", "seed", "seed"},
@@ -38,46 +39,47 @@
       String message =
           assertThrows(
                   InvalidConfigurationException.class,
-                  () -> GatewayFixture.parse(good.replace(bad[0], bad[1])))
+                  () -> GatewayFixture.parse(validConfig.replace(replacement[0], replacement[1])))
               .getMessage();
-      assertTrue(message.contains(bad[2]), message);
+      assertTrue(message.contains(replacement[2]), message);
     }
   }
 
   @Test
-  void rejectedValueOfAClassIsNamedWithItsClass() {
-    String bad = fixture.config().replaceFirst("4000", "-4000");
-    InvalidConfigurationException failure =
-        assertThrows(InvalidConfigurationException.class, () -> GatewayFixture.parse(bad));
-    assertEquals("settings.Profiles.quote.DeadlineMs", failure.key());
+  void rejectionOfInvalidClassValueNamesTheClass() {
+    String invalidConfig = fixture.config().replaceFirst("4000", "-4000");
+    InvalidConfigurationException exception =
+        assertThrows(
+            InvalidConfigurationException.class, () -> GatewayFixture.parse(invalidConfig));
+    assertEquals("settings.Profiles.quote.DeadlineMs", exception.key());
   }
 
   @Test
-  void missingFileIsRejectedByItsName() {
+  void rejectionOfMissingFileNamesTheFile() {
     Path missing = folder.resolve("none.json");
-    InvalidConfigurationException failure =
+    InvalidConfigurationException exception =
         assertThrows(InvalidConfigurationException.class, () -> ConfigurationFile.read(missing));
-    assertEquals(missing.toString(), failure.key());
+    assertEquals(missing.toString(), exception.key());
   }
 
-  /** A key that is dropped would be read as 0 or as a default, and nobody would notice. */
+  /** A missing key would be read as 0 or as a default, and the change would go unnoticed. */
   @Test
-  void replacedFileMustHaveEveryKeyOfTheOneInUse() throws Exception {
+  void reloadRejectsFileThatLacksKeyOfConfigurationInUse() throws Exception {
     Path file = folder.resolve("config.json");
-    String good = fixture.config();
-    Files.writeString(file, good);
+    String validConfig = fixture.config();
+    Files.writeString(file, validConfig);
     GatewayConfig inUse = ConfigurationFile.read(file);
     assertEquals(inUse.settings(), ConfigurationFile.reread(file, inUse).settings());
-    Files.writeString(file, good.replace("\"Refill\":400,", ""));
+    Files.writeString(file, validConfig.replace("\"Refill\":400,", ""));
     ConfigurationFile.read(file);
-    InvalidConfigurationException failure =
+    InvalidConfigurationException exception =
         assertThrows(
             InvalidConfigurationException.class, () -> ConfigurationFile.reread(file, inUse));
-    assertEquals("settings.Tariffs.Refill", failure.key());
+    assertEquals("settings.Tariffs.Refill", exception.key());
   }
 
   @Test
-  void adminAddressOfTheEnvironmentComesBeforeThatOfTheFile() throws Exception {
+  void adminAddressFromEnvironmentOverridesFile() throws Exception {
     GatewayConfig config = GatewayFixture.parse(fixture.config());
     assertEquals(config, config.withAdminAddress(null));
     assertEquals(7, config.withAdminAddress("127.0.0.1:7").adminAddress().getPort());
@@ -85,12 +87,12 @@
   }
 
   @Test
-  void counterAddressMayLackWhereThereIsNoSharedCounter() throws Exception {
+  void counterAddressIsOptionalWithoutSharedCounter() throws Exception {
     String counter = "\"counter\":\"127.0.0.1:" + fixture.counter.port() + "\",";
-    String without = fixture.config().replace(counter, "");
-    assertThrows(InvalidConfigurationException.class, () -> GatewayFixture.parse(without));
+    String withoutCounter = fixture.config().replace(counter, "");
+    assertThrows(InvalidConfigurationException.class, () -> GatewayFixture.parse(withoutCounter));
     GatewayConfig config =
-        GatewayFixture.parse(without.replace("\"Counter\":true", "\"Counter\":false"));
+        GatewayFixture.parse(withoutCounter.replace("\"Counter\":true", "\"Counter\":false"));
     assertNull(config.counterAddress());
   }
 }
