--- a/src/main/java/quotagateway/config/InvalidConfigurationException.java
+++ b/src/main/java/quotagateway/config/InvalidConfigurationException.java
@@ -8,8 +8,9 @@
   private final String key;
 
   /**
-   * @param key the invalid setting, or the configuration file if no single setting is at fault
-   * @param reason what is wrong with the setting, in words for operators
+   * @param key the invalid setting or environment variable, or the configuration file if no single
+   *     setting is at fault
+   * @param reason what is wrong with it, in words for operators
    */
   public InvalidConfigurationException(String key, String reason) {
     this(key, reason, null);
@@ -21,7 +22,10 @@
     this.key = key;
   }
 
-  /** Returns the invalid setting, or the configuration file if no single setting is at fault. */
+  /**
+   * Returns the invalid setting or environment variable, or the configuration file if no single
+   * setting is at fault.
+   */
   public String key() {
     return key;
   }
--- a/src/main/java/quotagateway/config/ResourceLimits.java
+++ b/src/main/java/quotagateway/config/ResourceLimits.java
@@ -58,9 +58,7 @@
   private static final int MIN_CONNECTIONS = 16;
 
   // Defaults for limits that the configuration does not set, those of a medium-sized machine
-
   static final double DEFAULT_DESCRIPTORS = 1024;
-
   static final double DEFAULT_MEMORY_MB = 128;
   static final double DEFAULT_CORES = 1;
 
--- a/src/main/java/quotagateway/config/SettingsParser.java
+++ b/src/main/java/quotagateway/config/SettingsParser.java
@@ -41,9 +41,7 @@
   private static final String NOT_IDEMPOTENT = "side_effect";
 
   // Defaults for timeouts that the settings do not state
-
   private static final double DEFAULT_CONNECT_TIMEOUT_MS = 250;
-
   private static final double DEFAULT_IDLE_TIMEOUT_MS = 15_000;
 
   private SettingsParser() {}
--- a/src/main/java/quotagateway/discovery/DiscoveryProtocol.java
+++ b/src/main/java/quotagateway/discovery/DiscoveryProtocol.java
@@ -7,13 +7,11 @@
 
   // Fields of a message
   static final String VERSION = "version";
-
   static final String FULL = "full";
   static final String SERVERS = "servers";
 
   // Fields of a list entry
   static final String ID = "id";
-
   static final String ADDRESS = "addr";
   static final String ZONE = "zone";
   static final String CELL = "cell";
