--- a/src/main/java/quotagateway/backend/Attempt.java
+++ b/src/main/java/quotagateway/backend/Attempt.java
@@ -10,22 +10,22 @@
 import quotagateway.transport.ProtocolHeaders;
 
 /**
- * One attempt of a request at one backend, from the policy's action to its one status. Subclasses
- * get the response and the end. On the event loop's thread; times are in milliseconds, points in
- * time on the gateway's clock.
+ * One attempt to send a request to one backend. The policy starts it, and it ends with exactly one
+ * status. Subclasses receive the response and the status. Confined to the event loop's thread.
+ * Times are in milliseconds; points in time are on the gateway's clock.
  *
- * <p>An attempt waits for a connection, is written on it, and ends; whatever comes first of a
- * response, a broken connection, its time-out and its cancellation ends it, and only that.
+ * <p>An attempt waits for a connection, is written to it, and ends. The first of a response, a
+ * closed connection, a timeout and a cancellation ends it; later ones have no effect.
  */
 public abstract class Attempt {
 
-  /** How far its request has got. */
+  /** Progress in sending the request. */
   private enum State {
-    /** It has no connection yet: its backend cannot know of it. */
+    /** The attempt has no connection, so the backend cannot have received anything. */
     WAITING_FOR_CONNECTION,
-    /** It is being written: a backend does not execute a request without its last byte. */
+    /** The request is being written. A backend does not execute a request without its last byte. */
     WRITING,
-    /** Its last byte went to the kernel: from then on the backend may have executed it. */
+    /** The kernel has the last byte of the request, so the backend may have executed it. */
     WRITTEN
   }
 
@@ -33,21 +33,24 @@
   private final RequestBody body;
   private final double timeoutMs;
   private State state = State.WAITING_FOR_CONNECTION;
-  private double dueAtMs = Double.POSITIVE_INFINITY;
-  private double writeByMs = Double.POSITIVE_INFINITY;
+  private double deadlineMs = Double.POSITIVE_INFINITY;
+  private double writeDeadlineMs = Double.POSITIVE_INFINITY;
 
-  /** Both null until it has a connection. */
+  /** Null, like the writer, until the attempt has a connection. */
   private BackendConnection connection;
 
   private RequestWriter writer;
-  private Future<?> timer;
+  private Future<?> timeoutTimer;
   private boolean responseStarted;
   private boolean ended;
 
   /**
-   * @param head of the request as it is written; the time-out in it is set when it is written
-   * @param body lent; belongs to the request, which may have further attempts
-   * @param timeoutMs infinite while the body is still to come: the time counts from its end
+   * Creates an attempt that has not been started.
+   *
+   * @param head the request head to send; its timeout header is set when the head is written
+   * @param body the request body, owned by the request, which may have further attempts
+   * @param timeoutMs the timeout from the start of the attempt; infinite while the body is
+   *     incomplete, because the timeout then runs from the end of the body
    */
   protected Attempt(HttpRequest head, RequestBody body, double timeoutMs) {
     this.head = head;
@@ -67,31 +70,38 @@
     return timeoutMs;
   }
 
-  /** When its time is up; infinite before it has been started, and where that is not known. */
-  final double dueAtMs() {
-    return dueAtMs;
+  /** Returns the attempt's deadline, or infinity if it has not been started or has no timeout. */
+  final double deadlineMs() {
+    return deadlineMs;
   }
 
-  /** When it must have been written. */
-  final double writeByMs() {
-    return writeByMs;
+  /** Returns the time by which the last byte of the request must be written. */
+  final double writeDeadlineMs() {
+    return writeDeadlineMs;
   }
 
-  /** It is started now, with so much time in all and until its last byte is written. */
-  final void startTimes(double nowMs, double maxWriteMs) {
-    dueAtMs = nowMs + timeoutMs;
-    writeByMs = nowMs + maxWriteMs;
+  /**
+   * Sets both deadlines when the attempt starts.
+   *
+   * @param maxWriteMs the time until the last byte of the request must be written
+   */
+  final void setDeadlines(double nowMs, double maxWriteMs) {
+    deadlineMs = nowMs + timeoutMs;
+    writeDeadlineMs = nowMs + maxWriteMs;
   }
 
-  /** Fires when its time is up; is cancelled when its response starts, or it ends before. */
-  final void setTimer(Future<?> timer) {
-    this.timer = timer;
+  /**
+   * Sets the timer that enforces the timeout. It is cancelled when a streamed response starts or
+   * the attempt ends.
+   */
+  final void setTimeoutTimer(Future<?> timer) {
+    timeoutTimer = timer;
   }
 
-  /** It is being written on a connection, by that writer. */
-  final void attachTo(BackendConnection carrier, RequestWriter requestWriter) {
-    connection = carrier;
-    writer = requestWriter;
+  /** Marks the request as being written to a connection. */
+  final void attachTo(BackendConnection newConnection, RequestWriter newWriter) {
+    connection = newConnection;
+    writer = newWriter;
     state = State.WRITING;
   }
 
@@ -99,31 +109,34 @@
     state = State.WRITTEN;
   }
 
-  /** Whether its last byte went to the kernel: from then on the backend may have executed it. */
+  /**
+   * Returns whether the kernel has the last byte of the request. From then on the backend may have
+   * executed it.
+   */
   public final boolean isWritten() {
     return state == State.WRITTEN;
   }
 
   /**
-   * Whether the protocol has it that this request must never be executed twice: it is posted
-   * without an idempotency key.
+   * Returns whether the request is a POST without an idempotency key, which must never be executed
+   * twice.
    */
-  final boolean mustNotRepeat() {
+  final boolean isNonIdempotent() {
     return head.method().equals(HttpMethod.POST)
         && !head.headers().contains(ProtocolHeaders.IDEMPOTENCY_KEY);
   }
 
-  /** Whether it has its status. */
+  /** Returns whether the attempt has its final status. */
   public final boolean hasEnded() {
     return ended;
   }
 
-  /** Whether its response is, or was, streamed to the client. */
+  /** Returns whether streaming of the response to the client has started. */
   public final boolean hasResponseStarted() {
     return responseStarted;
   }
 
-  /** How it ends if what comes cannot be its response. */
+  /** Returns the final status for a malformed or stalled response. */
   final Status statusIfMalformed() {
     if (!isWritten()) {
       return Status.WRITE_INCOMPLETE;
@@ -132,13 +145,13 @@
   }
 
   /**
-   * How it ends if its connection breaks: whether it may have been executed shows in the write
-   * alone.
+   * Returns the final status for a connection that closes before the response is complete. Only the
+   * progress of the write tells whether the backend may have executed the request.
    *
-   * @param deadWhenReused whether the connection had been idle before, and nothing came of this
-   *     attempt's response: that is not the backend's fault
+   * @param deadWhenReused whether the connection was reused and closed before any part of this
+   *     attempt's response arrived, which is not counted against the backend
    */
-  final Status statusIfBroken(boolean deadWhenReused) {
+  final Status statusIfConnectionClosed(boolean deadWhenReused) {
     if (!isWritten()) {
       return Status.WRITE_INCOMPLETE;
     }
@@ -146,8 +159,8 @@
   }
 
   /**
-   * How it ends if its time is up: without a connection that says nothing of its backend, and one
-   * that was not written completely was not executed.
+   * Returns the final status for a timeout. A timeout without a connection says nothing about the
+   * backend, and a request that was not written completely was not executed.
    */
   final Status statusIfTimedOut() {
     return switch (state) {
@@ -157,92 +170,99 @@
     };
   }
 
-  /** How it ends if it is cancelled. */
+  /** Returns the final status for a cancellation. */
   public final Status statusIfCancelled() {
     return isWritten() ? Status.CANCELLED : statusIfTimedOut();
   }
 
   /**
-   * From here on its response is streamed to the client, however long that takes.
+   * Starts to stream the response to the client and cancels the timeout, which does not apply to
+   * streaming.
    *
-   * @return false if it is not wanted
+   * @return whether the response is still wanted
    */
   final boolean startResponse(HttpResponse response) {
     responseStarted = true;
-    cancelTimer();
+    cancelTimeoutTimer();
     return onResponseStart(response);
   }
 
-  /** The client takes more of its response. */
+  /** Resumes reading the response after a pause for back pressure from the client. */
   public final void resume() {
     if (!ended && connection != null) {
       connection.resume();
     }
   }
 
-  /** Ends it; later ends are ignored, so that the policy gets exactly one status. */
+  /** Ends the attempt. Later calls are ignored, so that the policy gets exactly one status. */
   final void end(Status status, FullHttpResponse response) {
     if (ended) {
       return;
     }
     ended = true;
-    cancelTimer();
+    cancelTimeoutTimer();
     body.detach(writer);
     onEnd(status, response);
   }
 
-  private void cancelTimer() {
-    if (timer != null) {
-      timer.cancel(false);
+  private void cancelTimeoutTimer() {
+    if (timeoutTimer != null) {
+      timeoutTimer.cancel(false);
     }
   }
 
   /**
-   * Stops waiting for it. The connection is closed first: a response may still come on it, and the
-   * end may make the policy start the next attempt at once, while no more than one copy may be out
-   * on an open connection.
+   * Ends the attempt without waiting for a response. The connection is closed first, because the
+   * policy may start the next attempt as soon as this one ends, and at most one copy of the request
+   * may be in flight on an open connection.
    */
   public final void abandon(Status status) {
     if (ended) {
       return;
     }
     if (connection != null) {
-      connection.closeUnderAttempt();
+      connection.closeAndDetachAttempt();
     }
     end(status, null);
   }
 
   /**
-   * Called last before the request is written: ends the attempt, and gives false, where nobody
-   * waits for its response any more. Prevents attempts for clients that have left: an event loop
-   * that was held up, or that has paused reading, has not heard of it yet.
+   * Checks, as the last step before the request is written, whether the response is still wanted,
+   * and ends the attempt if it is not. Without this check, requests of disconnected clients would
+   * be sent: an event loop that was stalled, or that has paused reading from the client, has not
+   * processed the disconnection yet.
+   *
+   * @return whether the attempt goes on
    */
   public boolean endUnlessWanted() {
     return !ended;
   }
 
   /**
-   * A response starts that is too large to be kept, or too slow.
+   * Called when streaming starts, for a response that is too large to buffer or that is incomplete
+   * at the first progress check and announces no length.
    *
-   * @return whether it is wanted
+   * @return whether the response is still wanted
    */
   public boolean onResponseStart(HttpResponse response) {
     return false;
   }
 
   /**
-   * A piece of that response has come, which is only lent.
+   * Called for each piece of a streamed response.
    *
-   * @return whether more is wanted now
+   * @param piece remains owned by the caller
+   * @return whether reading may continue now; if false, it pauses until {@link #resume}
    */
   public boolean onResponseContent(HttpContent piece) {
     return false;
   }
 
   /**
-   * It has ended.
+   * Called once, when the attempt ends.
    *
-   * @param response lent; null unless the status is OK and the response was kept
+   * @param response the buffered response, owned by the caller; null unless the status is OK and
+   *     the response was not streamed
    */
   public abstract void onEnd(Status status, FullHttpResponse response);
 }
--- a/src/main/java/quotagateway/backend/BackendConnection.java
+++ b/src/main/java/quotagateway/backend/BackendConnection.java
@@ -13,23 +13,23 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * One connection to a backend, with at most one attempt at a time: has its request written,
- * receives its response, and ends it with a status. On the event loop's thread; times are in
- * milliseconds on the gateway's clock.
+ * A connection to a backend, which carries at most one attempt at a time: it sends the request,
+ * receives the response, and ends the attempt with a status. Confined to the event loop's thread.
+ * Times are in milliseconds on the gateway's clock.
  */
 final class BackendConnection extends SimpleChannelInboundHandler<HttpObject>
     implements ResponseReceiver.Listener {
 
-  /** Who has the connection while no attempt is on it. */
+  /** Manages the connection between attempts. */
   interface Owner {
 
-    /** Its attempt has ended, and another one may follow on it. */
+    /** Called when a response is complete and the connection may carry another attempt. */
     void connectionReusable(BackendConnection connection);
 
-    /** More has come on it than the responses that were asked for. */
-    void excessReceived();
+    /** Called when the backend has sent data that no request asked for. */
+    void unsolicitedDataReceived();
 
-    /** It has been closed, by whichever side. */
+    /** Called when either side has closed the connection. */
     void connectionClosed(BackendConnection connection);
   }
 
@@ -42,16 +42,21 @@
   private ResponseReceiver receiver;
   private double idleSinceMs;
 
-  /** For how long it had been idle before it was used again. */
-  private double idleBeforeUseMs;
+  /** Idle time before the current attempt, if the connection was reused. */
+  private double idleTimeBeforeReuseMs;
 
-  /** Whether a response was completed on it, unless this gateway has closed it since. */
-  private boolean hasCarriedResponse;
+  /**
+   * Whether a response has been completed on this connection; reset when this gateway closes the
+   * connection by {@link #close}.
+   */
+  private boolean hasCompletedResponse;
 
   /**
-   * @param address where it leads, for good, though its backend may move
-   * @param decoder of the same channel
-   * @param reuse learns how idle connections fared
+   * Creates a connection that becomes active when it is added to a channel's pipeline.
+   *
+   * @param address the remote address, which stays the same even if the backend moves
+   * @param decoder the decoder in the same pipeline
+   * @param reuse records whether reused connections were still alive
    */
   BackendConnection(
       Owner owner,
@@ -72,17 +77,17 @@
     receiver = new ResponseReceiver(channel, clock, this);
   }
 
-  // ---- Between attempts ----
+  // Idle connections
 
   InetSocketAddress address() {
     return address;
   }
 
   /**
-   * Whether it can carry a request now: it is open, and nothing has come on it since its last
-   * response, even if that was not read yet. Prevents what has come from being taken for the
-   * response to the next request, where the event loop is late in reading it. Where the answer is
-   * no the connection has to be closed.
+   * Returns whether the connection can carry a request now: it is open, and neither data nor the
+   * backend's close has arrived since its last response, including input that is still in the
+   * kernel's buffer. Without this check, a late event loop would treat such data as the response to
+   * the next request. The caller has to close the connection if the result is false.
    */
   boolean isUsable() {
     if (!channel.isActive()) {
@@ -90,7 +95,7 @@
     }
     UnreadInput unread = KernelSockets.unreadInput(channel);
     if (unread == UnreadInput.BYTES) {
-      owner.excessReceived();
+      owner.unsolicitedDataReceived();
     }
     return unread == UnreadInput.NONE;
   }
@@ -100,38 +105,43 @@
   }
 
   /**
-   * No attempt is on it from now on. The response is acknowledged at once, so that the backend does
-   * not hold back a second copy until the next request comes, for whose response it would be taken.
+   * Marks the connection as idle. The response is acknowledged at once: otherwise Nagle's algorithm
+   * may make the backend's kernel hold back a second copy of the response until the next request
+   * arrives, and the copy would be treated as the response to that request.
    */
   void markIdle() {
     idleSinceMs = clock.now();
     KernelSockets.acknowledgeNow(channel);
   }
 
-  /** It is to carry an attempt again. */
-  void markUsed(double nowMs) {
-    idleBeforeUseMs = nowMs - idleSinceMs;
+  /** Records the idle time when the connection is taken for another attempt. */
+  void markReused(double nowMs) {
+    idleTimeBeforeReuseMs = nowMs - idleSinceMs;
   }
 
-  /** Closes it while no attempt is on it; its end then says nothing about idle connections. */
+  /**
+   * Closes the connection on this gateway's initiative, so that the close is not recorded as a dead
+   * idle connection.
+   */
   void close() {
-    hasCarriedResponse = false;
+    hasCompletedResponse = false;
     channel.close();
   }
 
   /**
-   * Closes it under its attempt, which its caller ends: nothing that still comes is for that one.
+   * Detaches the current attempt, which the caller ends, and closes the connection. Data that
+   * arrives later does not reach the attempt.
    */
-  void closeUnderAttempt() {
+  void closeAndDetachAttempt() {
     receiver.detachAttempt();
     close();
   }
 
-  // ---- The request ----
+  // Sending the request
 
-  /** Takes an attempt, and writes its request. */
-  void carry(Attempt attempt) {
-    receiver.await(attempt);
+  /** Starts an attempt on this connection by writing its request. */
+  void send(Attempt attempt) {
+    receiver.expectResponse(attempt);
     RequestWriter writer = new RequestWriter(channel, attempt);
     attempt.attachTo(this, writer);
     writer.write(clock);
@@ -141,99 +151,97 @@
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
     Attempt attempt = receiver.attempt();
     if (attempt != null && channel.isWritable()) {
-      attempt.body().sinkWritable();
+      attempt.body().onSinkWritable();
     }
   }
 
-  // ---- The response ----
+  // Receiving the response
 
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
     if (receiver.attempt() == null) {
-      onExcess();
+      handleUnsolicitedData();
     } else {
       receiver.onPart(part);
     }
   }
 
-  /** The client can take more of the response. */
+  /** Resumes reading the response after a pause for back pressure from the client. */
   void resume() {
     receiver.resume();
   }
 
   /**
-   * Hands the response on once the read is finished: only then it shows whether more than the
-   * response has come. Prevents a second copy of a response, or noise, from being taken for the
-   * next attempt's response.
+   * Completes the attempt at the end of a read rather than at the last byte of the response,
+   * because only then is it known whether more data than the response has arrived. Otherwise a
+   * second copy of the response, or other unsolicited data, would be treated as the next attempt's
+   * response.
    */
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
     if (receiver.attempt() != null) {
-      if (receiver.response().complete()) {
-        finish();
+      if (receiver.response().isComplete()) {
+        completeAttempt();
       } else {
-        receiver.watchProgress(decoder.hasMoreBytes());
+        receiver.watchProgress(decoder.hasUndecodedBytes());
       }
-    } else if (decoder.hasMoreBytes()) {
-      onExcess();
+    } else if (decoder.hasUndecodedBytes()) {
+      handleUnsolicitedData();
     }
   }
 
-  /** Something has come that no request asked for. */
-  private void onExcess() {
-    owner.excessReceived();
+  private void handleUnsolicitedData() {
+    owner.unsolicitedDataReceived();
     channel.close();
   }
 
-  /** The response is complete: the attempt ends, and the connection may be used again. */
-  private void finish() {
+  /** Ends the attempt after a complete response. Closes the connection unless it is reusable. */
+  private void completeAttempt() {
     Attempt attempt = receiver.attempt();
     ReceivedResponse response = receiver.response();
-    FullHttpResponse kept = attempt.hasResponseStarted() ? null : response.toFullResponse();
-    // A response ahead of the request's end is none to this request.
-    boolean inOrder = attempt.isWritten();
-    boolean reusable = inOrder && isReusableAfter(attempt);
-    if (hasExcess()) {
-      owner.excessReceived();
+    FullHttpResponse bufferedResponse =
+        attempt.hasResponseStarted() ? null : response.toFullResponse();
+    // A response that arrives before the end of the request is not a response to this request.
+    boolean requestWritten = attempt.isWritten();
+    boolean reusable = requestWritten && isReusableAfter(attempt);
+    if (hasUnsolicitedData()) {
+      owner.unsolicitedDataReceived();
     }
     Status status =
-        inOrder ? ResponseClassifier.classify(response.head()) : Status.WRITE_INCOMPLETE;
+        requestWritten ? ResponseClassifier.classify(response.head()) : Status.WRITE_INCOMPLETE;
     receiver.detachAttempt();
     if (reusable) {
       owner.connectionReusable(this);
     } else {
       channel.close();
     }
-    if (hasCarriedResponse) {
-      reuse.recordAlive(idleBeforeUseMs);
+    if (hasCompletedResponse) {
+      reuse.recordAlive(idleTimeBeforeReuseMs);
     }
-    hasCarriedResponse = true;
-    attempt.end(status, status == Status.OK ? kept : null);
-    if (kept != null) {
-      kept.release();
+    hasCompletedResponse = true;
+    attempt.end(status, status == Status.OK ? bufferedResponse : null);
+    if (bufferedResponse != null) {
+      bufferedResponse.release();
     }
   }
 
   /**
-   * Whether another attempt may follow on it. Not where anything beyond the one response has come:
-   * it would be taken for the next one.
+   * Returns whether the connection may carry another attempt. Not after unsolicited data, which
+   * would be treated as the next response.
    */
   private boolean isReusableAfter(Attempt attempt) {
     return !attempt.hasEnded()
-        && !hasExcess()
+        && !hasUnsolicitedData()
         && HttpUtil.isKeepAlive(receiver.response().head())
         && channel.isActive();
   }
 
-  /** Whether more has come than the one response. */
-  private boolean hasExcess() {
-    return receiver.excessReceived() || decoder.hasMoreBytes();
+  /** Returns whether data beyond the current response has arrived. */
+  private boolean hasUnsolicitedData() {
+    return receiver.unsolicitedDataReceived() || decoder.hasUndecodedBytes();
   }
 
-  /**
-   * What came cannot be the response, or it stopped half way: the request may have been executed,
-   * and the connection is of no more use.
-   */
+  /** Closes the connection, which cannot be reused, and ends its attempt. */
   @Override
   public void responseMalformed() {
     Attempt attempt = receiver.detachAttempt();
@@ -243,25 +251,25 @@
     }
   }
 
-  // ---- The end of the connection ----
+  // Closing
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    boolean deadWhenReused = hasCarriedResponse && !receiver.response().hasBegun();
+    boolean deadWhenReused = hasCompletedResponse && !receiver.response().hasStarted();
     Attempt attempt = receiver.detachAttempt();
     owner.connectionClosed(this);
     if (attempt != null) {
       if (deadWhenReused) {
-        reuse.recordDead(idleBeforeUseMs);
+        reuse.recordDead(idleTimeBeforeReuseMs);
       }
-      attempt.end(attempt.statusIfBroken(deadWhenReused), null);
+      attempt.end(attempt.statusIfConnectionClosed(deadWhenReused), null);
     }
   }
 
-  /** A reset, or a fault of this program: the connection is of no more use. */
+  /** Closes the connection after a reset or an exception in this gateway's own code. */
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-    receiver.markBroken();
+    receiver.markConnectionFailed();
     ctx.close();
   }
 }
--- a/src/main/java/quotagateway/backend/BackendConnectionPool.java
+++ b/src/main/java/quotagateway/backend/BackendConnectionPool.java
@@ -17,20 +17,20 @@
 import quotagateway.transport.PeriodicTask;
 
 /**
- * The connections to all backends, and the start of attempts on them. It chooses no backend and
- * retries nothing. On the event loop's thread, but for {@link #hasServingBackend}; times are in
- * milliseconds on the gateway's clock.
+ * Pool of the connections to all backends, on which attempts are started. The pool neither selects
+ * backends nor retries requests. Confined to the event loop's thread, except for {@link
+ * #hasServingBackend}. Times are in milliseconds on the gateway's clock.
  */
 public final class BackendConnectionPool {
 
   /**
-   * An idle connection is retired at this share of the backends' own limit, well before they close
-   * it.
+   * Maximum idle time as a fraction of the backends' idle timeout, so that the gateway closes an
+   * idle connection well before the backend does.
    */
-  private static final double MAX_IDLE_SHARE = 0.6;
+  private static final double MAX_IDLE_FRACTION = 0.6;
 
-  /** How often idle connections are checked for their age: small beside the backends' limit. */
-  private static final long CHECK_INTERVAL_MS = 500;
+  /** Interval of the checks for expired idle connections; short compared to the idle timeout. */
+  private static final long IDLE_CHECK_INTERVAL_MS = 500;
 
   private final EventLoop loop;
   private final MonotonicClock clock;
@@ -41,19 +41,21 @@
   private final BackendConnector connector;
 
   /**
-   * Backends with connections, by identifier; of the others the endpoint list says the address when
-   * it is needed.
+   * Entries of the backends that have been used, by identifier. For any other backend, the address
+   * is taken from the endpoint list at the first attempt.
    */
   private final Map<Long, BackendConnections> backends = new HashMap<>();
 
-  /** Read by the admin server's thread too. */
+  /** Also read by the admin server's thread. */
   private volatile boolean hasServingBackend;
 
   /**
-   * @param loop on which all of it runs
-   * @param idleLimitMs after which the backends close an idle connection themselves
-   * @param budget connections to backends and of clients together
-   * @param endpoints of which backend is where; updated before this pool is
+   * Creates a pool without connections.
+   *
+   * @param loop the event loop that runs the pool and its connections
+   * @param idleLimitMs the time after which the backends close an idle connection
+   * @param budget limits connections to backends and from clients together
+   * @param endpoints the addresses of the serving backends; updated before this pool is notified
    */
   public BackendConnectionPool(
       EventLoop loop,
@@ -64,35 +66,35 @@
       ServingEndpoints endpoints) {
     this.loop = loop;
     this.clock = clock;
-    this.maxIdleMs = idleLimitMs * MAX_IDLE_SHARE;
+    this.maxIdleMs = idleLimitMs * MAX_IDLE_FRACTION;
     this.budget = budget;
     this.endpoints = endpoints;
     connector = new BackendConnector(clock, dialer, budget, reuse);
-    PeriodicTask.schedule(loop, CHECK_INTERVAL_MS, this::retireIdle);
+    PeriodicTask.schedule(loop, IDLE_CHECK_INTERVAL_MS, this::closeExpiredIdle);
   }
 
   /**
-   * Follows the endpoint list, which has the update already. Where a backend drains or is gone, or
-   * has moved or started again, its idle connections are closed, and attempts that wait for one end
-   * as not sent. Prevents requests to whoever lives at its old address, and the breach of a drain
-   * by an attempt that is written after it.
+   * Applies an update that the endpoint list already contains. If a backend is draining or removed,
+   * or has moved or restarted, the pool closes its idle connections, and attempts that wait for a
+   * connection to it end as not sent. Otherwise requests could reach a different server at the old
+   * address, or be written to a backend that is already draining.
    */
   public void onEndpointsUpdated(EndpointUpdate update) {
     List<BackendConnections> outdated = new ArrayList<>();
-    update.endpoints().forEach(endpoint -> follow(endpoint, outdated));
+    update.endpoints().forEach(endpoint -> applyEndpoint(endpoint, outdated));
     if (update.isSnapshot()) {
       List.copyOf(backends.keySet()).stream()
           .filter(id -> endpoints.address(id) == Endpoint.NO_ADDRESS)
           .forEach(id -> remove(id, outdated));
     }
     hasServingBackend = endpoints.anyServing();
-    // Only now, as what is given up may go to any backend of the list at once.
+    // Last, because the policy may start a new attempt on any backend as soon as one is abandoned.
     List<Attempt> unsent = new ArrayList<>();
-    outdated.forEach(backend -> backend.releaseUnused(unsent));
+    outdated.forEach(backend -> backend.closeIdleAndCollectWaiting(unsent));
     PeriodicTask.forEachIsolated(unsent, attempt -> attempt.abandon(Status.NOT_SENT));
   }
 
-  private void follow(Endpoint endpoint, List<BackendConnections> outdated) {
+  private void applyEndpoint(Endpoint endpoint, List<BackendConnections> outdated) {
     BackendConnections backend = backends.get(endpoint.id());
     if (backend == null) {
       return;
@@ -101,7 +103,7 @@
       remove(endpoint.id(), outdated);
     } else if (backend.differsFrom(endpoint)) {
       outdated.add(backend);
-      backend.moveTo(endpoint);
+      backend.updateFrom(endpoint);
     }
   }
 
@@ -113,19 +115,19 @@
     }
   }
 
-  /** Whether there is a backend to send requests to; on any thread. */
+  /** Returns whether any backend is serving. May be called on any thread. */
   public boolean hasServingBackend() {
     return hasServingBackend;
   }
 
   /**
-   * Gives an attempt up after that time.
+   * Abandons an attempt when its timeout expires.
    *
-   * @param timeoutMs infinite where that is not known yet
+   * @param timeoutMs infinite if the timeout is not existing yet
    */
   public void limitTime(Attempt attempt, double timeoutMs) {
     if (timeoutMs < Double.POSITIVE_INFINITY) {
-      attempt.setTimer(
+      attempt.setTimeoutTimer(
           loop.schedule(
               () -> attempt.abandon(attempt.statusIfTimedOut()),
               Math.max(0, (long) (timeoutMs * 1000)),
@@ -133,8 +135,8 @@
     }
   }
 
-  /** Gives an attempt up that is not written whole by then: its last byte must not go out later. */
-  private void limitWriteTime(Attempt attempt, double maxWriteMs) {
+  /** Abandons an attempt unless its last byte is written within the given time. */
+  private void scheduleWriteTimeout(Attempt attempt, double maxWriteMs) {
     if (maxWriteMs < Double.POSITIVE_INFINITY) {
       loop.schedule(
           () -> {
@@ -150,12 +152,12 @@
   /**
    * Starts an attempt on an idle connection, or on a new one.
    *
-   * @param id of the backend
-   * @param maxWriteMs the attempt ends unless its last byte is written within this; infinite where
-   *     any time will do
+   * @param id the backend's identifier
+   * @param maxWriteMs the time within which the last byte of the request has to be written, or else
+   *     the attempt ends; infinite for no limit
    */
   public void start(long id, Attempt attempt, double maxWriteMs) {
-    BackendConnections backend = serving(id);
+    BackendConnections backend = connectionsTo(id);
     if (backend == null || maxWriteMs <= 0 || attempt.timeoutMs() <= 0) {
       attempt.end(Status.NOT_SENT, null);
       return;
@@ -163,24 +165,24 @@
     if (!attempt.endUnlessWanted()) {
       return;
     }
-    attempt.startTimes(clock.now(), maxWriteMs);
+    attempt.setDeadlines(clock.now(), maxWriteMs);
     limitTime(attempt, attempt.timeoutMs());
-    limitWriteTime(attempt, maxWriteMs);
+    scheduleWriteTimeout(attempt, maxWriteMs);
     BackendConnection connection = backend.takeIdle(attempt, maxIdleMs);
     if (connection != null) {
-      connection.carry(attempt);
-    } else if (!budget.hasRoomForBackendConnection() && !closeAnyIdle()) {
+      connection.send(attempt);
+    } else if (!budget.hasRoomForBackendConnection() && !closeOneIdle()) {
       attempt.end(Status.NOT_SENT, null);
     } else {
       connector.connect(backend, attempt);
     }
   }
 
-  /** The backend with its connections, or null for one that does not serve. */
-  private BackendConnections serving(long id) {
-    BackendConnections known = backends.get(id);
-    if (known != null) {
-      return known;
+  /** Returns the backend's entry, created if there is none, or null if it is not serving. */
+  private BackendConnections connectionsTo(long id) {
+    BackendConnections existing = backends.get(id);
+    if (existing != null) {
+      return existing;
     }
     long address = endpoints.address(id);
     if (address == Endpoint.NO_ADDRESS) {
@@ -192,14 +194,18 @@
     return backend;
   }
 
-  private void retireIdle() {
-    double oldestMs = clock.now() - maxIdleMs;
-    backends.values().forEach(backend -> backend.closeIdleSinceBefore(oldestMs));
+  private void closeExpiredIdle() {
+    double idleSinceLimitMs = clock.now() - maxIdleMs;
+    backends.values().forEach(backend -> backend.closeIdleSinceBefore(idleSinceLimitMs));
     backends.values().removeIf(BackendConnections::isDiscardable);
   }
 
-  /** Makes room for a new connection; false where no idle one is to be had. */
-  private boolean closeAnyIdle() {
+  /**
+   * Closes one idle connection to make room for a new one.
+   *
+   * @return false if no connection is idle
+   */
+  private boolean closeOneIdle() {
     for (BackendConnections backend : backends.values()) {
       if (backend.closeOldestIdle()) {
         return true;
--- a/src/main/java/quotagateway/backend/BackendConnections.java
+++ b/src/main/java/quotagateway/backend/BackendConnections.java
@@ -12,22 +12,22 @@
 import quotagateway.transport.PeriodicTask;
 
 /**
- * The connections to one backend: the idle ones, and the attempts that wait for one to come up. On
- * the event loop's thread; times are in milliseconds on the gateway's clock.
+ * The idle connections to one backend, and the attempts that wait for a new connection to it.
+ * Confined to the event loop's thread. Times are in milliseconds on the gateway's clock.
  */
 final class BackendConnections implements BackendConnection.Owner {
 
   /**
-   * A connection is used again only when it has been quiet for this long after a response. Prevents
-   * a second copy of a response just behind the first from being taken for the next one's: nothing
-   * but the moment of its coming distinguishes them.
+   * Minimum idle time after a response before a connection is reused. A second copy of a response
+   * that arrives just after the first would otherwise be treated as the response to the next
+   * request, because only its time of arrival distinguishes the two.
    */
-  private static final double SETTLE_MS = 4;
+  private static final double MIN_IDLE_BEFORE_REUSE_MS = 4;
 
   /**
-   * For how long no connection is used again after the backend has sent more than its responses.
-   * What it sends in excess may come later than {@link #SETTLE_MS}, behind the next request, and
-   * then nothing distinguishes it from that request's response.
+   * Time during which no connection is reused after the backend has sent unsolicited data. Further
+   * unsolicited data may arrive later than {@link #MIN_IDLE_BEFORE_REUSE_MS}, after the next
+   * request, and then cannot be distinguished from that request's response.
    */
   private static final double REUSE_SUSPENSION_MS = 10_000;
 
@@ -37,23 +37,28 @@
   private long listedAddress;
   private double startedMs;
 
-  /** When the backend last sent more than its responses; negative infinity if it never did. */
-  private double excessAtMs = Double.NEGATIVE_INFINITY;
+  /** Time at which the backend last sent unsolicited data; negative infinity if it never did. */
+  private double lastUnsolicitedDataMs = Double.NEGATIVE_INFINITY;
 
-  /** Whether it drains or has left the endpoint list. */
+  /** Whether the backend is draining or is no longer in the endpoint list. */
   private boolean removed;
 
-  /** Connections that are open or coming up. */
+  /** Number of connections that are open or being opened. */
   private int openCount;
 
-  /** The last one in was used last, and is used next: the others grow old and are retired. */
+  /**
+   * Idle connections, the most recently used one last. That one is reused first, so that surplus
+   * connections expire.
+   */
   private final ArrayDeque<BackendConnection> idle = new ArrayDeque<>();
 
-  private final Set<Attempt> connecting = new HashSet<>();
+  private final Set<Attempt> waitingForConnection = new HashSet<>();
 
   /**
-   * @param listedAddress as the endpoint list has it
-   * @param startedMs when the backend started, as it is assumed to have when this entry is made
+   * Creates an entry without connections.
+   *
+   * @param listedAddress the encoded address in the endpoint list
+   * @param startedMs the time at which the backend is assumed to have started
    */
   BackendConnections(
       MonotonicClock clock, IdleConnectionReuse reuse, long listedAddress, double startedMs) {
@@ -68,73 +73,74 @@
     return address;
   }
 
-  /** Whether the backend has moved or started again since this entry was made. */
+  /** Returns whether the backend's address or start time differs from the ones known here. */
   boolean differsFrom(Endpoint endpoint) {
     return endpoint.address() != listedAddress || endpoint.startedMs() != startedMs;
   }
 
-  /** The backend is at another address from now on, or has started again. */
-  void moveTo(Endpoint endpoint) {
+  /** Adopts the new address and start time of a backend that has moved or restarted. */
+  void updateFrom(Endpoint endpoint) {
     listedAddress = endpoint.address();
     address = BackendAddress.decode(endpoint.address());
     startedMs = endpoint.startedMs();
   }
 
-  /** The backend takes no further attempts. */
+  /** Stops the reuse of connections to a backend that is draining or removed. */
   void markRemoved() {
     removed = true;
   }
 
-  /** Closes idle connections, and gives the attempts that wait for one to the list. */
-  void releaseUnused(List<Attempt> unsent) {
+  /** Closes idle connections, and adds the attempts that wait for a connection to the list. */
+  void closeIdleAndCollectWaiting(List<Attempt> unsent) {
     PeriodicTask.forEachIsolated(idle, BackendConnection::close);
-    unsent.addAll(connecting);
+    unsent.addAll(waitingForConnection);
   }
 
-  void connectionOpening(Attempt attempt) {
+  void connectStarted(Attempt attempt) {
     openCount++;
-    connecting.add(attempt);
+    waitingForConnection.add(attempt);
   }
 
-  void connectingEnded(Attempt attempt) {
-    connecting.remove(attempt);
+  void connectFinished(Attempt attempt) {
+    waitingForConnection.remove(attempt);
   }
 
-  void connectionGone() {
+  void connectionReleased() {
     openCount--;
   }
 
-  /** Whether nothing would be lost if this entry were made anew for the next attempt. */
+  /** Returns whether this entry holds no state that would be lost by creating it again. */
   boolean isDiscardable() {
     return openCount == 0 && !isReuseSuspended();
   }
 
   private boolean isReuseSuspended() {
-    return clock.now() - excessAtMs < REUSE_SUSPENSION_MS;
+    return clock.now() - lastUnsolicitedDataMs < REUSE_SUSPENSION_MS;
   }
 
   /**
-   * Takes the connection used last, if it has settled. Those that the backend may be closing are
-   * closed on the way.
+   * Takes the most recently used connection that has been idle for more than {@link
+   * #MIN_IDLE_BEFORE_REUSE_MS}. Closes the connections it encounters that are unusable or have been
+   * idle for too long.
    *
-   * @param maxIdleMs after which the backend may be closing it
-   * @return null where there is none, or where the attempt must not be repeated and the connection
-   *     may be dead
+   * @param maxIdleMs the maximum idle time, after which the backend may be closing the connection
+   * @return null if there is no such connection, or if the request must not be executed twice and
+   *     the connection may be dead
    */
   BackendConnection takeIdle(Attempt attempt, double maxIdleMs) {
     double now = clock.now();
     Iterator<BackendConnection> newestFirst = idle.descendingIterator();
     while (newestFirst.hasNext()) {
       BackendConnection connection = newestFirst.next();
-      if (connection.idleSinceMs() >= now - SETTLE_MS) {
+      if (connection.idleSinceMs() >= now - MIN_IDLE_BEFORE_REUSE_MS) {
         continue;
       }
       double idleMs = now - connection.idleSinceMs();
-      if (attempt.mustNotRepeat() && !reuse.allows(idleMs)) {
+      if (attempt.isNonIdempotent() && !reuse.allowsReuseAfter(idleMs)) {
         return null;
       }
       newestFirst.remove();
-      connection.markUsed(now);
+      connection.markReused(now);
       if (connection.idleSinceMs() >= now - maxIdleMs && connection.isUsable()) {
         return connection;
       }
@@ -143,14 +149,18 @@
     return null;
   }
 
-  /** Closes those that have been idle since before that time. */
+  /** Closes connections that became idle before the given time. */
   void closeIdleSinceBefore(double timeMs) {
     while (!idle.isEmpty() && idle.peekFirst().idleSinceMs() < timeMs) {
       idle.pollFirst().close();
     }
   }
 
-  /** Closes the connection that has been idle longest; false if none is idle. */
+  /**
+   * Closes the connection that has been idle longest.
+   *
+   * @return false if no connection is idle
+   */
   boolean closeOldestIdle() {
     BackendConnection oldest = idle.pollFirst();
     if (oldest == null) {
@@ -170,10 +180,13 @@
     }
   }
 
-  /** Closes idle connections too: the same may be on its way on them. */
+  /**
+   * Suspends reuse, and closes idle connections because unsolicited data may be on its way on them
+   * too.
+   */
   @Override
-  public void excessReceived() {
-    excessAtMs = clock.now();
+  public void unsolicitedDataReceived() {
+    lastUnsolicitedDataMs = clock.now();
     PeriodicTask.forEachIsolated(idle, BackendConnection::close);
   }
 
--- a/src/main/java/quotagateway/backend/BackendConnector.java
+++ b/src/main/java/quotagateway/backend/BackendConnector.java
@@ -11,8 +11,8 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * Opens connections to backends, each for the attempt that needs it, and counts them against the
- * connection budget. On the event loop's thread.
+ * Opens a connection to a backend for an attempt, and counts it against the connection budget.
+ * Confined to the event loop's thread.
  */
 final class BackendConnector {
 
@@ -29,14 +29,17 @@
     this.reuse = reuse;
   }
 
-  /** Opens a connection; the attempt is written when it is up, or ends. */
+  /**
+   * Opens a connection and then writes the attempt's request to it, or ends the attempt if the
+   * connection cannot be used.
+   */
   void connect(BackendConnections backend, Attempt attempt) {
     budget.addBackendConnections(1);
-    backend.connectionOpening(attempt);
+    backend.connectStarted(attempt);
     ResponseDecoder decoder = new ResponseDecoder();
     BackendConnection connection =
         new BackendConnection(backend, backend.address(), decoder, clock, reuse);
-    ChannelFuture connected =
+    ChannelFuture connectFuture =
         dialer.dial(
             backend.address(),
             new ChannelInitializer<Channel>() {
@@ -45,62 +48,65 @@
                 channel.pipeline().addLast(decoder, new HttpRequestEncoder(), connection);
               }
             });
-    connected.addListener((ChannelFuture result) -> releaseWhenClosed(result, backend));
-    connected.addListener(
+    connectFuture.addListener((ChannelFuture result) -> releaseWhenClosed(result, backend));
+    connectFuture.addListener(
         (ChannelFuture result) -> {
-          backend.connectingEnded(attempt);
-          onConnected(result, connection, attempt);
+          backend.connectFinished(attempt);
+          onConnectFinished(result, connection, attempt);
         });
   }
 
-  private void releaseWhenClosed(ChannelFuture connected, BackendConnections backend) {
-    if (connected.isSuccess()) {
-      connected.channel().closeFuture().addListener(closed -> release(backend));
+  private void releaseWhenClosed(ChannelFuture connectFuture, BackendConnections backend) {
+    if (connectFuture.isSuccess()) {
+      connectFuture.channel().closeFuture().addListener(closed -> release(backend));
     } else {
-      // Where no socket was to be had there is no channel that could close.
+      // If no socket was available there is no channel whose close would release the connection.
       release(backend);
     }
   }
 
   private void release(BackendConnections backend) {
-    backend.connectionGone();
+    backend.connectionReleased();
     budget.addBackendConnections(-1);
   }
 
   /**
-   * Prevents the writing of what has timed out, was cancelled, must not reach a drained backend, or
-   * is for a client that has left.
+   * Writes the attempt's request, unless the connection failed, the attempt has ended (by a timeout,
+   * a cancellation or its backend's draining), its client has disconnected, or its write deadline
+   * has passed.
    */
-  private void onConnected(ChannelFuture connected, BackendConnection connection, Attempt attempt) {
+  private void onConnectFinished(
+      ChannelFuture connectFuture, BackendConnection connection, Attempt attempt) {
     if (!attempt.endUnlessWanted()) {
-      closeIfConnected(connected);
-    } else if (!connected.isSuccess()) {
-      attempt.end(statusOf(connected.cause()), null);
-    } else if (clock.now() > attempt.writeByMs()) {
-      connected.channel().close();
+      closeIfConnected(connectFuture);
+    } else if (!connectFuture.isSuccess()) {
+      attempt.end(statusOfFailedConnect(connectFuture.cause()), null);
+    } else if (clock.now() > attempt.writeDeadlineMs()) {
+      connectFuture.channel().close();
       attempt.end(Status.NOT_SENT, null);
     } else {
-      connection.carry(attempt);
+      connection.send(attempt);
     }
   }
 
-  /** One that did not come up has closed itself, or there was no socket for it. */
-  private static void closeIfConnected(ChannelFuture connected) {
-    if (connected.isSuccess()) {
-      connected.channel().close();
+  /** Closes the channel. A failed connect has already closed its channel, or never had a socket. */
+  private static void closeIfConnected(ChannelFuture connectFuture) {
+    if (connectFuture.isSuccess()) {
+      connectFuture.channel().close();
     }
   }
 
   /**
-   * How an attempt ends whose connection did not come up. A reset shows that something lives there,
-   * which took the connection and dropped it. Prevents live backends from being taken for restarted
-   * ones, whatever resets: their full tables, a middlebox, a slow event loop that first looks when
-   * all is over. Cost: a machine that comes back and resets what was under way meanwhile is met
-   * once more before a refusal, or the endpoint list, shows its restart.
+   * Returns the final status of an attempt whose connection could not be opened. A reset is not
+   * reported as a failed connect, because it shows that a peer accepted the connection and dropped
+   * it. Otherwise a live backend would be assumed to have restarted after a reset of any origin: a
+   * full connection table, a middlebox, or a slow event loop that notices the connection only after
+   * it was reset. The drawback is that a machine which restarts and resets pending connections gets
+   * one more attempt before a refused connection or the endpoint list shows the restart.
    */
-  private static Status statusOf(Throwable cause) {
+  private static Status statusOfFailedConnect(Throwable cause) {
     if (cause instanceof ChannelException) {
-      // No socket was to be had here: that says nothing of the backend.
+      // This gateway could not open a socket, which says nothing about the backend.
       return Status.NOT_SENT;
     }
     return String.valueOf(cause.getMessage()).contains("reset")
--- a/src/main/java/quotagateway/backend/IdleConnectionReuse.java
+++ b/src/main/java/quotagateway/backend/IdleConnectionReuse.java
@@ -1,42 +1,45 @@
 package quotagateway.backend;
 
 /**
- * For how long a connection may have been idle and still be used for a request that cannot be sent
- * again. Something on the way may forget connections far sooner than the backends say that they
- * close them, and shows that only when something is written. Learned from all connections to
- * backends; times are in milliseconds.
+ * Maximum idle time of a connection that is reused for a request which must not be executed twice.
+ * A middlebox may drop idle connections far sooner than the backends' idle timeout, which shows
+ * only when the connection is written to. The limit is learned from the connections to all
+ * backends. Times are in milliseconds.
  */
 final class IdleConnectionReuse {
 
-  /** Weight of the newest dead connection in their mean idle time. */
-  private static final double NEWEST_WEIGHT = 0.2;
+  /** Smoothing factor of the moving average: the weight of the newest dead connection. */
+  private static final double SMOOTHING_FACTOR = 0.2;
 
-  /** By this the mean grows with each connection that survived a longer time than is allowed. */
-  private static final double SURVIVOR_GROWTH = 1.02;
+  /** Growth of the average for each connection that was alive after more than the allowed time. */
+  private static final double GROWTH_FACTOR = 1.02;
 
-  /** The allowed idle time as a share of that mean: some died sooner. */
-  private static final double ALLOWED_SHARE = 0.5;
+  /** Allowed idle time as a fraction of the average, because some connections died sooner. */
+  private static final double ALLOWED_FRACTION = 0.5;
 
-  /** Mean time that those found dead had been idle; infinite while none was. */
+  /**
+   * Exponentially weighted average of the idle times of connections found dead; infinite until one
+   * is found.
+   */
   private double meanDeadIdleMs = Double.POSITIVE_INFINITY;
 
-  boolean allows(double idleMs) {
-    return idleMs <= ALLOWED_SHARE * meanDeadIdleMs;
+  boolean allowsReuseAfter(double idleMs) {
+    return idleMs <= ALLOWED_FRACTION * meanDeadIdleMs;
   }
 
-  /** A connection was dead when it was written to after so long. */
+  /** Records that a connection reused after the given idle time was dead. */
   void recordDead(double idleMs) {
     if (Double.isInfinite(meanDeadIdleMs)) {
       meanDeadIdleMs = idleMs;
     } else {
-      meanDeadIdleMs += NEWEST_WEIGHT * (idleMs - meanDeadIdleMs);
+      meanDeadIdleMs += SMOOTHING_FACTOR * (idleMs - meanDeadIdleMs);
     }
   }
 
-  /** A connection carried a response after it had been idle for so long. */
+  /** Records that a connection reused after the given idle time carried a response. */
   void recordAlive(double idleMs) {
-    if (!allows(idleMs)) {
-      meanDeadIdleMs *= SURVIVOR_GROWTH;
+    if (!allowsReuseAfter(idleMs)) {
+      meanDeadIdleMs *= GROWTH_FACTOR;
     }
   }
 }
--- a/src/main/java/quotagateway/backend/ReceivedResponse.java
+++ b/src/main/java/quotagateway/backend/ReceivedResponse.java
@@ -11,23 +11,25 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * The response that a connection is receiving: its head, its body as far as that is kept, and
- * whether it is complete. Owns the buffer of the body until {@link #clear}. On the event loop's
- * thread.
+ * The response that a connection is receiving: its head, the buffered part of its body, and whether
+ * it is complete. Owns the body buffer until {@link #clear}. Confined to the event loop's thread.
  */
 final class ReceivedResponse {
 
   /**
-   * A response within this is kept whole before its client gets any of it, so that another
-   * attempt's can take its place; a larger one is streamed.
+   * Maximum body size that is buffered completely before the client gets any of it, so that another
+   * attempt's response can replace it. Larger responses are streamed.
    */
   static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
-  /** Responses reach 32 MB; a length far beyond that is none. */
-  private static final long MAX_ANNOUNCED_BYTES = 64 << 20;
+  /**
+   * Maximum accepted {@code Content-Length}. Responses reach 32 MB; a far larger length is treated
+   * as malformed.
+   */
+  private static final long MAX_CONTENT_LENGTH_BYTES = 64 << 20;
 
-  /** Informational responses (1xx) that may precede the response. */
-  private static final int MAX_INFORMATIONAL = 16;
+  /** Maximum number of informational responses (1xx) before the response. */
+  private static final int MAX_INFORMATIONAL_RESPONSES = 16;
 
   private final ByteBufAllocator allocator;
   private HttpResponse head;
@@ -39,7 +41,7 @@
     this.allocator = allocator;
   }
 
-  /** The head, or null before it has come. */
+  /** Returns the head, or null if it has not been received. */
   HttpResponse head() {
     return head;
   }
@@ -48,60 +50,64 @@
     return head != null;
   }
 
-  /** Whether the last byte has come. */
-  boolean complete() {
+  /** Returns whether the last byte of the response has been received. */
+  boolean isComplete() {
     return complete;
   }
 
-  /** Whether a head has come, of an informational response at least. */
-  boolean hasBegun() {
+  /** Returns whether any head has been received, including those of informational responses. */
+  boolean hasStarted() {
     return head != null || informationalCount > 0;
   }
 
   /**
-   * Begins with a head.
+   * Starts a response, or an informational one, with its head.
    *
-   * @return false where that cannot be the response's, or one informational response too many
+   * @return false if the head is not acceptable: its end cannot be determined, its announced length
+   *     is too large, or there have been too many informational responses
    */
-  boolean begin(HttpResponse newHead) {
+  boolean start(HttpResponse newHead) {
     if (ResponseClassifier.isInformational(newHead)) {
       informationalCount++;
-      if (informationalCount > MAX_INFORMATIONAL) {
+      if (informationalCount > MAX_INFORMATIONAL_RESPONSES) {
         return false;
       }
     } else if (!ResponseClassifier.hasKnownEnd(newHead)
-        || announcedBytes(newHead) > MAX_ANNOUNCED_BYTES) {
+        || contentLength(newHead) > MAX_CONTENT_LENGTH_BYTES) {
       return false;
     }
     head = newHead;
     return true;
   }
 
-  private static long announcedBytes(HttpResponse head) {
+  private static long contentLength(HttpResponse head) {
     return HttpUtil.getContentLength(head, 0L);
   }
 
-  /** Whether by its announced length the body is too large to be kept. */
-  boolean announcedTooLarge() {
-    return announcedBytes(head) > MAX_BUFFERED_BYTES;
+  /** Returns whether the announced length of the body is too large to buffer. */
+  boolean isTooLargeToBuffer() {
+    return contentLength(head) > MAX_BUFFERED_BYTES;
   }
 
-  /** Makes room for a body that is kept. */
+  /** Allocates the buffer for a body that is not streamed from the start. */
   void allocateBody() {
-    body = allocator.buffer((int) announcedBytes(head));
+    body = allocator.buffer((int) contentLength(head));
   }
 
-  /** Whether the body is kept with this piece as well. */
-  boolean fits(HttpContent piece) {
+  /** Returns whether the body including this piece is small enough to buffer. */
+  boolean fitsBuffer(HttpContent piece) {
     return body.readableBytes() + piece.content().readableBytes() <= MAX_BUFFERED_BYTES;
   }
 
-  /** Keeps a piece of the body, which is only lent. */
+  /** Copies a piece of the body, which the caller keeps owning, to the buffer. */
   void append(HttpContent piece) {
     body.writeBytes(piece.content());
   }
 
-  /** What is kept of the body, lent; null where nothing was to be kept. */
+  /**
+   * Returns the buffered part of the body, which this object still owns, or null if no buffer was
+   * allocated.
+   */
   ByteBuf body() {
     return body;
   }
@@ -110,7 +116,7 @@
     complete = true;
   }
 
-  /** The whole response that was kept; its caller has to release it. */
+  /** Returns the complete buffered response, which the caller has to release. */
   FullHttpResponse toFullResponse() {
     return new DefaultFullHttpResponse(
         HttpVersion.HTTP_1_1,
@@ -120,7 +126,7 @@
         EmptyHttpHeaders.INSTANCE);
   }
 
-  /** Forgets the response, or an informational one ahead of it. */
+  /** Discards the response, or an informational one that precedes it. */
   void clear() {
     head = null;
     complete = false;
@@ -130,8 +136,8 @@
     }
   }
 
-  /** The next response belongs to another attempt. */
-  void clearInformational() {
+  /** Resets the count of informational responses for the next attempt. */
+  void resetInformationalCount() {
     informationalCount = 0;
   }
 }
--- a/src/main/java/quotagateway/backend/RequestBody.java
+++ b/src/main/java/quotagateway/backend/RequestBody.java
@@ -5,63 +5,65 @@
 import java.util.function.IntConsumer;
 
 /**
- * The body of a request on its way from its client to a backend. Within the bound it is kept whole,
- * so that further attempts can send it again. A larger one is streamed as it comes, as fast as both
- * sides go, and not kept. On the event loop's thread.
+ * The body of a request, passed from its client to a backend. A body of up to {@link
+ * #MAX_BUFFERED_BYTES} is buffered completely, so that further attempts can send it again. A larger
+ * one is streamed with back pressure and not buffered. Confined to the event loop's thread.
  *
- * <p>Who owns which buffer: this object owns the buffer in which it keeps bytes, from the first
- * {@link #add} until {@link #streamTo} gives it to the sink or {@link #release} frees it. The bytes
- * given to {@link #add} stay their caller's: they are copied, or retained for the sink. A sink owns
- * every buffer that it is given, and releases it.
+ * <p>Buffer ownership: this object owns its internal buffer from the first {@link #add} until
+ * {@link #streamTo} passes the buffer to the sink or {@link #release} frees it. The caller keeps
+ * ownership of the bytes given to {@link #add}: they are copied, or retained for the sink. A sink
+ * owns every buffer that it is given, and releases it.
  */
 public final class RequestBody {
 
-  /** A body within this is kept whole: what the protocol allows for one. */
+  /** Maximum size of a body that is buffered completely, as the protocol allows. */
   public static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
-  /** Where the body comes from. */
+  /** The client's side, from which the body is read. */
   public interface Source {
 
-    /** Reads on, or leaves what comes next where it is. */
-    void wants(boolean more);
+    /** Resumes or pauses reading. */
+    void setReading(boolean enabled);
   }
 
-  /** Where the body is streamed to. */
+  /** The backend's side, to which the body is streamed. */
   interface Sink {
 
     /**
-     * Takes the bytes, and owns them from then on.
+     * Writes the bytes and takes ownership of them.
      *
-     * @return whether more are wanted now
+     * @return whether the sink accepts more bytes now
      */
-    boolean piece(ByteBuf bytes);
+    boolean writeContent(ByteBuf bytes);
 
-    /** No more follows. */
+    /** Ends the body. */
     void end();
   }
 
   private final Source source;
-  private final IntConsumer heldBytesChange;
+  private final IntConsumer bufferedBytesListener;
   private ByteBuf buffer = Unpooled.EMPTY_BUFFER;
 
-  /** Null until the body is streamed, and after its sink has ended. */
+  /** Null until the body is streamed, and after the sink is detached. */
   private Sink sink;
 
   private boolean complete;
 
-  /** Whether nobody wants any more of it. */
-  private boolean dropped;
+  /** Whether further bytes are discarded. */
+  private boolean discarding;
 
   /**
-   * @param source asked for more, or to pause
-   * @param heldBytesChange notified by how many bytes more, or less, are kept
+   * Creates an empty, incomplete body.
+   *
+   * @param source resumes and pauses reading
+   * @param bufferedBytesListener receives each change in the number of buffered bytes
    */
-  public RequestBody(Source source, IntConsumer heldBytesChange) {
+  public RequestBody(Source source, IntConsumer bufferedBytesListener) {
     this.source = source;
-    this.heldBytesChange = heldBytesChange;
+    this.bufferedBytesListener = bufferedBytesListener;
   }
 
-  /** A complete body of these bytes, which stay the caller's. */
+  /** Returns a complete body with a copy of the given bytes, which the caller keeps owning. */
   public static RequestBody of(ByteBuf bytes) {
     RequestBody body = new RequestBody(more -> {}, change -> {});
     body.add(bytes);
@@ -69,14 +71,14 @@
     return body;
   }
 
-  /** More has come; the bytes are only lent. */
+  /** Adds bytes received from the client, which the caller keeps owning. */
   public void add(ByteBuf bytes) {
-    if (dropped || !bytes.isReadable()) {
+    if (discarding || !bytes.isReadable()) {
       return;
     }
     if (sink != null) {
-      boolean moreWanted = sink.piece(bytes.retain());
-      source.wants(moreWanted);
+      boolean moreWanted = sink.writeContent(bytes.retain());
+      source.setReading(moreWanted);
       return;
     }
     int added = bytes.readableBytes();
@@ -84,75 +86,78 @@
       buffer = Unpooled.buffer(added);
     }
     buffer.writeBytes(bytes);
-    heldBytesChange.accept(added);
+    bufferedBytesListener.accept(added);
     if (exceedsBuffer()) {
-      source.wants(false);
+      source.setReading(false);
     }
   }
 
   /**
-   * Its last byte has come. Prevents a connection that is never read again: the last bytes may be
-   * those at which reading paused, and nobody will ask for more of this body. Cost: none.
+   * Marks the body as complete and resumes reading from its source. If reading paused at the last
+   * bytes, nothing else would resume it, and the client's connection would never be read again.
    */
   public void end() {
     complete = true;
-    source.wants(true);
+    source.setReading(true);
     if (sink != null) {
       sink.end();
     }
   }
 
-  /** Whether its last byte has come. */
+  /** Returns whether the last byte of the body has been received. */
   public boolean isComplete() {
     return complete;
   }
 
-  /** Whether more is kept than is to be: it has to be streamed. */
+  /** Returns whether the buffered bytes exceed the limit, so that the body has to be streamed. */
   public boolean exceedsBuffer() {
     return buffer.readableBytes() > MAX_BUFFERED_BYTES;
   }
 
-  /** What is kept, lent: all of the body where it is complete and was not streamed. */
+  /**
+   * Returns the buffered bytes, which this object still owns: the entire body if it is complete and
+   * has not been streamed.
+   */
   public ByteBuf buffered() {
     return buffer;
   }
 
-  /** Streams what is kept, and from then on what comes. */
-  void streamTo(Sink to) {
-    sink = to;
-    ByteBuf first = takeBuffer();
-    boolean moreWanted = !first.isReadable() || to.piece(first);
+  /** Streams the buffered bytes, and then all bytes that are added later. */
+  void streamTo(Sink newSink) {
+    sink = newSink;
+    ByteBuf bufferedBytes = takeBuffer();
+    boolean moreWanted = !bufferedBytes.isReadable() || newSink.writeContent(bufferedBytes);
     if (complete) {
-      to.end();
+      newSink.end();
     } else {
-      source.wants(moreWanted);
+      source.setReading(moreWanted);
     }
   }
 
-  /** The sink takes more again. */
-  void sinkWritable() {
-    if (!complete && !dropped) {
-      source.wants(true);
+  /** Resumes reading from the source when the sink accepts bytes again. */
+  void onSinkWritable() {
+    if (!complete && !discarding) {
+      source.setReading(true);
     }
   }
 
-  /** A sink has ended: if the body was streamed to it, what is still to come goes nowhere. */
-  void detach(Sink from) {
-    if (sink != null && sink == from) {
+  /** Discards the rest of the body if it was being streamed to the given sink. */
+  void detach(Sink endedSink) {
+    if (sink != null && sink == endedSink) {
       sink = null;
-      dropped = true;
+      discarding = true;
     }
   }
 
-  /** Nothing of it is needed any more. May be called again. */
+  /** Releases the buffer and discards the rest of the body. Further calls have no effect. */
   public void release() {
-    dropped = true;
+    discarding = true;
     takeBuffer().release();
   }
 
   private ByteBuf takeBuffer() {
     ByteBuf taken = buffer;
-    heldBytesChange.accept(-taken.readableBytes());
+    bufferedBytesListener.accept(-taken.readableBytes());
     buffer = Unpooled.EMPTY_BUFFER;
     return taken;
   }
--- a/src/main/java/quotagateway/backend/RequestWriter.java
+++ b/src/main/java/quotagateway/backend/RequestWriter.java
@@ -17,8 +17,9 @@
 import quotagateway.transport.ProtocolHeaders;
 
 /**
- * Writes the request of one attempt to one connection, at once where its body is complete, else as
- * it comes. Nothing below the policy ever writes it again. On the event loop's thread.
+ * Writes the request of one attempt to one connection, at once if the body is complete, otherwise
+ * as the body is received. It never retries a write: only the policy starts further attempts.
+ * Confined to the event loop's thread.
  */
 final class RequestWriter implements RequestBody.Sink {
 
@@ -30,9 +31,9 @@
     this.attempt = attempt;
   }
 
-  /** Writes the request, or what there is of it. */
+  /** Writes the complete request, or the head and the part of the body received so far. */
   void write(MonotonicClock clock) {
-    stateTimeLeft(clock);
+    setTimeoutHeader(clock);
     HttpRequest head = attempt.head();
     if (attempt.body().isComplete()) {
       writeLast(
@@ -51,12 +52,15 @@
     }
   }
 
-  /** The time that is left by now: the connection may have been long in coming up. */
-  private void stateTimeLeft(MonotonicClock clock) {
-    if (attempt.dueAtMs() < Double.POSITIVE_INFINITY) {
-      double leftMs = Math.max(1, attempt.dueAtMs() - clock.now());
-      String wholeMs = Long.toString((long) Math.ceil(leftMs));
-      attempt.head().headers().set(ProtocolHeaders.TIMEOUT_MS, wholeMs);
+  /**
+   * Sets the timeout header to the time left until the attempt's deadline, which is less than the
+   * attempt's timeout if the connection took long to open.
+   */
+  private void setTimeoutHeader(MonotonicClock clock) {
+    if (attempt.deadlineMs() < Double.POSITIVE_INFINITY) {
+      double remainingMs = Math.max(1, attempt.deadlineMs() - clock.now());
+      String headerValue = Long.toString((long) Math.ceil(remainingMs));
+      attempt.head().headers().set(ProtocolHeaders.TIMEOUT_MS, headerValue);
     }
   }
 
@@ -75,7 +79,7 @@
   }
 
   @Override
-  public boolean piece(ByteBuf bytes) {
+  public boolean writeContent(ByteBuf bytes) {
     channel
         .writeAndFlush(new DefaultHttpContent(bytes))
         .addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
--- a/src/main/java/quotagateway/backend/ResponseClassifier.java
+++ b/src/main/java/quotagateway/backend/ResponseClassifier.java
@@ -7,13 +7,14 @@
 import quotagateway.policy.event.Status;
 import quotagateway.transport.ProtocolHeaders;
 
-/** What the head of a backend's response means: the one place that maps it to a status. */
+/** Maps the head of a backend's response to the status of the attempt. */
 final class ResponseClassifier {
 
   private ResponseClassifier() {}
 
   /**
-   * How a response that was received completely, behind the request's last byte, ends its attempt.
+   * Returns the status for a complete response that arrived after the last byte of the request was
+   * written.
    */
   static Status classify(HttpResponse response) {
     HttpResponseStatus code = response.status();
@@ -29,19 +30,19 @@
     return Status.ERROR;
   }
 
-  /** Whether it is a 1xx: the response itself is still to come. */
+  /** Returns whether the response is informational (1xx) and precedes the final response. */
   static boolean isInformational(HttpResponse response) {
     return response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
   }
 
-  /** Whether the response itself says where it ends, by a length or by chunks. */
+  /** Returns whether the response is delimited by a content length or by chunked encoding. */
   static boolean isFramed(HttpResponse response) {
     return HttpUtil.isContentLengthSet(response) || HttpUtil.isTransferEncodingChunked(response);
   }
 
   /**
-   * Whether it can be known where the response ends: without framing by the end of the connection,
-   * if that is announced.
+   * Returns whether the end of the response can be determined: by its framing, or by the close of
+   * the connection if the response announces the close.
    */
   static boolean hasKnownEnd(HttpResponse response) {
     return isFramed(response) || !HttpUtil.isKeepAlive(response);
--- a/src/main/java/quotagateway/backend/ResponseDecoder.java
+++ b/src/main/java/quotagateway/backend/ResponseDecoder.java
@@ -7,8 +7,8 @@
 import io.netty.util.AsciiString;
 
 /**
- * Decodes the responses on one connection to a backend, and knows whether more has come than
- * belongs to them. Where Netty is lenient it is strict: a response that can be read in two ways is
+ * Decodes the responses on one connection to a backend, and tells whether received bytes are still
+ * undecoded. It is stricter than Netty's decoder: a response that can be interpreted in two ways is
  * malformed.
  */
 final class ResponseDecoder extends HttpResponseDecoder {
@@ -24,21 +24,24 @@
             .setUseRfc9112TransferEncoding(true));
   }
 
-  /** Two lengths that need not agree: where the body ends is anyone's guess. */
+  /** Rejects a response with two framings, which may disagree on where the body ends. */
   @Override
   protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
     throw new IllegalArgumentException("Content-Length with Transfer-Encoding");
   }
 
-  /** No switch was asked for: after a stray 101 the response is still one of HTTP/1.1. */
+  /**
+   * Returns false, because the gateway never requests a protocol switch: the response after an
+   * unexpected 101 is still HTTP/1.1.
+   */
   @Override
   protected boolean isSwitchingToNonHttp1Protocol(HttpResponse response) {
     return false;
   }
 
   /**
-   * Netty ends a response's header name at a blank too, and so takes a line with no colon for a
-   * header.
+   * Rejects a header line without a colon directly after the name. In a response, Netty also ends a
+   * header name at white space and so accepts a line without any colon.
    */
   @Override
   protected AsciiString splitHeaderName(byte[] line, int start, int length) {
@@ -48,8 +51,8 @@
     return super.splitHeaderName(line, start, length);
   }
 
-  /** Whether bytes have come that are not decoded yet. */
-  boolean hasMoreBytes() {
+  /** Returns whether received bytes have not been decoded yet. */
+  boolean hasUndecodedBytes() {
     return actualReadableBytes() > 0;
   }
 }
--- a/src/main/java/quotagateway/backend/ResponseReceiver.java
+++ b/src/main/java/quotagateway/backend/ResponseReceiver.java
@@ -12,15 +12,16 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * Receives the response to the attempt that a connection carries: keeps it, or streams it with back
- * pressure from the client, and watches its progress. On the event loop's thread.
+ * Receives the response to the attempt that a connection carries. It buffers the response, or
+ * streams it with back pressure from the client, and monitors its progress. Confined to the event
+ * loop's thread.
  */
 final class ResponseReceiver {
 
-  /** Who ends the attempt where no response can be had. */
+  /** Ends the attempt if there is no valid response. */
   interface Listener {
 
-    /** What came cannot be the response, or it stopped half way. */
+    /** Called when the response is malformed, or stalls before it is complete. */
     void responseMalformed();
   }
 
@@ -29,16 +30,16 @@
   private final ReceivedResponse response;
   private final StalledResponseTimer stallTimer;
 
-  /** The attempt whose response is awaited, or null. */
+  /** The attempt that awaits a response, or null. */
   private Attempt attempt;
 
-  /** Whether the connection broke: its end is then no response's end. */
-  private boolean broken;
+  /** Whether the connection has failed, so that its close does not mark the end of a response. */
+  private boolean connectionFailed;
 
-  /** Whether more has come than the one response. */
-  private boolean excessReceived;
+  /** Whether data has been decoded after the end of the response. */
+  private boolean unsolicitedDataReceived;
 
-  /** Whether reading is paused, as the client takes no more of the response for now. */
+  /** Whether reading is paused because the client does not accept more of the response. */
   private boolean paused;
 
   ResponseReceiver(Channel channel, MonotonicClock clock, Listener listener) {
@@ -48,33 +49,34 @@
     stallTimer = new StalledResponseTimer(channel.eventLoop(), clock, this::checkProgress);
   }
 
-  /** From now on what comes is the response to this attempt. */
-  void await(Attempt next) {
-    attempt = next;
+  /** Starts to receive the response to an attempt. */
+  void expectResponse(Attempt newAttempt) {
+    attempt = newAttempt;
   }
 
-  /** The attempt whose response is awaited, or null. */
+  /** Returns the attempt that awaits a response, or null. */
   Attempt attempt() {
     return attempt;
   }
 
-  /** What has come of the response. */
+  /** Returns the response as received so far. */
   ReceivedResponse response() {
     return response;
   }
 
-  /** Whether more has come than the one response. */
-  boolean excessReceived() {
-    return excessReceived;
+  /** Returns whether data has been decoded after the end of the response. */
+  boolean unsolicitedDataReceived() {
+    return unsolicitedDataReceived;
   }
 
-  /** The connection broke. */
-  void markBroken() {
-    broken = true;
+  /** Records that the connection has failed. */
+  void markConnectionFailed() {
+    connectionFailed = true;
   }
 
   /**
-   * Nothing that still comes is for the attempt.
+   * Detaches the current attempt and discards its response. Data that arrives later does not reach
+   * the attempt.
    *
    * @return the attempt, which the caller ends, or null if there was none
    */
@@ -82,7 +84,7 @@
     Attempt detached = attempt;
     attempt = null;
     clearResponse();
-    response.clearInformational();
+    response.resetInformationalCount();
     resume();
     return detached;
   }
@@ -92,10 +94,14 @@
     stallTimer.cancel();
   }
 
-  /** Takes a decoded part while an attempt's response is awaited; the part is only lent. */
+  /**
+   * Processes a decoded part of the response to the current attempt.
+   *
+   * @param part remains owned by the caller
+   */
   void onPart(HttpObject part) {
-    if (response.complete()) {
-      excessReceived = true;
+    if (response.isComplete()) {
+      unsolicitedDataReceived = true;
       return;
     }
     boolean secondHead = part instanceof HttpResponse && response.hasHead();
@@ -112,9 +118,9 @@
   }
 
   private void onHead(HttpResponse head) {
-    if (!response.begin(head)) {
+    if (!response.start(head)) {
       listener.responseMalformed();
-    } else if (response.announcedTooLarge()) {
+    } else if (response.isTooLargeToBuffer()) {
       startStreaming();
     } else {
       response.allocateBody();
@@ -123,11 +129,11 @@
 
   private void onContent(HttpContent content) {
     boolean last = content instanceof LastHttpContent;
-    if (broken && last && !ResponseClassifier.isFramed(response.head())) {
-      // The decoder takes any end of the connection for the response's.
+    if (connectionFailed && last && !ResponseClassifier.isFramed(response.head())) {
+      // The decoder treats any close of the connection as the end of the response.
       return;
     }
-    if (!attempt.hasResponseStarted() && !response.fits(content)) {
+    if (!attempt.hasResponseStarted() && !response.fitsBuffer(content)) {
       startStreaming();
     }
     if (attempt != null && attempt.hasResponseStarted()) {
@@ -145,8 +151,9 @@
   }
 
   /**
-   * Begins to stream the response to its client: it is too large to be kept, or so slow that its
-   * client may wait for it. From then on no other attempt can replace it.
+   * Starts to stream the response to the client, because it is too large to buffer, or slow enough
+   * that the client may be waiting for its first bytes. From then on no other attempt can replace
+   * it.
    */
   private void startStreaming() {
     if (!attempt.isWritten() || ResponseClassifier.classify(response.head()) != Status.OK) {
@@ -157,11 +164,11 @@
     if (attempt == null) {
       return;
     }
-    ByteBuf kept = response.body();
+    ByteBuf bufferedBody = response.body();
     if (!wanted) {
       attempt.abandon(Status.CANCELLED);
-    } else if (kept != null && kept.isReadable()) {
-      stream(new DefaultHttpContent(kept));
+    } else if (bufferedBody != null && bufferedBody.isReadable()) {
+      stream(new DefaultHttpContent(bufferedBody));
     }
   }
 
@@ -173,7 +180,7 @@
     }
   }
 
-  /** The client can take more of the response. */
+  /** Resumes reading after a pause for back pressure from the client. */
   void resume() {
     if (paused) {
       paused = false;
@@ -183,12 +190,13 @@
   }
 
   /**
-   * A read is finished, and the response is not complete.
+   * Records progress after a read that left the response incomplete, if any part of the response
+   * has been received.
    *
-   * @param moreUndecoded whether bytes have come that are not decoded yet
+   * @param hasUndecodedBytes whether received bytes have not been decoded yet
    */
-  void watchProgress(boolean moreUndecoded) {
-    if (response.hasHead() || moreUndecoded) {
+  void watchProgress(boolean hasUndecodedBytes) {
+    if (response.hasHead() || hasUndecodedBytes) {
       stallTimer.recordProgress();
       stallTimer.ensureScheduled();
     }
@@ -199,7 +207,7 @@
       listener.responseMalformed();
       return;
     }
-    if (mayBeSlowByIntent()) {
+    if (mayBeIntentionallySlow()) {
       startStreaming();
     }
     if (attempt != null) {
@@ -207,8 +215,11 @@
     }
   }
 
-  /** Where no length is announced the response may be one whose first bytes its client awaits. */
-  private boolean mayBeSlowByIntent() {
+  /**
+   * Returns whether the response may be sent slowly on purpose, so that the client awaits its first
+   * bytes. That is possible only if the response does not announce its length.
+   */
+  private boolean mayBeIntentionallySlow() {
     return !attempt.hasResponseStarted()
         && response.hasHead()
         && response.body() != null
--- a/src/main/java/quotagateway/backend/StalledResponseTimer.java
+++ b/src/main/java/quotagateway/backend/StalledResponseTimer.java
@@ -6,22 +6,23 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * Watches a response that has begun for progress. Its owner looks at each check whether to give it
- * up. On the event loop's thread; times are in milliseconds.
+ * Periodically triggers a check of a response that has started, and tells whether the response has
+ * stalled. The owner decides at each check whether to abandon the response. Confined to the event
+ * loop's thread. Times are in milliseconds.
  */
 final class StalledResponseTimer {
 
   /**
-   * A response that has begun and of which nothing came for so long is given up while another
-   * attempt can replace it.
+   * Maximum time without progress of a buffered response, which another attempt can still replace.
+   * Also the interval between checks.
    */
-  private static final long MAX_REPLACEABLE_STALL_MS = 250;
+  private static final long MAX_BUFFERED_STALL_MS = 250;
 
   /**
-   * One that its client has a part of cannot be replaced: it is waited for as long as anything may
-   * still come.
+   * Maximum time without progress of a streamed response. It is longer because the client already
+   * has part of the response, so that no other attempt can replace it.
    */
-  private static final double MAX_STREAM_STALL_MS = 10_000;
+  private static final double MAX_STREAMED_STALL_MS = 10_000;
 
   private final EventLoop loop;
   private final MonotonicClock clock;
@@ -30,7 +31,9 @@
   private double progressAtMs;
 
   /**
-   * @param check called after each interval, until {@link #cancel}
+   * Creates a timer that is not running.
+   *
+   * @param check called once for each {@link #ensureScheduled}, after 250 ms, unless cancelled
    */
   StalledResponseTimer(EventLoop loop, MonotonicClock clock, Runnable check) {
     this.loop = loop;
@@ -38,12 +41,12 @@
     this.check = check;
   }
 
-  /** Part of the response has come, or its client takes more of it again. */
+  /** Records that data has been received, or that reading has resumed after back pressure. */
   void recordProgress() {
     progressAtMs = clock.now();
   }
 
-  /** Checks from now on, if it does not yet. */
+  /** Schedules the next check, unless one is already scheduled. */
   void ensureScheduled() {
     if (scheduled == null) {
       schedule();
@@ -51,7 +54,7 @@
   }
 
   private void schedule() {
-    scheduled = loop.schedule(this::fire, MAX_REPLACEABLE_STALL_MS, TimeUnit.MILLISECONDS);
+    scheduled = loop.schedule(this::fire, MAX_BUFFERED_STALL_MS, TimeUnit.MILLISECONDS);
   }
 
   private void fire() {
@@ -59,10 +62,10 @@
     check.run();
   }
 
-  /** Whether nothing has come for too long. */
+  /** Returns whether the response has made no progress for the maximum time. */
   boolean isStalled(boolean streaming) {
-    double maxMs = streaming ? MAX_STREAM_STALL_MS : MAX_REPLACEABLE_STALL_MS;
-    return clock.now() - progressAtMs >= maxMs;
+    double maxStallMs = streaming ? MAX_STREAMED_STALL_MS : MAX_BUFFERED_STALL_MS;
+    return clock.now() - progressAtMs >= maxStallMs;
   }
 
   void cancel() {
--- a/src/test/java/quotagateway/backend/IdleConnectionReuseTest.java
+++ b/src/test/java/quotagateway/backend/IdleConnectionReuseTest.java
@@ -12,14 +12,14 @@
 
   @Test
   void allowsAnyIdleTimeWhileNoConnectionWasDead() {
-    assertTrue(reuse.allows(9_000));
+    assertTrue(reuse.allowsReuseAfter(9_000));
   }
 
   @Test
   void allowsHalfTheIdleTimeOfDeadConnections() {
     reuse.recordDead(200);
-    assertTrue(reuse.allows(90));
-    assertFalse(reuse.allows(110));
+    assertTrue(reuse.allowsReuseAfter(90));
+    assertFalse(reuse.allowsReuseAfter(110));
   }
 
   /**
@@ -32,6 +32,6 @@
     for (int i = 0; i < 200; i++) {
       reuse.recordAlive(1_000);
     }
-    assertTrue(reuse.allows(900));
+    assertTrue(reuse.allowsReuseAfter(900));
   }
 }
--- a/src/test/java/quotagateway/backend/RequestBodyTest.java
+++ b/src/test/java/quotagateway/backend/RequestBodyTest.java
@@ -26,7 +26,7 @@
     boolean ended;
 
     @Override
-    public boolean piece(ByteBuf bytes) {
+    public boolean writeContent(ByteBuf bytes) {
       pieces.add(bytes);
       return wantsMore;
     }
@@ -102,7 +102,7 @@
     body.streamTo(sink);
     body.add(bytes(5));
     assertFalse(lastWanted());
-    body.sinkWritable();
+    body.onSinkWritable();
     assertTrue(lastWanted());
   }
 
