--- a/src/main/java/quotagateway/transport/BackendAddress.java
+++ b/src/main/java/quotagateway/transport/BackendAddress.java
@@ -7,8 +7,8 @@
 import quotagateway.endpoint.Endpoint;
 
 /**
- * The address and port of a backend as one number, of which many can be kept in little memory: the
- * four bytes of an IPv4 address, then the 16 bits of the port.
+ * Encodes the IPv4 address and port of a backend as a {@code long}, so that many addresses take
+ * little memory: the four bytes of the IP address, followed by the 16 bits of the port.
  */
 public final class BackendAddress {
 
@@ -20,29 +20,30 @@
   /**
    * Encodes an address.
    *
-   * @return the number; {@link Endpoint#NO_ADDRESS} for null and for an address that is not IPv4
+   * @return the encoded address, or {@link Endpoint#NO_ADDRESS} for null and for an address that is
+   *     not IPv4
    */
   public static long encode(InetSocketAddress address) {
     if (address == null || !(address.getAddress() instanceof Inet4Address ip)) {
       return Endpoint.NO_ADDRESS;
     }
-    long number = 0;
+    long ipBits = 0;
     for (byte b : ip.getAddress()) {
-      number = (number << Byte.SIZE) | (b & 0xff);
+      ipBits = (ipBits << Byte.SIZE) | (b & 0xff);
     }
-    return (number << PORT_BITS) | address.getPort();
+    return (ipBits << PORT_BITS) | address.getPort();
   }
 
-  /** Decodes what {@link #encode} gave for an address. */
+  /** Decodes an address that was encoded by {@link #encode}. */
   public static InetSocketAddress decode(long encoded) {
-    long number = encoded >>> PORT_BITS;
+    long ipBits = encoded >>> PORT_BITS;
     byte[] ip = {
-      (byte) (number >>> 24), (byte) (number >>> 16), (byte) (number >>> 8), (byte) number
+      (byte) (ipBits >>> 24), (byte) (ipBits >>> 16), (byte) (ipBits >>> 8), (byte) ipBits
     };
     try {
       return new InetSocketAddress(InetAddress.getByAddress(ip), (int) encoded & PORT_MASK);
     } catch (UnknownHostException e) {
-      throw new AssertionError("four bytes are always an address", e);
+      throw new AssertionError("four bytes are always a valid IPv4 address", e);
     }
   }
 }
--- a/src/main/java/quotagateway/transport/ConnectionBudget.java
+++ b/src/main/java/quotagateway/transport/ConnectionBudget.java
@@ -1,25 +1,25 @@
 package quotagateway.transport;
 
 /**
- * Shares the connections that this process may have, which its descriptors bound, between clients
- * and backends: a crowd of clients may take what the backends do not need, and gives it back as
- * they need more. Not thread-safe: belongs to one event loop.
+ * Divides the connections that this process may have, which are limited by its descriptors, between
+ * clients and backends. Clients may use what backends do not need, and their limit falls as
+ * backends need more. Not thread-safe; confined to one event loop.
  */
 public final class ConnectionBudget {
 
-  /** Of all connections, kept free for backends in any case. */
+  /** Minimum share of all connections that is reserved for backends. */
   private static final double MIN_BACKEND_SHARE = 0.25;
 
-  /** Of all connections, kept free for backends beyond those that they have. */
+  /** Share of all connections that is reserved for backends beyond those in use. */
   private static final double BACKEND_HEADROOM_SHARE = 0.08;
 
   /**
-   * Of all connections, what backends get at most. Clients use a third of all descriptors at most
-   * for requests, each with one attempt in flight, so this is enough.
+   * Maximum share of all connections that backends may use. It is sufficient because clients use at
+   * most a third of all descriptors for requests, and each request has one attempt in flight.
    */
   private static final double MAX_BACKEND_SHARE = 0.44;
 
-  private final int limitWhenAlone;
+  private final int unsharedLimit;
   private int limit;
   private int clientConnections;
   private int backendConnections;
@@ -27,50 +27,50 @@
   /**
    * Creates a budget.
    *
-   * @param limit how many connections there may be
+   * @param limit the maximum number of connections of this process
    */
   public ConnectionBudget(int limit) {
-    limitWhenAlone = limit;
+    unsharedLimit = limit;
     this.limit = limit;
   }
 
   /**
-   * Leaves a part of the connections to another process of this gateway, as during an upgrade.
+   * Lowers the limit while another process of this gateway runs, as during an upgrade.
    *
-   * @param sharedLimit how many connections there may be meanwhile; 0 where there is no other
-   *     process
+   * @param sharedLimit the maximum number of connections of this process while the other one runs;
+   *     0 if there is no other process
    */
   public void shareWithOtherProcess(int sharedLimit) {
     if (sharedLimit > 0) {
-      limit = Math.min(limitWhenAlone, sharedLimit);
+      limit = Math.min(unsharedLimit, sharedLimit);
     } else {
-      limit = limitWhenAlone;
+      limit = unsharedLimit;
     }
   }
 
-  /** Counts connections of clients that opened; negative for closed ones. */
+  /** Adds opened client connections to the count; a negative number counts closed ones. */
   public void addClientConnections(int change) {
     clientConnections += change;
   }
 
-  /** Counts connections to backends that opened; negative for closed ones. */
+  /** Adds opened backend connections to the count; a negative number counts closed ones. */
   public void addBackendConnections(int change) {
     backendConnections += change;
   }
 
-  /** How many connections clients have. */
+  /** Returns the number of open client connections. */
   public int clientConnections() {
     return clientConnections;
   }
 
-  /** How many connections clients may have by now. */
+  /** Returns the maximum number of client connections, given the backend connections in use. */
   public int maxClientConnections() {
     double needed = backendConnections + limit * BACKEND_HEADROOM_SHARE;
     double reserved = Math.max(limit * MIN_BACKEND_SHARE, needed);
     return limit - (int) reserved;
   }
 
-  /** Whether one more connection to a backend may be opened. */
+  /** Returns whether one more connection to a backend may be opened. */
   public boolean hasRoomForBackendConnection() {
     return backendConnections < limit * MAX_BACKEND_SHARE
         && clientConnections + backendConnections < limit;
--- a/src/main/java/quotagateway/transport/Dialer.java
+++ b/src/main/java/quotagateway/transport/Dialer.java
@@ -9,36 +9,36 @@
 import java.net.InetSocketAddress;
 
 /**
- * Opens connections to backends, to the counter and to discovery. An interface, so that tests and
- * the warm-up can do without sockets.
+ * Opens connections to backends, to the shared counter and to the discovery agent. Tests and the
+ * warm-up implement this interface without sockets.
  */
 public interface Dialer {
 
   /**
-   * Begins to connect.
+   * Starts to connect to a peer.
    *
-   * @param address the peer
+   * @param address the peer's address
    * @param handler the first handler of the new channel, which sets up its pipeline
-   * @return completes on the event loop once the connection is up, or cannot be had
+   * @return a future that completes on the event loop when the connection is open or has failed
    */
   ChannelFuture dial(InetSocketAddress address, ChannelHandler handler);
 
   /**
-   * A dialer of sockets that share the sizes of {@link SocketTransport}.
+   * Returns a dialer that opens sockets with the buffer and read sizes of {@link SocketTransport}.
    *
-   * @param loop drives the sockets
-   * @param connectTimeoutMs bounds the time in which a connection comes up, in milliseconds
+   * @param loop the event loop that drives the sockets
+   * @param connectTimeoutMs the connect timeout in milliseconds
    */
   static Dialer sockets(EventLoop loop, double connectTimeoutMs) {
     return sockets(loop, connectTimeoutMs, SocketTransport.boundedReads());
   }
 
   /**
-   * A dialer of sockets whose reads another allocator sizes.
+   * Returns a dialer that opens sockets with read sizes of their own.
    *
-   * @param loop drives the sockets
-   * @param connectTimeoutMs bounds the time in which a connection comes up, in milliseconds
-   * @param reads sizes the reads
+   * @param loop the event loop that drives the sockets
+   * @param connectTimeoutMs the connect timeout in milliseconds
+   * @param reads determines the size of reads
    */
   static Dialer sockets(EventLoop loop, double connectTimeoutMs, RecvByteBufAllocator reads) {
     Bootstrap bootstrap =
--- a/src/main/java/quotagateway/transport/ExponentialBackoff.java
+++ b/src/main/java/quotagateway/transport/ExponentialBackoff.java
@@ -3,15 +3,15 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Delays between attempts that fail one after another: each is about twice the one before, up to a
- * maximum, and spread at random, so that gateways which lost a peer together do not return to it
- * together. Not thread-safe: belongs to one event loop.
+ * Exponential backoff with jitter between consecutive failed attempts. The base of the delay
+ * doubles up to a maximum. The jitter keeps gateways that lost a peer at the same time from
+ * reconnecting to it at the same time. Not thread-safe; confined to one event loop.
  */
 public final class ExponentialBackoff {
 
   private static final double GROWTH_FACTOR = 2;
 
-  /** A delay is this part of its base at least, and one base more than that at most. */
+  /** Minimum delay as a fraction of its base; the maximum is higher by one base. */
   private static final double MIN_JITTER_FACTOR = 0.5;
 
   private final double minBaseMs;
@@ -21,8 +21,8 @@
   /**
    * Creates a backoff that starts at its minimum.
    *
-   * @param minBaseMs base of the first delay, in milliseconds
-   * @param random gives numbers from 0 to 1, one for each delay
+   * @param minBaseMs the base of the first delay, in milliseconds
+   * @param random supplies a number from 0 to 1 for each delay
    */
   public ExponentialBackoff(double minBaseMs, DoubleSupplier random) {
     this.minBaseMs = minBaseMs;
@@ -30,15 +30,16 @@
     baseMs = minBaseMs;
   }
 
-  /** Starts again at the minimum. */
+  /** Resets the base of the next delay to the minimum. */
   public void reset() {
     baseMs = minBaseMs;
   }
 
   /**
-   * The delay before the next attempt, from half to one and a half times its base, in milliseconds.
+   * Returns the delay before the next attempt in milliseconds, from half to one and a half times
+   * the current base, and then doubles the base.
    *
-   * @param maxBaseMs what the base of the delay after this one grows to at most, in milliseconds
+   * @param maxBaseMs the maximum base of the delay after this one, in milliseconds
    */
   public double nextDelayMs(double maxBaseMs) {
     double delayMs = baseMs * (MIN_JITTER_FACTOR + random.getAsDouble());
--- a/src/main/java/quotagateway/transport/KernelSockets.java
+++ b/src/main/java/quotagateway/transport/KernelSockets.java
@@ -13,39 +13,39 @@
 import java.util.logging.Logger;
 
 /**
- * What the kernel knows of a socket before its channel does, and what only the kernel can do with
- * one. Without native epoll the questions get their neutral answer. To be used on the event loop of
- * the channel.
+ * Socket state that the kernel has before the channel does, and socket operations that Netty's
+ * channels do not offer. Without native epoll, queries return a neutral value. To be called on the
+ * channel's event loop.
  */
 public final class KernelSockets {
 
   private static final Logger LOG = Logger.getLogger(KernelSockets.class.getName());
 
-  /** TCP_CLOSE, TCP_CLOSE_WAIT, TCP_LAST_ACK and TCP_CLOSING, as Linux numbers the states. */
+  /** Linux's numbers for TCP_CLOSE, TCP_CLOSE_WAIT, TCP_LAST_ACK and TCP_CLOSING. */
   private static final Set<Integer> CLOSED_BY_PEER_STATES = Set.of(7, 8, 9, 11);
 
-  /** What a read of the native transport returns where nothing has come. */
+  /** Result of a read by Netty's native transport if no input is available. */
   private static final int WOULD_BLOCK = 0;
 
-  /** Bytes of the longest address, as Netty encodes it, and of its length. */
+  /** Size of the longest address in Netty's encoding, including the length of the address. */
   private static final int MAX_ENCODED_ADDRESS_BYTES = 26;
 
   private KernelSockets() {}
 
-  /** What of a connection may wait with the kernel to be read. */
+  /** Input of a connection that is in the kernel and has not been read. */
   public enum UnreadInput {
-    /** Nothing, or it is not known. */
+    /** No input, or unknown. */
     NONE,
-    /** Bytes; the peer's close may be behind them. */
+    /** Bytes, which the peer's close may follow. */
     BYTES,
     /** The peer's close, or a reset. */
     END
   }
 
   /**
-   * For how long the newest bytes of a connection have been with the kernel, in milliseconds; 0
-   * where that is not known. An event loop that is short of CPU reads late, and only the kernel
-   * knows how late.
+   * Returns the time since the kernel received the newest bytes of a connection, in milliseconds,
+   * or 0 if it is unknown. An event loop that is short of CPU reads late, and only the kernel knows
+   * how late.
    */
   public static double msSinceLastReceive(Channel channel) {
     try {
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Whether the peer has closed the connection, or its sending side, even if that has not been read
-   * here yet; false where that is not known.
+   * Returns whether the peer has closed the connection or its sending side, even if the channel has
+   * not read the close yet. Returns false if that is unknown.
    */
   public static boolean isClosedByPeer(Channel channel) {
     try {
@@ -69,8 +69,9 @@
   }
 
   /**
-   * What the kernel holds of an open connection that has not been read here yet. A byte that it
-   * finds is consumed, so that the connection has to be closed unless there is nothing.
+   * Returns which input of an open connection the kernel holds that the channel has not read yet.
+   * If there are bytes, the call consumes one, so the caller has to close the connection unless the
+   * result is {@link UnreadInput#NONE}.
    */
   public static UnreadInput unreadInput(Channel channel) {
     if (!(channel instanceof EpollSocketChannel connection)) {
@@ -90,9 +91,9 @@
   }
 
   /**
-   * Acknowledges at once what has been read, rather than with the next write or a delay of some
-   * tens of milliseconds. Until then a peer that has not switched Nagle's algorithm off holds back
-   * what it has written since.
+   * Acknowledges the bytes read so far at once, instead of with the next write or after some tens
+   * of milliseconds. Until the acknowledgment, a peer that uses Nagle's algorithm holds back what
+   * it has written since.
    */
   public static void acknowledgeNow(Channel channel) {
     if (!(channel instanceof EpollSocketChannel connection)) {
@@ -101,14 +102,14 @@
     try {
       connection.config().setTcpQuickAck(true);
     } catch (ChannelException e) {
-      LOG.log(Level.FINE, "no quick acknowledgement", e);
+      LOG.log(Level.FINE, "could not request an immediate acknowledgment", e);
     }
   }
 
   /**
-   * Closes a connection with a reset. One whose socket is closed is left alone, even if its
-   * pipeline does not know yet: the option would fail, or be set on the socket that has its
-   * descriptor's number by now.
+   * Closes a connection with a reset. Does nothing if the socket is already closed, even if the
+   * pipeline has not been notified yet: setting the option would fail, or would affect another
+   * socket that has been given the same descriptor number.
    */
   public static void reset(Channel channel) {
     if (!channel.isOpen()) {
@@ -123,9 +124,9 @@
   }
 
   /**
-   * Accepts all connections that wait by now. Prevents the reset of those that a listening socket
-   * leaves behind when it closes: their clients would lose requests. Cost: none; what arrives
-   * between the last of them and the close is reset all the same.
+   * Accepts all pending connections of a listening socket that is about to close. The kernel resets
+   * connections that are still pending at the close, and their clients would lose requests.
+   * Connections that arrive between the last accept and the close are still reset.
    */
   public static void acceptPending(Channel listening) {
     if (!(listening instanceof EpollServerSocketChannel server)) {
--- a/src/main/java/quotagateway/transport/MonotonicClock.java
+++ b/src/main/java/quotagateway/transport/MonotonicClock.java
@@ -4,10 +4,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * Unix time in milliseconds that never goes back: the system's time once, and the monotonic clock
- * since. Prevents a step of the system's time from reaching the names of quota windows at the
- * shared counter: this gateway could count in another window than the others. Cost: a step that
- * corrects the system's time takes effect at the next start only. May be used on any thread.
+ * Unix time in milliseconds that never goes backwards: the system time at creation, advanced by a
+ * monotonic clock. With the system time itself, a clock step would change the quota windows in
+ * counter names, and this gateway could count in a different window from the others. The drawback
+ * is that a step which corrects the system time takes effect only after a restart. Thread-safe.
  */
 public final class MonotonicClock {
 
@@ -15,13 +15,13 @@
   private final double startMs;
   private final long startNanos;
 
-  /** A clock that starts with the system's time of now. */
+  /** Creates a clock that starts at the current system time. */
   public MonotonicClock() {
     this(System::nanoTime);
   }
 
   /**
-   * A clock that starts with the system's time of now and goes on as another does.
+   * Creates a clock that starts at the current system time and advances with the given clock.
    *
    * @param nanoTime a monotonic clock in nanoseconds, with any origin
    */
@@ -32,7 +32,7 @@
     startMs = start.getEpochSecond() * 1e3 + start.getNano() / 1e6;
   }
 
-  /** Unix time in milliseconds. */
+  /** Returns the Unix time in milliseconds. */
   public double now() {
     return startMs + (nanoTime.getAsLong() - startNanos) / 1e6;
   }
--- a/src/main/java/quotagateway/transport/PeriodicTask.java
+++ b/src/main/java/quotagateway/transport/PeriodicTask.java
@@ -9,10 +9,10 @@
 import java.util.logging.Logger;
 
 /**
- * Work on many connections or requests, one after another, once or again and again. Prevents an
- * exception in the work on one of them from ending the work on the others and all rounds to come: a
- * scheduled task that throws is not run again, and nothing reports it. Cost: what threw may stay
- * half done; it is logged.
+ * Runs work periodically, or on each element of a collection, and isolates exceptions. An exception
+ * from one element does not stop the work on the others, and an exception from one run does not
+ * stop later runs; the scheduler would silently drop a periodic task that throws. The exception is
+ * logged, and the work that threw may remain partly done.
  */
 public final class PeriodicTask {
 
@@ -21,17 +21,18 @@
   private PeriodicTask() {}
 
   /**
-   * Runs a task on the event loop until the loop ends, also after a run that threw.
+   * Runs a task periodically on the event loop until the loop ends, even if a run throws.
    *
-   * @param delayMs from the end of a run to the next, and before the first, in milliseconds
+   * @param delayMs the delay before the first run and between the end of a run and the next one, in
+   *     milliseconds
    */
   public static void schedule(EventLoop loop, long delayMs, Runnable task) {
     loop.scheduleWithFixedDelay(() -> runIsolated(task), delayMs, delayMs, TimeUnit.MILLISECONDS);
   }
 
   /**
-   * Works on each element that is there by now, also after one whose work threw. The collection may
-   * change meanwhile.
+   * Performs the work on each element that the collection contains at the time of the call, even if
+   * the work on another one throws. The work may modify the collection.
    */
   public static <T> void forEachIsolated(Collection<T> elements, Consumer<? super T> work) {
     List.copyOf(elements).forEach(element -> runIsolated(() -> work.accept(element)));
@@ -41,8 +42,7 @@
     try {
       work.run();
     } catch (RuntimeException e) {
-      // Any fault of the program may come here. The state of other elements is their own, and the
-      // next run looks at everything afresh.
+      // Catches any programming error. Elements do not share state, and the next run starts afresh.
       LOG.log(Level.SEVERE, "periodic work failed", e);
     }
   }
--- a/src/main/java/quotagateway/transport/SocketAddresses.java
+++ b/src/main/java/quotagateway/transport/SocketAddresses.java
@@ -5,7 +5,7 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads socket addresses from the text form that the configuration and discovery use. */
+/** Parses socket addresses in the text format of the configuration and of discovery. */
 public final class SocketAddresses {
 
   private static final int MAX_PORT = 65_535;
@@ -13,10 +13,10 @@
   private SocketAddresses() {}
 
   /**
-   * Parses a numeric address and a port, such as {@code 10.1.0.18:7070}. Host names are not
-   * resolved: the platform has no DNS.
+   * Parses a numeric IP address and a port, such as {@code 10.1.0.18:7070}. Host names are not
+   * resolved, because the platform has no DNS.
    *
-   * @return the address, or null where the text is not of this form
+   * @return the address, or null if the text does not have this format
    */
   public static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
--- a/src/main/java/quotagateway/transport/SocketTransport.java
+++ b/src/main/java/quotagateway/transport/SocketTransport.java
@@ -18,14 +18,14 @@
 import java.net.StandardSocketOptions;
 
 /**
- * The kind of sockets that an event loop drives, and the buffer sizes that all of them share:
- * native epoll, which took a quarter less CPU on a calm day, or NIO where its library cannot be
- * loaded.
+ * The socket implementation of an event loop, and the buffer sizes that all sockets share. Native
+ * epoll used a quarter less CPU than NIO on a day without incidents; NIO is the fallback if the
+ * native library cannot be loaded.
  *
- * @param ioHandler drives the sockets of one event loop
- * @param socket the class of connections
- * @param serverSocket the class of listening sockets
- * @param reusePort the option by which two processes listen at one address
+ * @param ioHandler creates the I/O handler of an event loop
+ * @param socket the channel class of connections
+ * @param serverSocket the channel class of listening sockets
+ * @param reusePort the option that lets two processes listen on the same address
  */
 public record SocketTransport(
     IoHandlerFactory ioHandler,
@@ -33,27 +33,28 @@
     Class<? extends ServerSocketChannel> serverSocket,
     ChannelOption<Boolean> reusePort) {
 
-  /** The best kind that this machine has. */
+  /** Native epoll if it is available on this machine, otherwise NIO. */
   public static final SocketTransport PREFERRED = Epoll.isAvailable() ? epoll() : nio();
 
   /**
-   * Bounds what waits in this process to be written to one peer, in bytes: beyond the higher mark
-   * the other side of a large body or response is not read, until the lower mark is reached.
+   * Limits the bytes that wait in this process to be written to one peer. Above the high-water mark
+   * the source of a large request or response body is not read until the low-water mark is reached.
    */
   public static final WriteBufferWaterMark WRITE_BUFFER_WATER_MARK =
       new WriteBufferWaterMark(16 * 1024, 32 * 1024);
 
   /**
-   * Bounds what the kernel holds for a peer that reads slowly. It reports room only when a third of
-   * its buffer is free, and lets the buffer grow to megabytes by itself: a peer that reads 64 kB a
-   * second, without a pause, would look stuck for a quarter of a minute.
+   * Limits what the kernel buffers for a peer that reads slowly. The kernel reports a socket as
+   * writable only when a third of its send buffer is free, and by default lets the buffer grow to
+   * megabytes. A peer that reads 64 kB per second without a pause would then appear stalled for a
+   * quarter of a minute.
    */
   public static final int SEND_BUFFER_BYTES = 128 * 1024;
 
   private static final int MIN_READ_BYTES = 1_024;
   private static final int INITIAL_READ_BYTES = 2_048;
 
-  /** Bounds one read, so that what waits to be written keeps no larger buffers from being freed. */
+  /** Limits one read, so that data waiting to be written does not retain larger buffers. */
   private static final int MAX_READ_BYTES = 32 * 1_024;
 
   private static SocketTransport epoll() {
@@ -72,7 +73,7 @@
         NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT));
   }
 
-  /** Sizes reads by what came before, up to 32 KiB each. */
+  /** Returns an allocator that adapts the size of reads to previous reads, up to 32 KiB each. */
   public static RecvByteBufAllocator boundedReads() {
     return new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES);
   }
--- a/src/main/java/quotagateway/transport/StaleEventFilter.java
+++ b/src/main/java/quotagateway/transport/StaleEventFilter.java
@@ -11,72 +11,74 @@
 import io.netty.channel.unix.FileDescriptor;
 
 /**
- * Netty's epoll, without the events of sockets that are closed already. To be used on one event
- * loop.
+ * Wraps Netty's epoll handler and drops events of sockets that have already been closed. Confined
+ * to one event loop.
  *
- * <p>Prevents an event of a closed socket from being delivered to another one. The kernel returns a
- * batch of events by descriptor number; where the handling of one event closes a socket and that of
- * the next opens another, the new socket gets the old number, and the old socket's events that are
- * still in the batch. It shows as an attempt that ends as if its backend were gone: a hang-up among
- * those events ends a connection that is being opened. An open connection loses its own notice of
- * hang-ups by it, leaves epoll when its reading pauses, and fails when that resumes. The guard
- * holds as a new socket's own events come with the next batch at the earliest. Cost: a comparison
- * for each event.
+ * <p>Without the filter, an event of a closed socket can be delivered to another socket. The kernel
+ * returns a batch of events by descriptor number. If the handling of one event closes a socket and
+ * the handling of the next opens another, the new socket gets the old descriptor number, and with
+ * it the old socket's remaining events in the batch. A hang-up among these events fails a
+ * connection that is being opened, so that an attempt ends as if its backend were down. An open
+ * connection that receives the hang-up no longer gets its own hang-up events, is removed from epoll
+ * when reading pauses, and fails when reading resumes.
+ *
+ * <p>The filter is correct because a new socket's own events arrive in the next batch at the
+ * earliest. It costs one comparison per event.
  */
 final class StaleEventFilter implements IoHandler {
 
-  private final IoHandler epoll;
+  private final IoHandler delegate;
 
-  /** Batches of events so far. */
+  /** Number of the current batch of events. */
   private long batchNumber;
 
-  private StaleEventFilter(IoHandler epoll) {
-    this.epoll = epoll;
+  private StaleEventFilter(IoHandler delegate) {
+    this.delegate = delegate;
   }
 
   static IoHandlerFactory newFactory() {
-    IoHandlerFactory epoll = EpollIoHandler.newFactory();
-    return executor -> new StaleEventFilter(epoll.newHandler(executor));
+    IoHandlerFactory delegate = EpollIoHandler.newFactory();
+    return executor -> new StaleEventFilter(delegate.newHandler(executor));
   }
 
   @Override
   public void initialize() {
-    epoll.initialize();
+    delegate.initialize();
   }
 
-  /** Waits for one batch of events and has each of them handled. */
+  /** Waits for a batch of events and dispatches them. */
   @Override
   public int run(IoHandlerContext context) {
     batchNumber++;
-    return epoll.run(context);
+    return delegate.run(context);
   }
 
   @Override
   public IoRegistration register(IoHandle handle) throws Exception {
-    return epoll.register(new FilteredHandle((EpollIoHandle) handle));
+    return delegate.register(new FilteredHandle((EpollIoHandle) handle));
   }
 
   @Override
   public void prepareToDestroy() {
-    epoll.prepareToDestroy();
+    delegate.prepareToDestroy();
   }
 
   @Override
   public void destroy() {
-    epoll.destroy();
+    delegate.destroy();
   }
 
   @Override
   public void wakeup() {
-    epoll.wakeup();
+    delegate.wakeup();
   }
 
   @Override
   public boolean isCompatible(Class<? extends IoHandle> type) {
-    return epoll.isCompatible(type);
+    return delegate.isCompatible(type);
   }
 
-  /** One socket: events of the batch in which it was registered are not meant for it. */
+  /** A socket's handle, which drops events of the batch during which the socket was registered. */
   private final class FilteredHandle implements EpollIoHandle {
     private final EpollIoHandle socket;
     private final long registeredInBatch = batchNumber;
--- a/src/main/java/quotagateway/transport/package-info.java
+++ b/src/main/java/quotagateway/transport/package-info.java
@@ -1,2 +1,2 @@
-/** Sockets, timers, connection limits and the clock, for every peer alike. */
+/** Sockets, timers, connection limits and the clock, shared by the code for all peers. */
 package quotagateway.transport;
