--- a/src/main/java/quotagateway/backend/BackendConnectionPool.java
+++ b/src/main/java/quotagateway/backend/BackendConnectionPool.java
@@ -41,8 +41,8 @@
   private final BackendConnector connector;
 
   /**
-   * Entries of the backends that have been used, by identifier. For any other backend, the address
-   * is taken from the endpoint list at the first attempt.
+   * Entries of the backends in use, by identifier. For any other backend, an entry is created from
+   * the endpoint list at the next attempt.
    */
   private final Map<Long, BackendConnections> backends = new HashMap<>();
 
@@ -53,7 +53,7 @@
    * Creates a pool without connections.
    *
    * @param loop the event loop that runs the pool and its connections
-   * @param idleLimitMs the time after which the backends close an idle connection
+   * @param backendIdleTimeoutMs the time after which the backends close an idle connection
    * @param budget limits connections to backends and from clients together
    * @param endpoints the addresses of the serving backends; updated before this pool is notified
    */
@@ -61,12 +61,12 @@
       EventLoop loop,
       MonotonicClock clock,
       Dialer dialer,
-      double idleLimitMs,
+      double backendIdleTimeoutMs,
       ConnectionBudget budget,
       ServingEndpoints endpoints) {
     this.loop = loop;
     this.clock = clock;
-    this.maxIdleMs = idleLimitMs * MAX_IDLE_FRACTION;
+    this.maxIdleMs = backendIdleTimeoutMs * MAX_IDLE_FRACTION;
     this.budget = budget;
     this.endpoints = endpoints;
     connector = new BackendConnector(clock, dialer, budget, reuse);
--- a/src/main/java/quotagateway/backend/BackendConnector.java
+++ b/src/main/java/quotagateway/backend/BackendConnector.java
@@ -71,9 +71,9 @@
   }
 
   /**
-   * Writes the attempt's request, unless the connection failed, the attempt has ended (by a timeout,
-   * a cancellation or its backend's draining), its client has disconnected, or its write deadline
-   * has passed.
+   * Writes the attempt's request, unless the connection failed, the attempt has ended (by a
+   * timeout, a cancellation or an update that removes its backend), its client has disconnected, or
+   * its write deadline has passed.
    */
   private void onConnectFinished(
       ChannelFuture connectFuture, BackendConnection connection, Attempt attempt) {
--- a/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
+++ b/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
@@ -50,15 +50,16 @@
 import quotagateway.transport.SocketTransport;
 
 /**
- * How attempts end that got no connection, or lost it, and on which connections others are written.
+ * Tests the final status of attempts whose connection fails or cannot be used, and the reuse of
+ * idle connections.
  */
 @Timeout(30)
 class BackendConnectionPoolTest {
 
-  private static final int FEW_BYTES = 4 * 1024;
-  private static final double FOREVER = Double.POSITIVE_INFINITY;
+  private static final int SMALL_BUFFER_BYTES = 4 * 1024;
+  private static final double NO_WRITE_LIMIT = Double.POSITIVE_INFINITY;
 
-  /** A new connection's segments are acknowledged at once for a while. */
+  /** The kernel acknowledges the first segments of a new connection without delay. */
   private static final int EXCHANGES_BEFORE_DELAYED_ACKNOWLEDGEMENTS = 50;
 
   private static final String EMPTY_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -66,25 +67,25 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
   private final EventLoop loop = group.next();
-  private final BlockingQueue<Status> ends = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Status> statuses = new LinkedBlockingQueue<>();
 
   @AfterEach
   void close() throws Exception {
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
   }
 
-  private BackendConnectionPool pool(int places, int port) {
-    return pool(new MonotonicClock(), places, port);
+  private BackendConnectionPool pool(int maxConnections, int port) {
+    return pool(new MonotonicClock(), maxConnections, port);
   }
 
-  private BackendConnectionPool pool(MonotonicClock clock, int places, int port) {
+  private BackendConnectionPool pool(MonotonicClock clock, int maxConnections, int port) {
     BackendConnectionPool pool =
         new BackendConnectionPool(
             loop,
             clock,
             Dialer.sockets(loop, 5_000),
             10_000,
-            new ConnectionBudget(places),
+            new ConnectionBudget(maxConnections),
             new SingleEndpoint(port));
     pool.onEndpointsUpdated(snapshot());
     return pool;
@@ -94,7 +95,7 @@
     return update(EndpointState.SERVING);
   }
 
-  /** A list of the one backend in that state. */
+  /** Returns a list of one backend in the given state. */
   private static EndpointUpdate update(EndpointState state) {
     return new EndpointUpdate(1, true, List.of(new Endpoint(1, "a", 0, state, 1, 0)));
   }
@@ -114,59 +115,58 @@
     return new Attempt(head, body, timeoutMs) {
       @Override
       public void onEnd(Status status, FullHttpResponse response) {
-        ends.add(status);
+        statuses.add(status);
       }
     };
   }
 
   /**
-   * A backend, or something before it, takes a connection and resets it at once. That shows that
-   * something lives there; reported as a refused connection it would be taken for a restart. The
-   * loop stands still until the backend has done so.
+   * A backend, or a middlebox in front of it, accepts a connection and resets it at once. Reported
+   * as a refused connection, the reset of a live backend would be treated as a restart. The event
+   * loop is blocked until the reset.
    */
   @Test
-  void resetWhileConnectingIsNoConnectFailure() throws Exception {
+  void resetWhileConnectingDoesNotEndAsConnectFailed() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       loop.submit(
               () -> {
-                pool(100, server.getLocalPort()).start(1, attempt(5_000), FOREVER);
-                // Behind the connecting, which is the loop's next task.
+                pool(100, server.getLocalPort()).start(1, attempt(5_000), NO_WRITE_LIMIT);
+                // Runs after the connect, which is the loop's next task.
                 return loop.submit(
                     () -> {
-                      Socket taken = server.accept();
-                      taken.setSoLinger(true, 0);
-                      taken.close();
+                      Socket accepted = server.accept();
+                      accepted.setSoLinger(true, 0);
+                      accepted.close();
                       return null;
                     });
               })
           .sync();
-      assertEquals(Status.WRITE_INCOMPLETE, TestQueues.next(ends));
+      assertEquals(Status.WRITE_INCOMPLETE, TestQueues.next(statuses));
     }
   }
 
   @Test
   void refusedConnectionEndsAsConnectFailed() throws Exception {
     int port = freePort();
-    loop.submit(() -> pool(100, port).start(1, attempt(5_000), FOREVER)).sync();
-    assertEquals(Status.CONNECT_FAILED, TestQueues.next(ends));
+    loop.submit(() -> pool(100, port).start(1, attempt(5_000), NO_WRITE_LIMIT)).sync();
+    assertEquals(Status.CONNECT_FAILED, TestQueues.next(statuses));
   }
 
-  /**
-   * A pool on the test's clock, one backend, and connections that come up when the test says so.
-   */
-  private final AtomicLong nanos = new AtomicLong();
+  /** The time of pools on the test's clock. */
+  private final AtomicLong nowNanos = new AtomicLong();
 
-  private final EmbeddedChannel dialled = new EmbeddedChannel();
-  private final ChannelPromise connected = dialled.newPromise();
+  private final EmbeddedChannel channel = new EmbeddedChannel();
+  private final ChannelPromise connectPromise = channel.newPromise();
 
-  private BackendConnectionPool slowPool() {
+  /** Returns a pool on the test's clock that connects when {@link #connectPromise} completes. */
+  private BackendConnectionPool poolWithManualConnect() {
     BackendConnectionPool pool =
         new BackendConnectionPool(
             new EmbeddedChannel().eventLoop(),
-            new MonotonicClock(nanos::get),
+            new MonotonicClock(nowNanos::get),
             (address, handler) -> {
-              dialled.pipeline().addLast(handler);
-              return connected;
+              channel.pipeline().addLast(handler);
+              return connectPromise;
             },
             10_000,
             new ConnectionBudget(100),
@@ -175,44 +175,41 @@
     return pool;
   }
 
-  private void connectAfter(long micros) {
-    nanos.addAndGet(TimeUnit.MICROSECONDS.toNanos(micros));
-    connected.setSuccess();
+  private void completeConnectAfter(long micros) {
+    nowNanos.addAndGet(TimeUnit.MICROSECONDS.toNanos(micros));
+    connectPromise.setSuccess();
   }
 
-  /**
-   * A connection is long in coming up. That time is gone from the client's, so the backend is given
-   * less.
-   */
+  /** The time spent on connecting reduces the timeout that is sent to the backend. */
   @Test
-  void writtenRequestStatesTheTimeLeftAfterConnecting() {
-    slowPool().start(1, attempt(1_000), FOREVER);
-    connectAfter(240_500);
-    ByteBuf written = dialled.readOutbound();
+  void timeoutHeaderExcludesTheTimeSpentConnecting() {
+    poolWithManualConnect().start(1, attempt(1_000), NO_WRITE_LIMIT);
+    completeConnectAfter(240_500);
+    ByteBuf written = channel.readOutbound();
     String head = written.toString(US_ASCII);
     assertTrue(head.contains("Request-Timeout-Ms: 760\r\n"), head);
     written.release();
   }
 
   /**
-   * A retry waits for its connection until the deduplication window may be over: written then, it
-   * would be executed a second time.
+   * A retry waits for its connection until the deduplication window may have ended. If it were
+   * written after that, the backend could execute the request a second time.
    */
   @Test
-  void attemptIsNotWrittenWhenItsConnectionComesTooLate() {
-    slowPool().start(1, attempt(1_000), 200);
-    connectAfter(240_500);
-    assertNull(dialled.readOutbound());
-    assertEquals(Status.NOT_SENT, ends.poll());
-    assertFalse(dialled.isOpen());
+  void attemptIsNotWrittenWhenItsConnectionOpensAfterTheWriteLimit() {
+    poolWithManualConnect().start(1, attempt(1_000), 200);
+    completeConnectAfter(240_500);
+    assertNull(channel.readOutbound());
+    assertEquals(Status.NOT_SENT, statuses.poll());
+    assertFalse(channel.isOpen());
   }
 
   /**
-   * The same over a real connection: the clock moves on between the connecting and the loop's next
-   * look.
+   * Tests the write limit on a real socket: the clock advances past the limit after the connect has
+   * started and before the event loop processes its completion.
    */
   @Test
-  void connectionUpAfterTheWriteLimitIsClosedUnused() throws Exception {
+  void socketOpenedAfterTheWriteLimitIsClosedUnused() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       server.setSoTimeout(10_000);
       loop.submit(
@@ -220,48 +217,49 @@
                 BackendConnectionPool pool =
                     new BackendConnectionPool(
                         loop,
-                        new MonotonicClock(nanos::get),
+                        new MonotonicClock(nowNanos::get),
                         Dialer.sockets(loop, 5_000),
                         10_000,
                         new ConnectionBudget(100),
                         new SingleEndpoint(server.getLocalPort()));
                 pool.onEndpointsUpdated(snapshot());
                 pool.start(1, attempt(60_000), 20_000);
-                nanos.addAndGet(TimeUnit.SECONDS.toNanos(21));
+                nowNanos.addAndGet(TimeUnit.SECONDS.toNanos(21));
               })
           .sync();
-      try (Socket taken = server.accept()) {
-        taken.setSoTimeout(10_000);
-        assertEquals(-1, taken.getInputStream().read());
+      try (Socket accepted = server.accept()) {
+        accepted.setSoTimeout(10_000);
+        assertEquals(-1, accepted.getInputStream().read());
       }
-      assertEquals(Status.NOT_SENT, TestQueues.next(ends));
+      assertEquals(Status.NOT_SENT, TestQueues.next(statuses));
     }
   }
 
   /**
-   * A backend reads slowly, so that the last byte of a retry would reach it behind the
-   * deduplication window. The attempt is given up before.
+   * A backend reads so slowly that the last byte of a retry would reach it after the end of the
+   * deduplication window. The attempt is abandoned before that.
    */
   @Test
-  void attemptNotWrittenWholeInTimeIsAbandoned() throws Exception {
+  void attemptNotCompletelyWrittenWithinTheWriteLimitIsAbandoned() throws Exception {
     int size = 60_000;
     try (ServerSocket server = new ServerSocket()) {
-      server.setReceiveBufferSize(FEW_BYTES);
+      server.setReceiveBufferSize(SMALL_BUFFER_BYTES);
       server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       server.setSoTimeout(10_000);
       Bootstrap bootstrap =
           new Bootstrap()
               .group(loop)
               .channel(SocketTransport.PREFERRED.socket())
-              .option(ChannelOption.SO_SNDBUF, FEW_BYTES);
-      Dialer fewBytes = (address, handler) -> bootstrap.clone().handler(handler).connect(address);
+              .option(ChannelOption.SO_SNDBUF, SMALL_BUFFER_BYTES);
+      Dialer smallBuffers =
+          (address, handler) -> bootstrap.clone().handler(handler).connect(address);
       loop.submit(
               () -> {
                 BackendConnectionPool pool =
                     new BackendConnectionPool(
                         loop,
                         new MonotonicClock(),
-                        fewBytes,
+                        smallBuffers,
                         10_000,
                         new ConnectionBudget(100),
                         new SingleEndpoint(server.getLocalPort()));
@@ -275,22 +273,22 @@
                     200);
               })
           .sync();
-      try (Socket taken = server.accept()) {
-        assertEquals(Status.WRITE_INCOMPLETE, TestQueues.next(ends));
-        taken.setSoTimeout(10_000);
-        int came = taken.getInputStream().readAllBytes().length;
-        assertTrue(came < size, came + " bytes of " + size + " came");
+      try (Socket accepted = server.accept()) {
+        assertEquals(Status.WRITE_INCOMPLETE, TestQueues.next(statuses));
+        accepted.setSoTimeout(10_000);
+        int received = accepted.getInputStream().readAllBytes().length;
+        assertTrue(received < size, "received " + received + " of " + size + " bytes");
       }
     }
   }
 
   /**
-   * The policy may start the next attempt as soon as one has ended. No copy may be out on an open
-   * connection by then.
+   * The policy may start the next attempt as soon as this one ends. By then the request must no
+   * longer be in flight on an open connection.
    */
   @Test
   void abandonedAttemptEndsAfterItsConnectionIsClosed() {
-    List<Boolean> openAtEnd = new ArrayList<>();
+    List<Boolean> connectionOpenAtEnd = new ArrayList<>();
     Attempt attempt =
         new Attempt(
             new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/quote/1"),
@@ -298,157 +296,157 @@
             1_000) {
           @Override
           public void onEnd(Status status, FullHttpResponse response) {
-            openAtEnd.add(dialled.isOpen());
-            ends.add(status);
+            connectionOpenAtEnd.add(channel.isOpen());
+            statuses.add(status);
           }
         };
-    slowPool().start(1, attempt, FOREVER);
-    connectAfter(1_000);
-    dialled.releaseOutbound();
+    poolWithManualConnect().start(1, attempt, NO_WRITE_LIMIT);
+    completeConnectAfter(1_000);
+    channel.releaseOutbound();
     attempt.abandon(attempt.statusIfCancelled());
-    assertEquals(List.of(false), openAtEnd);
-    assertEquals(List.of(Status.CANCELLED), List.copyOf(ends));
+    assertEquals(List.of(false), connectionOpenAtEnd);
+    assertEquals(List.of(Status.CANCELLED), List.copyOf(statuses));
   }
 
-  /** The policy cancels an attempt while its connection comes up: nobody waits for a response. */
+  /** After the cancellation, nobody waits for a response. */
   @Test
   void attemptCancelledWhileConnectingIsNotWritten() {
     Attempt attempt = attempt(1_000);
-    slowPool().start(1, attempt, FOREVER);
+    poolWithManualConnect().start(1, attempt, NO_WRITE_LIMIT);
     attempt.abandon(attempt.statusIfCancelled());
-    connectAfter(1_000);
-    assertNull(dialled.readOutbound());
-    assertEquals(List.of(Status.NOT_SENT), List.copyOf(ends));
-    assertFalse(dialled.isOpen());
+    completeConnectAfter(1_000);
+    assertNull(channel.readOutbound());
+    assertEquals(List.of(Status.NOT_SENT), List.copyOf(statuses));
+    assertFalse(channel.isOpen());
   }
 
   /**
-   * A backend begins to drain while a connection to it comes up. A request that is written then
-   * breaks the drain; the attempt ends as not sent, so that the policy can choose another backend.
+   * A backend starts draining while a connection to it is being opened, and must not get the
+   * request. The attempt ends as not sent, so that the policy can select another backend.
    */
   @Test
-  void attemptWaitingForABackendThatDrainsIsNotWritten() {
-    BackendConnectionPool pool = slowPool();
-    pool.start(1, attempt(1_000), FOREVER);
+  void attemptIsNotWrittenWhenItsBackendStartsDrainingDuringTheConnect() {
+    BackendConnectionPool pool = poolWithManualConnect();
+    pool.start(1, attempt(1_000), NO_WRITE_LIMIT);
     pool.onEndpointsUpdated(update(EndpointState.DRAINING));
-    assertEquals(List.of(Status.NOT_SENT), List.copyOf(ends));
-    connectAfter(1_000);
-    assertNull(dialled.readOutbound());
-    assertFalse(dialled.isOpen());
+    assertEquals(List.of(Status.NOT_SENT), List.copyOf(statuses));
+    completeConnectAfter(1_000);
+    assertNull(channel.readOutbound());
+    assertFalse(channel.isOpen());
   }
 
   /**
-   * A backend drains while a request is out on a connection to it. The response is taken, and the
-   * connection is closed behind it: kept, it would lead to whoever lives at that address next.
+   * A backend starts draining while a request is in flight. The response is delivered, and the
+   * connection is closed after it: an idle connection could lead to the next server at the same
+   * address.
    */
   @Test
-  void connectionToADrainedBackendIsClosedBehindItsResponse() {
-    BackendConnectionPool pool = slowPool();
-    pool.start(1, attempt(1_000), FOREVER);
-    connectAfter(1_000);
-    dialled.releaseOutbound();
+  void connectionToADrainingBackendIsClosedAfterTheResponse() {
+    BackendConnectionPool pool = poolWithManualConnect();
+    pool.start(1, attempt(1_000), NO_WRITE_LIMIT);
+    completeConnectAfter(1_000);
+    channel.releaseOutbound();
     pool.onEndpointsUpdated(update(EndpointState.DRAINING));
-    assertTrue(dialled.isOpen());
-    dialled.writeInbound(
+    assertTrue(channel.isOpen());
+    channel.writeInbound(
         Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", US_ASCII));
-    assertEquals(List.of(Status.OK), List.copyOf(ends));
-    assertFalse(dialled.isOpen());
+    assertEquals(List.of(Status.OK), List.copyOf(statuses));
+    assertFalse(channel.isOpen());
   }
 
   @Test
-  void attemptIsWrittenWhenItsConnectionComesInTime() {
-    slowPool().start(1, attempt(1_000), 200);
-    connectAfter(190_500);
-    ByteBuf written = dialled.readOutbound();
+  void attemptIsWrittenWhenItsConnectionOpensWithinTheWriteLimit() {
+    poolWithManualConnect().start(1, attempt(1_000), 200);
+    completeConnectAfter(190_500);
+    ByteBuf written = channel.readOutbound();
     assertNotNull(written);
     written.release();
-    assertTrue(ends.isEmpty());
+    assertTrue(statuses.isEmpty());
   }
 
   /**
-   * There is no place for a connection here, the backend has just left the list, or no time is left
-   * to connect. None of these is the backend's fault, and none may count against it.
+   * The connection budget is exhausted, the backend is not in the endpoint list, or the timeout
+   * expires before there is a connection. None of these may be counted against the backend.
    */
   @Test
   void attemptThatCannotBeSentEndsAsNotSent() throws Exception {
     int port = freePort();
-    loop.submit(() -> pool(0, port).start(1, attempt(5_000), FOREVER)).sync();
-    assertEquals(Status.NOT_SENT, TestQueues.next(ends));
-    loop.submit(() -> pool(100, port).start(2, attempt(5_000), FOREVER)).sync();
-    assertEquals(Status.NOT_SENT, TestQueues.next(ends));
+    loop.submit(() -> pool(0, port).start(1, attempt(5_000), NO_WRITE_LIMIT)).sync();
+    assertEquals(Status.NOT_SENT, TestQueues.next(statuses));
+    loop.submit(() -> pool(100, port).start(2, attempt(5_000), NO_WRITE_LIMIT)).sync();
+    assertEquals(Status.NOT_SENT, TestQueues.next(statuses));
     loop.submit(
             () -> {
-              Attempt late = attempt(5_000);
-              late.abandon(late.statusIfTimedOut());
+              Attempt timedOut = attempt(5_000);
+              timedOut.abandon(timedOut.statusIfTimedOut());
             })
         .sync();
-    assertEquals(Status.NOT_SENT, TestQueues.next(ends));
+    assertEquals(Status.NOT_SENT, TestQueues.next(statuses));
   }
 
   /**
-   * Descriptors have run out: there is no channel that could return its place in the budget when it
-   * closes. Kept, such places would add up until no connection is allowed.
+   * If no descriptor is available there is no channel whose close could release the connection from
+   * the budget. Unreleased connections would add up until the budget allows no more.
    */
   @Test
-  void failedSocketReturnsItsPlaceToTheBudget() {
-    List<InetSocketAddress> dialledAddresses = new ArrayList<>();
+  void connectionBudgetIsReleasedWhenNoSocketIsAvailable() {
+    List<InetSocketAddress> dialedAddresses = new ArrayList<>();
     BackendConnectionPool pool =
         new BackendConnectionPool(
             new EmbeddedChannel().eventLoop(),
             new MonotonicClock(),
             (address, handler) -> {
-              dialledAddresses.add(address);
-              return dialled.newFailedFuture(new ChannelException("too many open files"));
+              dialedAddresses.add(address);
+              return channel.newFailedFuture(new ChannelException("too many open files"));
             },
             10_000,
             new ConnectionBudget(1),
             new SingleEndpoint(1));
     pool.onEndpointsUpdated(snapshot());
-    pool.start(1, attempt(5_000), FOREVER);
-    pool.start(1, attempt(5_000), FOREVER);
-    assertEquals(List.of(Status.NOT_SENT, Status.NOT_SENT), List.copyOf(ends));
-    assertEquals(2, dialledAddresses.size());
+    pool.start(1, attempt(5_000), NO_WRITE_LIMIT);
+    pool.start(1, attempt(5_000), NO_WRITE_LIMIT);
+    assertEquals(List.of(Status.NOT_SENT, Status.NOT_SENT), List.copyOf(statuses));
+    assertEquals(2, dialedAddresses.size());
   }
 
   /**
-   * Something on the way forgets idle connections. A dead one costs a request that can be retried
-   * nothing, and one that must not be executed twice its response; such a one gets a new
-   * connection.
+   * A middlebox drops idle connections. A request that fails on a dead connection can be retried
+   * unless it must not be executed twice, so such a request gets a new connection.
    */
   @Test
-  void nonIdempotentAttemptAvoidsIdleConnectionsWhereTheyDie() throws Exception {
+  void nonIdempotentAttemptGetsANewConnectionAfterAnIdleOneWasDead() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       server.setSoTimeout(10_000);
       BackendConnectionPool pool =
           loop.submit(() -> pool(100, server.getLocalPort())).sync().getNow();
-      loop.submit(() -> pool.start(1, attempt(5_000), FOREVER));
+      loop.submit(() -> pool.start(1, attempt(5_000), NO_WRITE_LIMIT));
       Socket first = server.accept();
-      answer(first);
-      long quiet = System.nanoTime();
+      respond(first);
+      long idleNanos = System.nanoTime();
       TimeUnit.MILLISECONDS.sleep(50);
-      loop.submit(() -> pool.start(1, attempt(5_000), FOREVER));
-      read(first);
+      loop.submit(() -> pool.start(1, attempt(5_000), NO_WRITE_LIMIT));
+      readRequestHead(first);
       first.setSoLinger(true, 0);
       first.close();
-      assertEquals(Status.MALFORMED_RESPONSE, TestQueues.next(ends));
-      quiet = System.nanoTime() - quiet;
-      loop.submit(() -> pool.start(1, attempt(5_000), FOREVER));
+      assertEquals(Status.MALFORMED_RESPONSE, TestQueues.next(statuses));
+      idleNanos = System.nanoTime() - idleNanos;
+      loop.submit(() -> pool.start(1, attempt(5_000), NO_WRITE_LIMIT));
       Socket second = server.accept();
-      answer(second);
-      TimeUnit.NANOSECONDS.sleep(quiet);
-      loop.submit(() -> pool.start(1, attempt(HttpMethod.POST, 5_000), FOREVER));
-      answer(server.accept());
+      respond(second);
+      TimeUnit.NANOSECONDS.sleep(idleNanos);
+      loop.submit(() -> pool.start(1, attempt(HttpMethod.POST, 5_000), NO_WRITE_LIMIT));
+      respond(server.accept());
     }
   }
 
   /**
-   * A second copy of a response arrives while the event loop is busy, and the next request is
-   * started before the loop has read it. Written on that connection, the request would get the copy
-   * for its response, and its client another client's.
+   * A second copy of a response arrives while the event loop is busy, and the next request starts
+   * before the loop has read the copy. If the request were written to that connection, its client
+   * would get the response to another client's request.
    */
   @Test
-  void connectionWithAnUnreadSecondResponseIsNotUsedAgain() throws Exception {
-    nextAttemptGetsANewConnectionAfter(
+  void connectionWithAnUnreadSecondResponseIsNotReused() throws Exception {
+    assertNextAttemptGetsNewConnectionAfter(
         first -> {
           OutputStream out = first.getOutputStream();
           out.write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale".getBytes(US_ASCII));
@@ -456,44 +454,46 @@
   }
 
   /**
-   * The backend's kernel holds a second copy back until the first is acknowledged (Nagle's
-   * algorithm), which on a connection that has been in use for a while happens with the next
-   * request: the copy then came right behind that request.
+   * The backend's kernel holds back a second copy of a response until the first copy is
+   * acknowledged (Nagle's algorithm). On a connection with many exchanges, the acknowledgment was
+   * sent with the next request, so the copy arrived right after that request and was treated as its
+   * response.
    */
   @Test
-  void secondResponseThatIsHeldBackUntilAnAcknowledgementIsNotTheNextOne() throws Exception {
-    assumeTrue(Epoll.isAvailable(), "only there a response can be acknowledged at once");
+  void secondResponseHeldBackUntilAnAcknowledgementIsNotTreatedAsTheNextResponse()
+      throws Exception {
+    assumeTrue(Epoll.isAvailable(), "immediate acknowledgments require epoll");
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       server.setSoTimeout(10_000);
       BackendConnectionPool pool = poolOnTestClock(server);
       startAttempt(pool);
       Socket first = server.accept();
-      answer(first);
+      respond(first);
       for (int i = 0; i < EXCHANGES_BEFORE_DELAYED_ACKNOWLEDGEMENTS; i++) {
-        nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(50));
+        nowNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(50));
         startAttempt(pool);
-        answer(first);
+        respond(first);
       }
-      nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(50));
+      nowNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(50));
       startAttempt(pool);
-      answer(first);
+      respond(first);
       first.getOutputStream().write(EMPTY_RESPONSE.getBytes(US_ASCII));
-      nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(50));
+      nowNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(50));
       startAttempt(pool);
-      answer(server.accept());
+      respond(server.accept());
     }
   }
 
-  /** The same where the backend has closed the connection: a request on it would be lost. */
+  /** A request on a connection that the backend has closed would be lost. */
   @Test
-  void connectionWithAnUnreadCloseIsNotUsedAgain() throws Exception {
-    nextAttemptGetsANewConnectionAfter(Socket::close);
+  void connectionWithAnUnreadCloseIsNotReused() throws Exception {
+    assertNextAttemptGetsNewConnectionAfter(Socket::close);
   }
 
-  /** The same where the connection was reset, which leaves nothing to be read but an error. */
+  /** After a reset, a read of the socket returns an error instead of an end of stream. */
   @Test
-  void connectionWithAnUnreadResetIsNotUsedAgain() throws Exception {
-    nextAttemptGetsANewConnectionAfter(
+  void connectionWithAnUnreadResetIsNotReused() throws Exception {
+    assertNextAttemptGetsNewConnectionAfter(
         first -> {
           first.setSoLinger(true, 0);
           first.close();
@@ -501,50 +501,50 @@
   }
 
   /**
-   * A second copy of a response can come so late that the next request is out on the connection
-   * already, and is then taken for its response. A backend that has sent one gets each request on a
-   * connection of its own for a while.
+   * A second copy of a response can arrive so late that the next request is already in flight on
+   * the connection, and the copy would be treated as its response. After a backend has sent a
+   * second response, each request to it gets a new connection for 10 s.
    */
   @Test
-  void connectionsAreNotUsedAgainForAWhileAfterASecondResponse() throws Exception {
+  void connectionsAreNotReusedForTenSecondsAfterASecondResponse() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       server.setSoTimeout(10_000);
       BackendConnectionPool pool = poolOnTestClock(server);
       startAttempt(pool);
-      Socket sendsTwice = server.accept();
-      read(sendsTwice);
-      sendsTwice.getOutputStream().write((EMPTY_RESPONSE + EMPTY_RESPONSE).getBytes(US_ASCII));
-      assertEquals(Status.OK, TestQueues.next(ends));
+      Socket first = server.accept();
+      readRequestHead(first);
+      first.getOutputStream().write((EMPTY_RESPONSE + EMPTY_RESPONSE).getBytes(US_ASCII));
+      assertEquals(Status.OK, TestQueues.next(statuses));
       for (int elapsedMs = 0; elapsedMs < 10_000; elapsedMs += 2_500) {
         startAttempt(pool);
-        answer(server.accept());
-        nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(2_500));
+        respond(server.accept());
+        nowNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(2_500));
       }
       startAttempt(pool);
-      Socket kept = server.accept();
-      answer(kept);
-      nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(50));
+      Socket reused = server.accept();
+      respond(reused);
+      nowNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(50));
       startAttempt(pool);
-      answer(kept);
+      respond(reused);
     }
   }
 
   /**
-   * A backend was taken for restarted, as a connection was refused, and answers all the same. A
-   * list that says the same as before is no reason to drop the connections made since.
+   * A backend is assumed to have restarted after a refused connection, although it still responds.
+   * An endpoint list with the old start time must not close the connections opened since.
    */
   @Test
-  void connectionsOutliveAListThatDoesNotConfirmASuspectedRestart() throws Exception {
+  void connectionsStayOpenWhenTheListDoesNotConfirmASuspectedRestart() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       server.setSoTimeout(10_000);
       long address = new SingleEndpoint(server.getLocalPort()).listedAddress();
-      EndpointIndex index = indexOfRestartSuspect(address);
+      EndpointIndex index = indexWithSuspectedRestart(address);
       BackendConnectionPool pool =
           loop.submit(
                   () ->
                       new BackendConnectionPool(
                           loop,
-                          new MonotonicClock(nanos::get),
+                          new MonotonicClock(nowNanos::get),
                           Dialer.sockets(loop, 5_000),
                           10_000,
                           new ConnectionBudget(100),
@@ -553,21 +553,24 @@
               .getNow();
       startAttempt(pool);
       Socket first = server.accept();
-      answer(first);
+      respond(first);
       Endpoint listed = new Endpoint(1, "a", 0, EndpointState.SERVING, 1, 0, address);
       loop.submit(
               () -> {
                 pool.onEndpointsUpdated(new EndpointUpdate(1, true, List.of(listed)));
-                nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(50));
-                pool.start(1, attempt(5_000), FOREVER);
+                nowNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(50));
+                pool.start(1, attempt(5_000), NO_WRITE_LIMIT);
               })
           .sync();
-      answer(first);
+      respond(first);
     }
   }
 
-  /** Lists one backend as started long ago; it is assumed to have started just now. */
-  private static EndpointIndex indexOfRestartSuspect(long address) {
+  /**
+   * Returns an index of one backend that is listed with an old start time and assumed to have
+   * restarted just now.
+   */
+  private static EndpointIndex indexWithSuspectedRestart(long address) {
     double warmUpMs = 9_000;
     double nowMs = 50_000;
     EndpointIndex index = new EndpointIndex(0);
@@ -580,53 +583,53 @@
   }
 
   private BackendConnectionPool poolOnTestClock(ServerSocket server) throws InterruptedException {
-    return loop.submit(() -> pool(new MonotonicClock(nanos::get), 100, server.getLocalPort()))
+    return loop.submit(() -> pool(new MonotonicClock(nowNanos::get), 100, server.getLocalPort()))
         .sync()
         .getNow();
   }
 
   private void startAttempt(BackendConnectionPool pool) {
-    loop.submit(() -> pool.start(1, attempt(5_000), FOREVER));
+    loop.submit(() -> pool.start(1, attempt(5_000), NO_WRITE_LIMIT));
   }
 
-  /** What a backend does on a connection between two attempts. */
+  /** An action of the backend on an idle connection. */
   private interface BackendAction {
     void run(Socket connection) throws IOException;
   }
 
-  private void nextAttemptGetsANewConnectionAfter(BackendAction action) throws Exception {
-    assumeTrue(Epoll.isAvailable(), "only there the kernel tells what has not been read");
+  private void assertNextAttemptGetsNewConnectionAfter(BackendAction action) throws Exception {
+    assumeTrue(Epoll.isAvailable(), "unread input can be detected only with epoll");
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       server.setSoTimeout(10_000);
       BackendConnectionPool pool = poolOnTestClock(server);
       startAttempt(pool);
       Socket first = server.accept();
-      answer(first);
+      respond(first);
       loop.submit(
               () -> {
                 action.run(first);
-                nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(50));
-                pool.start(1, attempt(5_000), FOREVER);
+                nowNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(50));
+                pool.start(1, attempt(5_000), NO_WRITE_LIMIT);
                 return null;
               })
           .sync();
-      answer(server.accept());
-      assertTrue(ends.isEmpty(), "further ends of attempts");
+      respond(server.accept());
+      assertTrue(statuses.isEmpty(), "no other attempt should have ended");
     }
   }
 
-  private void answer(Socket backend) throws Exception {
-    read(backend);
+  private void respond(Socket backend) throws Exception {
+    readRequestHead(backend);
     backend.getOutputStream().write(EMPTY_RESPONSE.getBytes(US_ASCII));
-    assertEquals(Status.OK, TestQueues.next(ends));
+    assertEquals(Status.OK, TestQueues.next(statuses));
   }
 
-  private static void read(Socket backend) throws IOException {
+  private static void readRequestHead(Socket backend) throws IOException {
     backend.setSoTimeout(10_000);
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
       int next = backend.getInputStream().read();
-      assertTrue(next >= 0, "the connection is in use");
+      assertTrue(next >= 0, "connection closed before the end of the request head");
       head.append((char) next);
     }
   }
--- a/src/test/java/quotagateway/backend/IdleConnectionReuseTest.java
+++ b/src/test/java/quotagateway/backend/IdleConnectionReuseTest.java
@@ -5,13 +5,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How long an idle connection is trusted. */
+/** Tests the learned limit on the idle time of reused connections. */
 class IdleConnectionReuseTest {
 
   private final IdleConnectionReuse reuse = new IdleConnectionReuse();
 
   @Test
-  void allowsAnyIdleTimeWhileNoConnectionWasDead() {
+  void allowsAnyIdleTimeUntilADeadConnectionIsRecorded() {
     assertTrue(reuse.allowsReuseAfter(9_000));
   }
 
@@ -23,11 +23,11 @@
   }
 
   /**
-   * Connections died early during a fault. When it is over, those that survive show it, and the
-   * allowed time grows again.
+   * Idle connections died early during a fault. After the fault, connections that stay alive raise
+   * the allowed idle time again.
    */
   @Test
-  void allowsLongerIdleTimesAgainWhenConnectionsSurvive() {
+  void allowsLongerIdleTimesAgainWhenConnectionsStayAlive() {
     reuse.recordDead(200);
     for (int i = 0; i < 200; i++) {
       reuse.recordAlive(1_000);
--- a/src/test/java/quotagateway/backend/RequestBodyTest.java
+++ b/src/test/java/quotagateway/backend/RequestBodyTest.java
@@ -11,15 +11,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Who owns which buffer of a request's body, and when its source is asked for more. */
+/** Tests buffer ownership of request bodies and back pressure on their source. */
 class RequestBodyTest {
 
-  private int heldBytes;
-  private final List<Boolean> wanted = new ArrayList<>();
+  private int bufferedBytes;
+
+  /** Each call that resumes (true) or pauses (false) reading from the source. */
+  private final List<Boolean> readingChanges = new ArrayList<>();
+
   private final RecordingSink sink = new RecordingSink();
-  private final RequestBody body = new RequestBody(wanted::add, bytes -> heldBytes += bytes);
+  private final RequestBody body =
+      new RequestBody(readingChanges::add, change -> bufferedBytes += change);
 
-  /** Takes pieces as a connection does, and owns them. */
+  /** Takes ownership of the written buffers, as a connection does. */
   private static final class RecordingSink implements RequestBody.Sink {
     final List<ByteBuf> pieces = new ArrayList<>();
     boolean wantsMore = true;
@@ -41,100 +45,100 @@
     return Unpooled.copiedBuffer("x".repeat(size), US_ASCII);
   }
 
-  private boolean lastWanted() {
-    return wanted.get(wanted.size() - 1);
+  private boolean isReading() {
+    return readingChanges.get(readingChanges.size() - 1);
   }
 
   @Test
-  void keptBytesAreCopiedAndCountedUntilTheyAreReleased() {
-    ByteBuf lent = bytes(5);
-    body.add(lent);
-    assertEquals(1, lent.refCnt());
-    assertEquals(5, heldBytes);
-    ByteBuf kept = body.buffered();
+  void bufferedBytesAreCopiedAndCountedUntilRelease() {
+    ByteBuf callerBytes = bytes(5);
+    body.add(callerBytes);
+    assertEquals(1, callerBytes.refCnt());
+    assertEquals(5, bufferedBytes);
+    ByteBuf buffered = body.buffered();
     body.release();
-    assertEquals(0, kept.refCnt());
-    assertEquals(0, heldBytes);
-    assertEquals(1, lent.refCnt());
-    lent.release();
+    assertEquals(0, buffered.refCnt());
+    assertEquals(0, bufferedBytes);
+    assertEquals(1, callerBytes.refCnt());
+    callerBytes.release();
   }
 
-  /** The owners of a request release its body at more than one end; the second is no fault. */
+  /** Several owners of a request may release its body; only the first call has an effect. */
   @Test
-  void releaseMayBeCalledAgain() {
+  void releaseIsIdempotent() {
     body.add(bytes(5));
     body.release();
     body.release();
-    assertEquals(0, heldBytes);
+    assertEquals(0, bufferedBytes);
     assertEquals(0, body.buffered().readableBytes());
   }
 
-  /** A body over the bound would fill the memory: its source pauses until it is streamed. */
+  /** Without the pause, a body over the limit would use unbounded memory before it is streamed. */
   @Test
   void sourcePausesBeyondTheBufferUntilTheBodyIsStreamed() {
     body.add(bytes(RequestBody.MAX_BUFFERED_BYTES));
-    assertTrue(wanted.isEmpty());
+    assertTrue(readingChanges.isEmpty());
     body.add(bytes(1));
     assertTrue(body.exceedsBuffer());
-    assertFalse(lastWanted());
+    assertFalse(isReading());
     body.streamTo(sink);
-    assertTrue(lastWanted());
+    assertTrue(isReading());
     assertEquals(RequestBody.MAX_BUFFERED_BYTES + 1, sink.pieces.get(0).readableBytes());
-    assertEquals(0, heldBytes);
+    assertEquals(0, bufferedBytes);
   }
 
   @Test
-  void sinkOwnsEveryPieceThatItIsGiven() {
+  void sinkOwnsEveryBufferItIsGiven() {
     body.add(bytes(5));
     body.streamTo(sink);
-    ByteBuf lent = bytes(3);
-    body.add(lent);
-    assertEquals(2, lent.refCnt());
+    ByteBuf callerBytes = bytes(3);
+    body.add(callerBytes);
+    assertEquals(2, callerBytes.refCnt());
     body.release();
     assertEquals(1, sink.pieces.get(0).refCnt());
-    assertEquals(2, lent.refCnt());
+    assertEquals(2, callerBytes.refCnt());
   }
 
-  /** A backend that reads slowly stops its client, so that the body is not kept here. */
+  /** Back pressure from a slow backend pauses the client, so that the gateway buffers nothing. */
   @Test
-  void sourcePausesWhileTheSinkTakesNoMore() {
+  void sourcePausesWhileTheSinkIsNotWritable() {
     sink.wantsMore = false;
     body.streamTo(sink);
     body.add(bytes(5));
-    assertFalse(lastWanted());
+    assertFalse(isReading());
     body.onSinkWritable();
-    assertTrue(lastWanted());
+    assertTrue(isReading());
   }
 
   /**
-   * Reading pauses at the bytes that end a body. Nobody asks for more of a complete body, so its
-   * connection would never be read again.
+   * Reading pauses at the last bytes of a body. Nothing requests more of a complete body, so the
+   * client's connection would never be read again.
    */
   @Test
-  void endOfThePausedBodyResumesItsSource() {
+  void endOfAPausedBodyResumesItsSource() {
     body.add(bytes(RequestBody.MAX_BUFFERED_BYTES + 1));
-    assertFalse(lastWanted());
+    assertFalse(isReading());
     body.end();
-    assertTrue(lastWanted());
+    assertTrue(isReading());
     assertTrue(body.isComplete());
   }
 
-  /** The attempt that the body was streamed to has ended: no other one can have the rest. */
+  /** After part of the body has been streamed to one attempt, no other attempt can use the rest. */
   @Test
-  void bodyIsDroppedWhenItsSinkHasEnded() {
+  void bodyIsDiscardedWhenItsSinkIsDetached() {
     body.streamTo(sink);
     body.detach(sink);
-    ByteBuf lent = bytes(5);
-    body.add(lent);
+    ByteBuf callerBytes = bytes(5);
+    body.add(callerBytes);
     body.end();
-    assertEquals(1, lent.refCnt());
+    assertEquals(1, callerBytes.refCnt());
     assertTrue(sink.pieces.isEmpty());
     assertFalse(sink.ended);
   }
 
-  /** An attempt that never got a connection has no sink: its body stays whole for the next one. */
+  /** An attempt that never got a connection has no sink, so the body stays complete. */
   @Test
-  void bodyStaysForTheNextAttemptWhenAnotherSinkEnds() {
+  void bodyIsAvailableToTheNextAttemptWhenAnAttemptWithoutSinkEnds() {
     body.add(bytes(5));
     body.detach(null);
     body.end();
--- a/src/test/java/quotagateway/backend/ResponseClassifierTest.java
+++ b/src/test/java/quotagateway/backend/ResponseClassifierTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import quotagateway.policy.event.Status;
 
-/** How the head of a backend's response is mapped to a status. */
+/** Tests the mapping of response heads to statuses. */
 class ResponseClassifierTest {
 
   private static HttpResponse response(int status, String... headers) {
@@ -38,19 +38,18 @@
     "404,1,ERROR",
     "204,0,ERROR"
   })
-  void statusFollowsFromCodeAndNotStartedHeader(int code, String notStarted, Status expected) {
+  void mapsCodeAndNotStartedHeaderToStatus(int code, String notStarted, Status expected) {
     assertEquals(expected, ResponseClassifier.classify(response(code, "Not-Started", notStarted)));
   }
 
-  /** A 503 without the header may stem from a request that was executed: it proves nothing. */
+  /** A 503 without the header does not prove that the request was not executed. */
   @Test
-  void responseWithoutTheNotStartedHeaderProvesNothing() {
+  void classifies503WithoutNotStartedHeaderAsError() {
     assertEquals(Status.ERROR, ResponseClassifier.classify(response(503)));
   }
 
-  /** Without a length, chunks or an announced close nobody knows where the response ends. */
   @Test
-  void endIsKnownByLengthByChunksOrByAnAnnouncedClose() {
+  void endIsKnownFromContentLengthChunkedEncodingOrAnnouncedClose() {
     assertTrue(ResponseClassifier.hasKnownEnd(response(200, "Content-Length", "5")));
     assertTrue(ResponseClassifier.hasKnownEnd(response(200, "Transfer-Encoding", "chunked")));
     assertTrue(ResponseClassifier.hasKnownEnd(response(200, "Connection", "close")));
@@ -59,7 +58,7 @@
   }
 
   @Test
-  void informationalResponsesAreThoseBelow200() {
+  void responsesBelow200AreInformational() {
     assertTrue(ResponseClassifier.isInformational(response(100)));
     assertTrue(ResponseClassifier.isInformational(response(103)));
     assertFalse(ResponseClassifier.isInformational(response(200)));
--- a/src/test/java/quotagateway/backend/SingleEndpoint.java
+++ b/src/test/java/quotagateway/backend/SingleEndpoint.java
@@ -6,10 +6,10 @@
 import quotagateway.endpoint.ServingEndpoints;
 import quotagateway.transport.BackendAddress;
 
-/** An endpoint list of one backend, number 1. */
+/** An endpoint list of one backend with the identifier 1. */
 record SingleEndpoint(long listedAddress, double startedMs) implements ServingEndpoints {
 
-  /** At a port of this machine. */
+  /** Creates a list whose backend is at a port of the loopback address. */
   SingleEndpoint(int port) {
     this(BackendAddress.encode(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)), 0);
   }
--- a/src/test/java/quotagateway/backend/StalledResponseTest.java
+++ b/src/test/java/quotagateway/backend/StalledResponseTest.java
@@ -26,25 +26,25 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * A backend begins a response and then sends nothing for a while. Up to 250 ms it is slow, and its
- * response is served; beyond, it is given up while another attempt can still replace it. Without
- * sockets and in time that the test advances, so that no delay of the machine changes what is seen.
+ * Tests pauses of a backend within a response. With pauses below 250 ms the response is served;
+ * after a longer one it is abandoned while another attempt can still replace it. The test uses no
+ * sockets and its own clock, so that delays of the machine do not affect it.
  */
 class StalledResponseTest {
 
   private static final long MAX_STALL_MS = 250;
-  private static final double FOREVER = Double.POSITIVE_INFINITY;
+  private static final double NO_WRITE_LIMIT = Double.POSITIVE_INFINITY;
 
   private final EmbeddedChannel connection = new EmbeddedChannel();
-  private final List<String> ends = new ArrayList<>();
+  private final List<String> results = new ArrayList<>();
   private final StringBuilder streamed = new StringBuilder();
-  private long nanos;
+  private long nowNanos;
 
   private void startAttempt() {
     BackendConnectionPool pool =
         new BackendConnectionPool(
             new EmbeddedChannel().eventLoop(),
-            new MonotonicClock(() -> nanos),
+            new MonotonicClock(() -> nowNanos),
             (address, handler) -> {
               connection.pipeline().addLast(handler);
               return connection.newSucceededFuture();
@@ -54,7 +54,7 @@
             new SingleEndpoint(1));
     Endpoint endpoint = new Endpoint(1, "a", 0, EndpointState.SERVING, 1, 0);
     pool.onEndpointsUpdated(new EndpointUpdate(1, true, List.of(endpoint)));
-    pool.start(1, new RecordedAttempt(), FOREVER);
+    pool.start(1, new RecordedAttempt(), NO_WRITE_LIMIT);
     connection.releaseOutbound();
   }
 
@@ -80,7 +80,7 @@
 
     @Override
     public void onEnd(Status status, FullHttpResponse response) {
-      ends.add(
+      results.add(
           response == null ? "" + status : status + " " + response.content().toString(US_ASCII));
     }
   }
@@ -91,7 +91,7 @@
 
   private void advance(long ms) {
     for (long i = 0; i < ms; i++) {
-      nanos += TimeUnit.MILLISECONDS.toNanos(1);
+      nowNanos += TimeUnit.MILLISECONDS.toNanos(1);
       connection.advanceTimeBy(1, TimeUnit.MILLISECONDS);
       connection.runScheduledPendingTasks();
     }
@@ -99,20 +99,23 @@
 
   @ParameterizedTest
   @ValueSource(longs = {100, MAX_STALL_MS - 1})
-  void responseInPiecesWithinTheLimitIsServedWhole(long pauseMs) {
+  void servesCompleteResponseWhenPausesAreWithinTheLimit(long pauseMs) {
     startAttempt();
     receive("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n");
     for (int i = 0; i < 8; i++) {
       advance(pauseMs);
       receive("x");
     }
-    assertEquals(List.of("OK xxxxxxxx"), ends);
+    assertEquals(List.of("OK xxxxxxxx"), results);
   }
 
-  /** Without an announced length it is streamed once it is slow, as its client may wait for it. */
+  /**
+   * A slow response without an announced length is streamed, because its client may await the first
+   * bytes.
+   */
   @ParameterizedTest
   @ValueSource(longs = {100, MAX_STALL_MS - 1})
-  void chunkedResponseInPiecesWithinTheLimitIsServedWhole(long pauseMs) {
+  void streamsChunkedResponseWhenPausesAreWithinTheLimit(long pauseMs) {
     startAttempt();
     receive("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     for (int i = 0; i < 8; i++) {
@@ -121,18 +124,18 @@
     }
     receive("0\r\n\r\n");
     assertEquals("xxxxxxxx", streamed.toString());
-    assertEquals(List.of("OK"), ends);
+    assertEquals(List.of("OK"), results);
   }
 
-  /** It is looked at once in 250 ms, so that twice the limit is the latest time. */
+  /** The check runs every 250 ms, so a stall is detected after at most twice the limit. */
   @Test
-  void responseThatStopsIsGivenUpAsMalformed() {
+  void stalledResponseEndsAsMalformed() {
     startAttempt();
     receive("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nx");
     advance(MAX_STALL_MS - 1);
-    assertEquals(List.of(), ends);
+    assertEquals(List.of(), results);
     advance(MAX_STALL_MS + 1);
-    assertEquals(List.of("MALFORMED_RESPONSE"), ends);
+    assertEquals(List.of("MALFORMED_RESPONSE"), results);
     assertTrue(!connection.isActive());
   }
 }
--- a/src/test/java/quotagateway/transport/ConnectionBudgetTest.java
+++ b/src/test/java/quotagateway/transport/ConnectionBudgetTest.java
@@ -6,19 +6,19 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How clients and backends share the connections of a process. */
+/** Tests the division of a process's connections between clients and backends. */
 class ConnectionBudgetTest {
 
   private final ConnectionBudget budget = new ConnectionBudget(100);
 
-  /** A crowd of clients must not keep the first requests from reaching a backend. */
+  /** Many client connections must not prevent the first requests from reaching a backend. */
   @Test
-  void keepsAQuarterForBackendsThoughTheyHaveNone() {
+  void reservesAQuarterForBackendsWithoutConnections() {
     assertEquals(75, budget.maxClientConnections());
   }
 
   @Test
-  void leavesBackendsMoreAsTheyUseMore() {
+  void lowersTheClientLimitAsBackendsUseMoreConnections() {
     budget.addBackendConnections(20);
     assertEquals(72, budget.maxClientConnections());
     budget.addBackendConnections(-3);
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void givesBackendsLessThanAHalf() {
+  void limitsBackendsToLessThanHalfOfTheConnections() {
     budget.addBackendConnections(43);
     assertTrue(budget.hasRoomForBackendConnection());
     budget.addBackendConnections(1);
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void givesBackendsNothingWhereClientsHaveAllTheRest() {
+  void hasNoRoomForBackendsWhenClientsUseAllOtherConnections() {
     budget.addBackendConnections(1);
     budget.addClientConnections(98);
     assertTrue(budget.hasRoomForBackendConnection());
@@ -42,9 +42,9 @@
     assertFalse(budget.hasRoomForBackendConnection());
   }
 
-  /** During an upgrade two processes share the descriptors; the other one may end first. */
+  /** During an upgrade two processes share the descriptors, and either may end first. */
   @Test
-  void sharesWithAnotherProcessForAsLongAsItIsThere() {
+  void lowersTheLimitWhileAnotherProcessRuns() {
     budget.shareWithOtherProcess(40);
     assertEquals(30, budget.maxClientConnections());
     budget.shareWithOtherProcess(0);
--- a/src/test/java/quotagateway/transport/ExponentialBackoffTest.java
+++ b/src/test/java/quotagateway/transport/ExponentialBackoffTest.java
@@ -4,11 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The delays between attempts that fail one after another. */
+/** Tests the growth, jitter and reset of delays. */
 class ExponentialBackoffTest {
 
   @Test
-  void doublesUpToItsMaximumAndStartsAgainAfterAReset() {
+  void doublesTheDelayUpToTheMaximumAndRestartsAfterAReset() {
     ExponentialBackoff withoutJitter = new ExponentialBackoff(50, () -> 0.5);
     double[] expectedMs = {50, 100, 200, 400, 400};
     for (double delayMs : expectedMs) {
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void spreadsADelayFromHalfToOneAndAHalfTimesItsBase() {
+  void jitterVariesTheDelayFromHalfToOneAndAHalfTimesItsBase() {
     assertEquals(25, new ExponentialBackoff(50, () -> 0).nextDelayMs(400));
     assertEquals(75, new ExponentialBackoff(50, () -> 1).nextDelayMs(400));
   }
--- a/src/test/java/quotagateway/transport/PeriodicTaskTest.java
+++ b/src/test/java/quotagateway/transport/PeriodicTaskTest.java
@@ -8,51 +8,51 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Work that goes on after an exception. */
+/** Tests that work continues after an exception. */
 class PeriodicTaskTest {
 
   private static void fail() {
-    throw new IllegalStateException("as a test has it");
+    throw new IllegalStateException("expected by the test");
   }
 
   @Test
-  void anExceptionForOneElementDoesNotKeepTheOthersFromTheirWork() {
-    List<Integer> done = new ArrayList<>();
+  void processesOtherElementsWhenOneThrows() {
+    List<Integer> processed = new ArrayList<>();
     PeriodicTask.forEachIsolated(
         List.of(1, 2, 3),
-        one -> {
-          done.add(one);
-          if (one == 2) {
+        element -> {
+          processed.add(element);
+          if (element == 2) {
             fail();
           }
         });
-    assertEquals(List.of(1, 2, 3), done);
+    assertEquals(List.of(1, 2, 3), processed);
   }
 
-  /** As when a connection is closed by it. */
+  /** For example, closing a connection removes it from the collection of connections. */
   @Test
-  void theCollectionMayChangeDuringTheWork() {
-    List<Integer> all = new ArrayList<>(List.of(1, 2, 3));
-    PeriodicTask.forEachIsolated(all, all::remove);
-    assertEquals(List.of(), all);
+  void workMayModifyTheCollection() {
+    List<Integer> elements = new ArrayList<>(List.of(1, 2, 3));
+    PeriodicTask.forEachIsolated(elements, elements::remove);
+    assertEquals(List.of(), elements);
   }
 
   @Test
-  void aScheduledTaskRunsAgainAfterItThrew() {
+  void scheduledTaskRunsAgainAfterAnException() {
     EmbeddedChannel channel = new EmbeddedChannel();
-    int[] rounds = new int[1];
+    int[] runs = new int[1];
     PeriodicTask.schedule(
         channel.eventLoop(),
         100,
         () -> {
-          rounds[0]++;
+          runs[0]++;
           fail();
         });
     for (int i = 0; i < 3; i++) {
       channel.advanceTimeBy(100, TimeUnit.MILLISECONDS);
       channel.runScheduledPendingTasks();
     }
-    assertEquals(3, rounds[0]);
+    assertEquals(3, runs[0]);
     channel.close();
   }
 }
--- a/src/test/java/quotagateway/transport/SocketAddressesTest.java
+++ b/src/test/java/quotagateway/transport/SocketAddressesTest.java
@@ -7,7 +7,7 @@
 import java.net.InetSocketAddress;
 import org.junit.jupiter.api.Test;
 
-/** The text form of socket addresses. */
+/** Tests the parsing of socket addresses. */
 class SocketAddressesTest {
 
   @Test
@@ -18,9 +18,9 @@
         SocketAddresses.parse("127.0.0.1:0"));
   }
 
-  /** A name would have to be looked up, which would hold up the event loop. */
+  /** Host names are rejected too, because a name lookup would block the event loop. */
   @Test
-  void givesNullForAnythingElse() {
+  void returnsNullForAnyOtherText() {
     for (String text :
         new String[] {
           "",
