--- a/src/main/java/quotagateway/backend/Attempt.java
+++ b/src/main/java/quotagateway/backend/Attempt.java
@@ -14,8 +14,9 @@
  * status. Subclasses receive the response and the status. Confined to the event loop's thread.
  * Times are in milliseconds; points in time are on the gateway's clock.
  *
- * <p>An attempt waits for a connection, is written to it, and ends. The first of a response, a
- * closed connection, a timeout and a cancellation ends it; later ones have no effect.
+ * <p>An attempt waits for a connection, has its request written to it, and ends. The first of a
+ * response, a closed connection, a timeout and a cancellation ends the attempt; later ones have no
+ * effect.
  */
 public abstract class Attempt {
 
@@ -70,7 +71,7 @@
     return timeoutMs;
   }
 
-  /** Returns the attempt's deadline, or infinity if it has not been started or has no timeout. */
+  /** Returns the deadline, or infinity if the attempt has not started or its timeout is unknown. */
   final double deadlineMs() {
     return deadlineMs;
   }
--- a/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
+++ b/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
@@ -60,7 +60,7 @@
   private static final double NO_WRITE_LIMIT = Double.POSITIVE_INFINITY;
 
   /** The kernel acknowledges the first segments of a new connection without delay. */
-  private static final int EXCHANGES_BEFORE_DELAYED_ACKNOWLEDGEMENTS = 50;
+  private static final int EXCHANGES_BEFORE_DELAYED_ACKNOWLEDGMENTS = 50;
 
   private static final String EMPTY_RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
@@ -460,8 +460,7 @@
    * response.
    */
   @Test
-  void secondResponseHeldBackUntilAnAcknowledgementIsNotTreatedAsTheNextResponse()
-      throws Exception {
+  void secondResponseHeldBackUntilAnAcknowledgmentIsNotTreatedAsTheNextResponse() throws Exception {
     assumeTrue(Epoll.isAvailable(), "immediate acknowledgments require epoll");
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       server.setSoTimeout(10_000);
@@ -469,7 +468,7 @@
       startAttempt(pool);
       Socket first = server.accept();
       respond(first);
-      for (int i = 0; i < EXCHANGES_BEFORE_DELAYED_ACKNOWLEDGEMENTS; i++) {
+      for (int i = 0; i < EXCHANGES_BEFORE_DELAYED_ACKNOWLEDGMENTS; i++) {
         nowNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(50));
         startAttempt(pool);
         respond(first);
