--- a/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
+++ b/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
@@ -155,8 +155,8 @@
   /** The time of pools on the test's clock. */
   private final AtomicLong nowNanos = new AtomicLong();
 
-  private final EmbeddedChannel channel = new EmbeddedChannel();
-  private final ChannelPromise connectPromise = channel.newPromise();
+  private final EmbeddedChannel backendChannel = new EmbeddedChannel();
+  private final ChannelPromise connectPromise = backendChannel.newPromise();
 
   /** Returns a pool on the test's clock that connects when {@link #connectPromise} completes. */
   private BackendConnectionPool poolWithManualConnect() {
@@ -165,7 +165,7 @@
             new EmbeddedChannel().eventLoop(),
             new MonotonicClock(nowNanos::get),
             (address, handler) -> {
-              channel.pipeline().addLast(handler);
+              backendChannel.pipeline().addLast(handler);
               return connectPromise;
             },
             10_000,
@@ -185,7 +185,7 @@
   void timeoutHeaderExcludesTheTimeSpentConnecting() {
     poolWithManualConnect().start(1, attempt(1_000), NO_WRITE_LIMIT);
     completeConnectAfter(240_500);
-    ByteBuf written = channel.readOutbound();
+    ByteBuf written = backendChannel.readOutbound();
     String head = written.toString(US_ASCII);
     assertTrue(head.contains("Request-Timeout-Ms: 760\r\n"), head);
     written.release();
@@ -199,9 +199,9 @@
   void attemptIsNotWrittenWhenItsConnectionOpensAfterTheWriteLimit() {
     poolWithManualConnect().start(1, attempt(1_000), 200);
     completeConnectAfter(240_500);
-    assertNull(channel.readOutbound());
+    assertNull(backendChannel.readOutbound());
     assertEquals(Status.NOT_SENT, statuses.poll());
-    assertFalse(channel.isOpen());
+    assertFalse(backendChannel.isOpen());
   }
 
   /**
@@ -277,7 +277,7 @@
         assertEquals(Status.WRITE_INCOMPLETE, TestQueues.next(statuses));
         accepted.setSoTimeout(10_000);
         int received = accepted.getInputStream().readAllBytes().length;
-        assertTrue(received < size, "received " + received + " of " + size + " bytes");
+        assertTrue(received < size, received + " of " + size + " bytes received");
       }
     }
   }
@@ -296,13 +296,13 @@
             1_000) {
           @Override
           public void onEnd(Status status, FullHttpResponse response) {
-            connectionOpenAtEnd.add(channel.isOpen());
+            connectionOpenAtEnd.add(backendChannel.isOpen());
             statuses.add(status);
           }
         };
     poolWithManualConnect().start(1, attempt, NO_WRITE_LIMIT);
     completeConnectAfter(1_000);
-    channel.releaseOutbound();
+    backendChannel.releaseOutbound();
     attempt.abandon(attempt.statusIfCancelled());
     assertEquals(List.of(false), connectionOpenAtEnd);
     assertEquals(List.of(Status.CANCELLED), List.copyOf(statuses));
@@ -315,9 +315,9 @@
     poolWithManualConnect().start(1, attempt, NO_WRITE_LIMIT);
     attempt.abandon(attempt.statusIfCancelled());
     completeConnectAfter(1_000);
-    assertNull(channel.readOutbound());
+    assertNull(backendChannel.readOutbound());
     assertEquals(List.of(Status.NOT_SENT), List.copyOf(statuses));
-    assertFalse(channel.isOpen());
+    assertFalse(backendChannel.isOpen());
   }
 
   /**
@@ -331,8 +331,8 @@
     pool.onEndpointsUpdated(update(EndpointState.DRAINING));
     assertEquals(List.of(Status.NOT_SENT), List.copyOf(statuses));
     completeConnectAfter(1_000);
-    assertNull(channel.readOutbound());
-    assertFalse(channel.isOpen());
+    assertNull(backendChannel.readOutbound());
+    assertFalse(backendChannel.isOpen());
   }
 
   /**
@@ -345,20 +345,20 @@
     BackendConnectionPool pool = poolWithManualConnect();
     pool.start(1, attempt(1_000), NO_WRITE_LIMIT);
     completeConnectAfter(1_000);
-    channel.releaseOutbound();
+    backendChannel.releaseOutbound();
     pool.onEndpointsUpdated(update(EndpointState.DRAINING));
-    assertTrue(channel.isOpen());
-    channel.writeInbound(
+    assertTrue(backendChannel.isOpen());
+    backendChannel.writeInbound(
         Unpooled.copiedBuffer("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", US_ASCII));
     assertEquals(List.of(Status.OK), List.copyOf(statuses));
-    assertFalse(channel.isOpen());
+    assertFalse(backendChannel.isOpen());
   }
 
   @Test
   void attemptIsWrittenWhenItsConnectionOpensWithinTheWriteLimit() {
     poolWithManualConnect().start(1, attempt(1_000), 200);
     completeConnectAfter(190_500);
-    ByteBuf written = channel.readOutbound();
+    ByteBuf written = backendChannel.readOutbound();
     assertNotNull(written);
     written.release();
     assertTrue(statuses.isEmpty());
@@ -397,7 +397,7 @@
             new MonotonicClock(),
             (address, handler) -> {
               dialedAddresses.add(address);
-              return channel.newFailedFuture(new ChannelException("too many open files"));
+              return backendChannel.newFailedFuture(new ChannelException("too many open files"));
             },
             10_000,
             new ConnectionBudget(1),
@@ -425,7 +425,7 @@
       long idleNanos = System.nanoTime();
       TimeUnit.MILLISECONDS.sleep(50);
       loop.submit(() -> pool.start(1, attempt(5_000), NO_WRITE_LIMIT));
-      readRequestHead(first);
+      read(first);
       first.setSoLinger(true, 0);
       first.close();
       assertEquals(Status.MALFORMED_RESPONSE, TestQueues.next(statuses));
@@ -510,9 +510,9 @@
       server.setSoTimeout(10_000);
       BackendConnectionPool pool = poolOnTestClock(server);
       startAttempt(pool);
-      Socket first = server.accept();
-      readRequestHead(first);
-      first.getOutputStream().write((EMPTY_RESPONSE + EMPTY_RESPONSE).getBytes(US_ASCII));
+      Socket duplicating = server.accept();
+      read(duplicating);
+      duplicating.getOutputStream().write((EMPTY_RESPONSE + EMPTY_RESPONSE).getBytes(US_ASCII));
       assertEquals(Status.OK, TestQueues.next(statuses));
       for (int elapsedMs = 0; elapsedMs < 10_000; elapsedMs += 2_500) {
         startAttempt(pool);
@@ -618,12 +618,13 @@
   }
 
   private void respond(Socket backend) throws Exception {
-    readRequestHead(backend);
+    read(backend);
     backend.getOutputStream().write(EMPTY_RESPONSE.getBytes(US_ASCII));
     assertEquals(Status.OK, TestQueues.next(statuses));
   }
 
-  private static void readRequestHead(Socket backend) throws IOException {
+  /** Reads the head of a request. */
+  private static void read(Socket backend) throws IOException {
     backend.setSoTimeout(10_000);
     StringBuilder head = new StringBuilder();
     while (head.indexOf("\r\n\r\n") < 0) {
--- a/src/test/java/quotagateway/backend/RequestBodyTest.java
+++ b/src/test/java/quotagateway/backend/RequestBodyTest.java
@@ -55,9 +55,9 @@
     body.add(callerBytes);
     assertEquals(1, callerBytes.refCnt());
     assertEquals(5, bufferedBytes);
-    ByteBuf buffered = body.buffered();
+    ByteBuf internalBuffer = body.buffered();
     body.release();
-    assertEquals(0, buffered.refCnt());
+    assertEquals(0, internalBuffer.refCnt());
     assertEquals(0, bufferedBytes);
     assertEquals(1, callerBytes.refCnt());
     callerBytes.release();
