--- a/src/test/java/quotagateway/backend/IdleConnectionReuseTest.java
+++ b/src/test/java/quotagateway/backend/IdleConnectionReuseTest.java
@@ -5,33 +5,33 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How long an idle connection is trusted. */
+/** Tests the learned limit on the idle time of reused connections. */
 class IdleConnectionReuseTest {
 
   private final IdleConnectionReuse reuse = new IdleConnectionReuse();
 
   @Test
-  void allowsAnyIdleTimeWhileNoConnectionWasDead() {
-    assertTrue(reuse.allows(9_000));
+  void allowsAnyIdleTimeUntilADeadConnectionIsRecorded() {
+    assertTrue(reuse.allowsReuseAfter(9_000));
   }
 
   @Test
   void allowsHalfTheIdleTimeOfDeadConnections() {
     reuse.recordDead(200);
-    assertTrue(reuse.allows(90));
-    assertFalse(reuse.allows(110));
+    assertTrue(reuse.allowsReuseAfter(90));
+    assertFalse(reuse.allowsReuseAfter(110));
   }
 
   /**
-   * Connections died early during a fault. When it is over, those that survive show it, and the
-   * allowed time grows again.
+   * Idle connections died early during a fault. After the fault, connections that stay alive raise
+   * the allowed idle time again.
    */
   @Test
-  void allowsLongerIdleTimesAgainWhenConnectionsSurvive() {
+  void allowsLongerIdleTimesAgainWhenConnectionsStayAlive() {
     reuse.recordDead(200);
     for (int i = 0; i < 200; i++) {
       reuse.recordAlive(1_000);
     }
-    assertTrue(reuse.allows(900));
+    assertTrue(reuse.allowsReuseAfter(900));
   }
 }
