--- a/src/main/java/quotagateway/endpoint/Endpoint.java
+++ b/src/main/java/quotagateway/endpoint/Endpoint.java
@@ -1,16 +1,16 @@
 package quotagateway.endpoint;
 
 /**
- * One backend as discovery lists it.
+ * The entry of one backend in the endpoint list.
  *
- * @param id its number, alike at every gateway
- * @param zone where it runs
- * @param cell its part of the zone
- * @param state whether it takes requests
- * @param weight its capacity relative to others
- * @param startedMs when it started, in Unix milliseconds; 0 for long ago
- * @param address where it listens, as a number that only the network code reads; {@link
- *     #NO_ADDRESS} where none is listed
+ * @param id the backend's identifier, which is the same at every gateway
+ * @param zone the zone that the backend runs in
+ * @param cell the number of the cell within the zone
+ * @param state whether the backend accepts requests
+ * @param weight the capacity relative to other backends
+ * @param startedMs the start time, in Unix milliseconds; 0 if it was long ago
+ * @param address the address that the backend listens on, encoded as a number that only the network
+ *     code interprets; {@link #NO_ADDRESS} if none is listed
  */
 public record Endpoint(
     long id,
@@ -21,10 +21,10 @@
     double startedMs,
     long address) {
 
-  /** Stands for an address that is not known. */
+  /** Denotes an unknown address. */
   public static final long NO_ADDRESS = 0;
 
-  /** An endpoint without a listed address. */
+  /** Creates an endpoint without a listed address. */
   public Endpoint(
       long id, String zone, int cell, EndpointState state, double weight, double startedMs) {
     this(id, zone, cell, state, weight, startedMs, NO_ADDRESS);
--- a/src/main/java/quotagateway/endpoint/EndpointColumns.java
+++ b/src/main/java/quotagateway/endpoint/EndpointColumns.java
@@ -5,24 +5,24 @@
 import it.unimi.dsi.fastutil.longs.LongArrayList;
 
 /**
- * What is known of each endpoint, one column for each property and a few dozen bytes for each
- * endpoint, so that tens of thousands of them fit. An endpoint is known by its slot, which is free
- * for another one once it is removed. Owned by the policy's thread.
+ * The properties of all endpoints, stored in one column for each property. An endpoint takes a few
+ * dozen bytes, so that tens of thousands of them fit into memory. An endpoint is identified by its
+ * slot, which is reused after the endpoint is removed. Owned by the policy's thread.
  */
 final class EndpointColumns {
 
-  /** The columns grow by this part of their length: little is left unused. */
+  /** The columns grow by their length divided by this number, so that little capacity is unused. */
   private static final int GROWTH_DIVISOR = 32;
 
-  /** A short column grows by so many at least. */
+  /** Avoids frequent growth of short columns. */
   private static final int MIN_GROWTH = 16;
 
-  /** The low bits of an entry in the column of groups are its state. */
+  /** Number of low bits that hold the state in an entry of {@link #groupsAndStates}. */
   private static final int STATE_BITS = 2;
 
   private static final int STATE_MASK = (1 << STATE_BITS) - 1;
 
-  /** Negative, as no group is. */
+  /** Marks a free slot; negative, because no packed group and state is negative. */
   private static final int FREE_SLOT = -1;
 
   private static final EndpointState[] STATES = EndpointState.values();
@@ -34,12 +34,12 @@
   private final IntArrayList groupsAndStates = new IntArrayList();
   private final IntArrayList freeSlots = new IntArrayList();
 
-  /** How many slots there are, free ones included. */
+  /** Returns the number of slots, including free ones. */
   int capacity() {
     return ids.size();
   }
 
-  /** Whether an endpoint has this slot. */
+  /** Returns whether the slot belongs to an endpoint. */
   boolean isUsed(int slot) {
     return groupsAndStates.getInt(slot) >= 0;
   }
@@ -80,26 +80,26 @@
     return STATES[groupsAndStates.getInt(slot) & STATE_MASK];
   }
 
-  /** The state is packed by its ordinal, which never leaves this class. */
+  /** Sets the group and state. The state is stored as its ordinal, which is private to this class. */
   @SuppressWarnings("EnumOrdinal")
   void setGroupAndState(int slot, int group, EndpointState state) {
     groupsAndStates.set(slot, group << STATE_BITS | state.ordinal());
   }
 
-  /** Gives a slot to an endpoint, whose other properties are still to be set. */
+  /** Allocates a slot for an endpoint. The caller sets the other properties of the endpoint. */
   int allocate(long id) {
-    int slot = freeSlots.isEmpty() ? append() : freeSlots.popInt();
+    int slot = freeSlots.isEmpty() ? appendSlot() : freeSlots.popInt();
     ids.set(slot, id);
     return slot;
   }
 
-  /** Takes the slot from its endpoint. */
+  /** Frees the slot of a removed endpoint. */
   void release(int slot) {
     groupsAndStates.set(slot, FREE_SLOT);
     freeSlots.push(slot);
   }
 
-  private int append() {
+  private int appendSlot() {
     int slot = ids.size();
     if (slot == ids.elements().length) {
       grow(slot + Math.max(MIN_GROWTH, slot / GROWTH_DIVISOR));
@@ -112,7 +112,7 @@
     return slot;
   }
 
-  /** In place of the collections' own growth by a half, which would leave much unused. */
+  /** Grows the columns, because the lists would grow by half and leave much capacity unused. */
   private void grow(int capacity) {
     ids.ensureCapacity(capacity);
     addresses.ensureCapacity(capacity);
--- a/src/main/java/quotagateway/endpoint/EndpointGroups.java
+++ b/src/main/java/quotagateway/endpoint/EndpointGroups.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * The zones, their cells, and the serving endpoints of each. A cell of a zone is known by its group
- * number. Owned by the policy's thread.
+ * The zones and their cells, with the serving endpoints of each. A cell of a zone is identified by its
+ * group number. Owned by the policy's thread.
  */
 final class EndpointGroups {
 
@@ -18,57 +18,57 @@
   private final EndpointColumns columns;
   private final Map<String, Zone> zones = new HashMap<>();
 
-  /** By group number. */
+  /** Cells by group number. */
   private final List<Cell> cells = new ArrayList<>();
 
   EndpointGroups(EndpointColumns columns) {
     this.columns = columns;
   }
 
-  /** The endpoints of one zone, and its cells. */
+  /** The serving endpoints and the cells of one zone. */
   private static final class Zone {
     final String name;
     final OrderedSlots serving;
 
-    /** Group numbers by the numbers that the cells have in this zone. */
-    final Int2IntOpenHashMap groups = new Int2IntOpenHashMap();
+    /** Group numbers by cell number within this zone. */
+    final Int2IntOpenHashMap groupsByCell = new Int2IntOpenHashMap();
 
     Zone(String name, OrderedSlots serving) {
       this.name = name;
       this.serving = serving;
-      groups.defaultReturnValue(NONE);
+      groupsByCell.defaultReturnValue(NONE);
     }
   }
 
-  /** The endpoints of one cell of a zone. */
+  /** The serving endpoints of one cell of a zone. */
   private static final class Cell {
     final Zone zone;
-    final int numberInZone;
+    final int cellNumber;
 
-    /** Null until it is asked for: few cells are, and there may be tens of thousands. */
+    /** Null until first use, because few of possibly tens of thousands of cells are ever used. */
     OrderedSlots serving;
 
-    Cell(Zone zone, int numberInZone) {
+    Cell(Zone zone, int cellNumber) {
       this.zone = zone;
-      this.numberInZone = numberInZone;
+      this.cellNumber = cellNumber;
     }
   }
 
-  /** The group number of a cell; a new one gets the next higher number, the first one 0. */
-  int number(String zoneName, int cell) {
+  /** Returns the group number of a cell. New groups are numbered consecutively from 0. */
+  int groupNumber(String zoneName, int cell) {
     Zone zone = zones.get(zoneName);
     if (zone == null) {
       zone = new Zone(zoneName, new OrderedSlots(columns::id));
       zones.put(zoneName, zone);
     }
-    int known = zone.groups.get(cell);
-    if (known != NONE) {
-      return known;
+    int existing = zone.groupsByCell.get(cell);
+    if (existing != NONE) {
+      return existing;
     }
-    int added = cells.size();
-    zone.groups.put(cell, added);
+    int newGroup = cells.size();
+    zone.groupsByCell.put(cell, newGroup);
     cells.add(new Cell(zone, cell));
-    return added;
+    return newGroup;
   }
 
   String zone(int group) {
@@ -76,29 +76,29 @@
   }
 
   int cell(int group) {
-    return cells.get(group).numberInZone;
+    return cells.get(group).cellNumber;
   }
 
-  /** The serving endpoints of a zone, by identifier. */
-  OrderedSlots inZone(String zoneName) {
+  /** Returns the serving endpoints of a zone, ordered by identifier. */
+  OrderedSlots servingInZone(String zoneName) {
     Zone zone = zones.get(zoneName);
     return zone == null ? EMPTY : zone.serving;
   }
 
-  /** The serving endpoints of a cell of a zone, by identifier. */
-  OrderedSlots inCell(String zoneName, int cell) {
+  /** Returns the serving endpoints of a cell of a zone, ordered by identifier. */
+  OrderedSlots servingInCell(String zoneName, int cell) {
     Zone zone = zones.get(zoneName);
-    int group = zone == null ? NONE : zone.groups.get(cell);
-    return group == NONE ? EMPTY : inCell(cells.get(group));
+    int group = zone == null ? NONE : zone.groupsByCell.get(cell);
+    return group == NONE ? EMPTY : servingInCell(cells.get(group));
   }
 
-  /** The first call for a cell looks through its zone. */
-  private OrderedSlots inCell(Cell cell) {
+  /** Returns the serving endpoints of a cell. The first call for a cell scans its zone. */
+  private OrderedSlots servingInCell(Cell cell) {
     if (cell.serving == null) {
       cell.serving = new OrderedSlots(columns::id);
-      OrderedSlots inZone = cell.zone.serving;
-      for (int i = 0; i < inZone.size(); i++) {
-        int slot = inZone.get(i);
+      OrderedSlots zoneServing = cell.zone.serving;
+      for (int i = 0; i < zoneServing.size(); i++) {
+        int slot = zoneServing.get(i);
         if (cells.get(columns.group(slot)) == cell) {
           cell.serving.add(slot);
         }
@@ -107,8 +107,8 @@
     return cell.serving;
   }
 
-  /** An endpoint serves from now on, in the group that the columns give. */
-  void join(int slot) {
+  /** Adds an endpoint that now serves to its group, as given by the columns. */
+  void addServing(int slot) {
     Cell cell = cells.get(columns.group(slot));
     cell.zone.serving.add(slot);
     if (cell.serving != null) {
@@ -116,8 +116,11 @@
     }
   }
 
-  /** An endpoint of the group that the columns still give serves no more, or leaves the group. */
-  void leave(int slot) {
+  /**
+   * Removes an endpoint that stops serving or changes its group. The columns must still contain the
+   * old group.
+   */
+  void removeServing(int slot) {
     Cell cell = cells.get(columns.group(slot));
     cell.zone.serving.remove(slot);
     if (cell.serving != null) {
--- a/src/main/java/quotagateway/endpoint/EndpointIndex.java
+++ b/src/main/java/quotagateway/endpoint/EndpointIndex.java
@@ -6,16 +6,20 @@
 import java.util.function.IntConsumer;
 
 /**
- * All endpoints that discovery has listed, and the orders that choices are made in. An endpoint is
- * known by its slot, a small number that is free for another one once it is removed. A change costs
- * the logarithm of the list. Nothing is decided here. Owned by the policy's thread.
+ * An index of all endpoints that discovery has listed, with the ordered sets from which backends are
+ * selected. An endpoint is identified by its slot, a small number that is reused after the endpoint is
+ * removed. A change takes time logarithmic in the number of endpoints. The index makes no decisions.
+ * Owned by the policy's thread.
  */
 public class EndpointIndex implements ServingEndpoints {
 
-  /** Stands for no slot. */
+  /** Denotes the absence of a slot. */
   public static final int NONE = OrderedSlots.NONE;
 
-  /** Weights beyond these are junk, which would pass for nearly all or none of the fleet. */
+  /**
+   * Weights outside these bounds are invalid: the endpoint would count as nearly all or none of the
+   * fleet's capacity.
+   */
   private static final double MIN_WEIGHT = 1e-6;
 
   private static final double MAX_WEIGHT = 1e9;
@@ -24,73 +28,75 @@
   private final EndpointGroups groups = new EndpointGroups(columns);
   private final SnapshotRemoval removal = new SnapshotRemoval();
 
-  /** Slots of endpoints that drain or are removed, by identifier; others are found in an order. */
-  private final Long2IntOpenHashMap notServing = new Long2IntOpenHashMap();
+  /**
+   * Slots of draining and removed endpoints, by identifier; serving endpoints are found in the ordered set.
+   */
+  private final Long2IntOpenHashMap slotsNotServing = new Long2IntOpenHashMap();
 
   private final OrderedSlots serving = new OrderedSlots(this::id);
 
-  /** What the endpoint list says of those that are assumed to have started at another time. */
+  /** Listed start times, by slot, of the endpoints whose assumed start time differs. */
   private final Int2DoubleOpenHashMap listedStartsMs = new Int2DoubleOpenHashMap();
 
   private final WarmingUpEndpoints warmingUp = new WarmingUpEndpoints(columns);
   private final MeanWeight meanWeight = new MeanWeight();
   private OrderedSlots ranked;
-  private long gateway;
+  private long gatewayIndex;
 
-  /** An empty index of one gateway, whose order of ranks differs from those of others. */
-  public EndpointIndex(long gateway) {
-    notServing.defaultReturnValue(NONE);
-    rankFor(gateway);
+  /** Creates an empty index, whose ranking is specific to the gateway with the given index. */
+  public EndpointIndex(long gatewayIndex) {
+    slotsNotServing.defaultReturnValue(NONE);
+    rankForGateway(gatewayIndex);
   }
 
-  /** Orders the ranks anew for a gateway. */
-  public final void rankFor(long newGateway) {
-    gateway = newGateway;
-    ranked = new OrderedSlots(slot -> RendezvousHash.rank(id(slot), newGateway));
+  /** Recomputes the ranking for the gateway with the given index. */
+  public final void rankForGateway(long newGatewayIndex) {
+    gatewayIndex = newGatewayIndex;
+    ranked = new OrderedSlots(slot -> RendezvousHash.rank(id(slot), newGatewayIndex));
     for (int i = 0; i < serving.size(); i++) {
       ranked.add(serving.get(i));
     }
   }
 
-  /** The gateway that the ranks are for. */
-  public long gateway() {
-    return gateway;
+  /** Returns the index of the gateway that the ranking is for. */
+  public long gatewayIndex() {
+    return gatewayIndex;
   }
 
-  // ---- Orders ----
+  // ---- Ordered sets ----
 
-  /** The slot of an endpoint, or {@link #NONE}. */
+  /** Returns the slot of an endpoint, or {@link #NONE} if the index does not contain it. */
   public int find(long id) {
     int slot = serving.find(id);
-    return slot == NONE ? notServing.get(id) : slot;
+    return slot == NONE ? slotsNotServing.get(id) : slot;
   }
 
-  /** All endpoints that serve, by identifier. */
+  /** Returns the serving endpoints, ordered by identifier. */
   public OrderedSlots serving() {
     return serving;
   }
 
-  /** The same in the gateway's own order. */
+  /** Returns the serving endpoints, in the ranking of this gateway. */
   public OrderedSlots ranked() {
     return ranked;
   }
 
-  /** Those of them in a zone, by identifier. */
-  public OrderedSlots inZone(String zone) {
-    return groups.inZone(zone);
+  /** Returns the serving endpoints of a zone, ordered by identifier. */
+  public OrderedSlots servingInZone(String zone) {
+    return groups.servingInZone(zone);
   }
 
-  /** Those of them in a cell of a zone, by identifier. */
-  public OrderedSlots inCell(String zone, int cell) {
-    return groups.inCell(zone, cell);
+  /** Returns the serving endpoints of a cell of a zone, ordered by identifier. */
+  public OrderedSlots servingInCell(String zone, int cell) {
+    return groups.servingInCell(zone, cell);
   }
 
-  /** Whether an endpoint is among the first so many in the gateway's own order. */
-  public boolean isAmongFirst(int count, int slot) {
+  /** Returns whether an endpoint is among the first {@code count} in the gateway's ranking. */
+  public boolean isRankedWithin(int count, int slot) {
     return count > 0
         && state(slot) == EndpointState.SERVING
-        && RendezvousHash.rank(id(slot), gateway)
-            <= RendezvousHash.rank(id(ranked.get(count - 1)), gateway);
+        && RendezvousHash.rank(id(slot), gatewayIndex)
+            <= RendezvousHash.rank(id(ranked.get(count - 1)), gatewayIndex);
   }
 
   // ---- One endpoint ----
@@ -98,8 +104,8 @@
   @Override
   public long address(long id) {
     int slot = find(id);
-    boolean serves = slot != NONE && state(slot) == EndpointState.SERVING && !hasLeft(slot);
-    return serves ? columns.address(slot) : Endpoint.NO_ADDRESS;
+    boolean isServing = slot != NONE && state(slot) == EndpointState.SERVING && !isPendingRemoval(slot);
+    return isServing ? columns.address(slot) : Endpoint.NO_ADDRESS;
   }
 
   @Override
@@ -113,74 +119,74 @@
     return serving.size() > 0;
   }
 
-  /** The identifier of an endpoint. */
+  /** Returns the identifier of an endpoint. */
   public long id(int slot) {
     return columns.id(slot);
   }
 
-  /** The capacity of an endpoint relative to others. */
+  /** Returns the capacity of an endpoint relative to others. */
   public double weight(int slot) {
     return columns.weight(slot);
   }
 
-  /** When it is assumed to have started, in Unix milliseconds; 0 when that was long ago. */
+  /** Returns the assumed start time of an endpoint, in Unix milliseconds; 0 if it was long ago. */
   public double assumedStartMs(int slot) {
     return columns.startedMs(slot);
   }
 
-  /** The state of an endpoint. */
+  /** Returns the state of an endpoint. */
   public EndpointState state(int slot) {
     return columns.state(slot);
   }
 
-  /** The group number of its zone and cell. */
+  /** Returns the group number of an endpoint's zone and cell. */
   public int group(int slot) {
     return columns.group(slot);
   }
 
-  /** The zone of a group. */
+  /** Returns the zone of a group. */
   public String zone(int group) {
     return groups.zone(group);
   }
 
-  /** The number that a group has as a cell of its zone. */
+  /** Returns the cell number of a group within its zone. */
   public int cell(int group) {
     return groups.cell(group);
   }
 
-  /** Whether it started less than so long ago. */
+  /** Returns whether an endpoint started less than {@code warmUpMs} ago. */
   public boolean isWarmingUp(int slot, double warmUpMs, double nowMs) {
     return warmingUp.isWarmingUp(slot, warmUpMs, nowMs);
   }
 
-  /** Whether an endpoint has left, though its orders still have it. */
-  public boolean hasLeft(int slot) {
+  /** Returns whether an endpoint is no longer listed but is still in the ordered sets. */
+  public boolean isPendingRemoval(int slot) {
     return removal.isPending(slot);
   }
 
-  /** How many slots there are, free ones included. */
+  /** Returns the number of slots, including free ones. */
   public int capacity() {
     return columns.capacity();
   }
 
-  /** Whether an endpoint has this slot. */
+  /** Returns whether the slot belongs to an endpoint. */
   public boolean isUsed(int slot) {
     return columns.isUsed(slot);
   }
 
-  // ---- All endpoints that serve ----
+  // ---- All serving endpoints ----
 
-  /** The mean weight of those that serve; 1 where none does. */
+  /** Returns the mean weight of the serving endpoints, or 1 if there are none. */
   public double meanWeight() {
     return meanWeight.value();
   }
 
-  /** How many of those that serve started no less than so long ago. */
+  /** Returns the number of serving endpoints that started at least {@code warmUpMs} ago. */
   public int countWarm(double warmUpMs, double nowMs) {
     return serving.size() - warmingUp.count(warmUpMs, nowMs);
   }
 
-  /** Looks anew at which endpoints are warming up, as another time holds for that. */
+  /** Recomputes which endpoints are warming up after a change of the warm-up time. */
   public void recountWarmingUp(double warmUpMs, double nowMs) {
     for (int i = 0; i < serving.size(); i++) {
       int slot = serving.get(i);
@@ -191,29 +197,29 @@
 
   // ---- Changes ----
 
-  /** The group number of a zone and cell; a new one gets the next higher number, the first 0. */
+  /** Returns the group number of a zone and cell. New groups are numbered consecutively from 0. */
   public int group(String zone, int cell) {
-    return groups.number(zone, cell);
+    return groups.groupNumber(zone, cell);
   }
 
-  /** Gives a slot to an endpoint that is not known; it counts as removed until its update. */
+  /** Adds a new endpoint and returns its slot. Its state is {@code REMOVED} until it is updated. */
   public int add(long id, int group) {
     int slot = columns.allocate(id);
     columns.setGroupAndState(slot, group, EndpointState.REMOVED);
-    notServing.put(id, slot);
+    slotsNotServing.put(id, slot);
     return slot;
   }
 
-  /** Takes where an endpoint listens. */
+  /** Sets the address that an endpoint listens on. */
   public void setAddress(int slot, long address) {
     columns.setAddress(slot, address);
   }
 
   /**
-   * Takes what the endpoint list says of an endpoint now.
+   * Updates the properties of an endpoint.
    *
-   * @param startedMs when it is assumed to have started; 0 for long ago
-   * @param warmUpMs for how long it then warms up
+   * @param startedMs the assumed start time in Unix milliseconds; 0 if it was long ago
+   * @param warmUpMs time after its start during which the endpoint warms up
    */
   public void update(
       int slot,
@@ -224,32 +230,32 @@
       double warmUpMs,
       double nowMs) {
     removal.keep(slot);
-    boolean served = state(slot) == EndpointState.SERVING;
-    boolean serves = state == EndpointState.SERVING;
-    boolean ordersChange = served != serves || group(slot) != group;
-    if (served) {
+    boolean wasServing = state(slot) == EndpointState.SERVING;
+    boolean isServing = state == EndpointState.SERVING;
+    boolean orderedSetsChange = wasServing != isServing || group(slot) != group;
+    if (wasServing) {
       warmingUp.remove(slot);
       meanWeight.subtract(weight(slot));
-      if (ordersChange) {
-        leaveOrders(slot);
+      if (orderedSetsChange) {
+        removeFromOrderedSets(slot);
       }
     }
     columns.setGroupAndState(slot, group, state);
     columns.setWeight(slot, Math.min(Math.max(weight, MIN_WEIGHT), MAX_WEIGHT));
     columns.setStartedMs(slot, startedMs);
-    if (serves) {
-      if (ordersChange) {
-        joinOrders(slot);
+    if (isServing) {
+      if (orderedSetsChange) {
+        addToOrderedSets(slot);
       }
       meanWeight.add(weight(slot));
       warmingUp.addIfWarmingUp(slot, warmUpMs, nowMs);
     }
-    if (!serves && served) {
-      notServing.put(id(slot), slot);
+    if (!isServing && wasServing) {
+      slotsNotServing.put(id(slot), slot);
     }
   }
 
-  /** Assumes that an endpoint started then, whatever the endpoint list says. */
+  /** Sets the assumed start time of an endpoint, overriding the endpoint list. */
   public void assumeStarted(int slot, double startedMs, double warmUpMs, double nowMs) {
     double listedStartMs = listedStartsMs.getOrDefault(slot, assumedStartMs(slot));
     if (startedMs == listedStartMs) {
@@ -264,53 +270,54 @@
     }
   }
 
-  /** The endpoint list names another process of an endpoint: what was assumed is over. */
-  public void forgetAssumedStart(int slot) {
+  /** Discards the override of an endpoint's start time, because its process was replaced. */
+  public void clearAssumedStart(int slot) {
     listedStartsMs.remove(slot);
   }
 
   /**
-   * All endpoints but those whose slots are named, and those that are updated from now on, have
-   * left: {@link #hasLeft} says so at once, and {@link #sweep} removes them.
+   * Marks all endpoints as no longer listed, except those with the given slots and those that are
+   * updated from now on. {@link #isPendingRemoval} reflects this at once; {@link #sweep} then sets the
+   * state of the marked endpoints to {@code REMOVED}.
    */
-  public void keepOnly(BitSet namedSlots) {
-    removal.begin(namedSlots);
+  public void beginSnapshotRemoval(BitSet listedSlots) {
+    removal.begin(listedSlots);
   }
 
   /**
-   * Has up to so many of those that have left count as removed, and hands over their slots; true if
-   * any remain.
+   * Sets the state of up to {@code maxRemovals} endpoints that are no longer listed to {@code REMOVED},
+   * and passes their slots to the consumer. Returns whether more slots remain to be checked.
    */
-  public boolean sweep(int maxRemovals, IntConsumer removed) {
-    int count = 0;
-    while (removal.isUnderWay() && count < maxRemovals) {
+  public boolean sweep(int maxRemovals, IntConsumer onRemoved) {
+    int removedCount = 0;
+    while (removal.isInProgress() && removedCount < maxRemovals) {
       int slot = removal.next(capacity());
       if (slot != NONE && isUsed(slot) && state(slot) != EndpointState.REMOVED) {
         update(slot, group(slot), EndpointState.REMOVED, weight(slot), assumedStartMs(slot), 0, 0);
-        removed.accept(slot);
-        count++;
+        onRemoved.accept(slot);
+        removedCount++;
       }
     }
-    return removal.isUnderWay();
+    return removal.isInProgress();
   }
 
-  /** Forgets an endpoint that does not serve; its slot is free. */
+  /** Removes an endpoint that is not serving, and frees its slot. */
   public void remove(int slot) {
-    notServing.remove(id(slot));
+    slotsNotServing.remove(id(slot));
     listedStartsMs.remove(slot);
     columns.release(slot);
   }
 
-  private void joinOrders(int slot) {
-    notServing.remove(id(slot));
+  private void addToOrderedSets(int slot) {
+    slotsNotServing.remove(id(slot));
     serving.add(slot);
     ranked.add(slot);
-    groups.join(slot);
+    groups.addServing(slot);
   }
 
-  private void leaveOrders(int slot) {
+  private void removeFromOrderedSets(int slot) {
     serving.remove(slot);
     ranked.remove(slot);
-    groups.leave(slot);
+    groups.removeServing(slot);
   }
 }
--- a/src/main/java/quotagateway/endpoint/EndpointListForm.java
+++ b/src/main/java/quotagateway/endpoint/EndpointListForm.java
@@ -1,18 +1,18 @@
 package quotagateway.endpoint;
 
-/** What a message of the endpoint list stands for. */
+/** The form of an update of the endpoint list. */
 public enum EndpointListForm {
-  /** Only what changed. */
+  /** Only the changed endpoints. */
   DELTA,
-  /** All endpoints: what is not named is gone. */
+  /** All endpoints; endpoints that it does not contain are removed. */
   SNAPSHOT,
-  /** All endpoints as they were known before this process started. */
+  /** All endpoints as known before this process started. */
   CACHED_SNAPSHOT,
-  /** The list could not be had. */
+  /** The list could not be retrieved. */
   FAILED,
   /**
-   * A part of a list of which more follows: the next message of another form is its end, and gives
-   * the form of the whole. Its entries hold at once.
+   * A part of a list that continues in the next update. The next update of another form completes the
+   * list and determines the form of the complete list. The entries of a fragment apply at once.
    */
   FRAGMENT
 }
--- a/src/main/java/quotagateway/endpoint/EndpointState.java
+++ b/src/main/java/quotagateway/endpoint/EndpointState.java
@@ -2,10 +2,10 @@
 
 /** The state of an endpoint in the endpoint list. */
 public enum EndpointState {
-  /** It takes requests. */
+  /** The endpoint accepts requests. */
   SERVING,
-  /** It finishes the requests that it has, and must get no more. */
+  /** The endpoint completes its outstanding requests and must not get new ones. */
   DRAINING,
-  /** It is gone. */
+  /** The endpoint is no longer listed. */
   REMOVED
 }
--- a/src/main/java/quotagateway/endpoint/OrderedSlots.java
+++ b/src/main/java/quotagateway/endpoint/OrderedSlots.java
@@ -1,25 +1,23 @@
 package quotagateway.endpoint;
 
 /**
- * A set of slot numbers in the order of their keys, and of the numbers themselves where keys are
- * equal. Finding, adding, removing and reaching a slot by its position take the logarithm of the
- * size. A slot's key must not change while it is in the set. Owned by the policy's thread.
+ * A set of slots, ordered by key and then by slot number. Finding, adding and removing a slot, and
+ * getting a slot by position, take time logarithmic in the size. The key of a slot must not change
+ * while the slot is in the set. Owned by the policy's thread.
  *
- * <p>It is a B+ tree whose nodes know how many slots are below them. The leaves hold no keys, so
- * that a slot takes some six bytes; the other nodes hold the first key of each child, so that a
- * search looks up few.
+ * <p>The set is a B+ tree whose nodes store the number of slots in their subtrees. Leaves store no
+ * keys, so that a slot takes about six bytes. Inner nodes store the first key of each child, so that a
+ * search looks up few keys.
  */
 public final class OrderedSlots {
 
-  /** Stands for no slot. */
+  /** Denotes the absence of a slot. */
   static final int NONE = -1;
 
-  /**
-   * Neighbours that hold no more than this together become one, so that a shrunken tree is small.
-   */
+  /** Neighboring nodes with at most this many entries in total are merged, so that a tree that shrinks frees memory. */
   private static final int MAX_MERGED_ENTRIES = SlotNode.MAX_ENTRIES / 2;
 
-  /** Gives the key of a slot. */
+  /** Provides the key of a slot. */
   interface Key {
     long of(int slot);
   }
@@ -31,22 +29,22 @@
     this.key = key;
   }
 
-  /** How many slots it holds. */
+  /** Returns the number of slots. */
   public int size() {
-    return root.count;
+    return root.slotCount;
   }
 
-  /** The slot at that position in the order, from 0. */
+  /** Returns the slot at a position in the order, starting at 0. */
   public int get(int position) {
-    if (position < 0 || position >= root.count) {
-      throw new IndexOutOfBoundsException("position " + position + " of " + root.count);
+    if (position < 0 || position >= root.slotCount) {
+      throw new IndexOutOfBoundsException("position " + position + " of " + root.slotCount);
     }
     SlotNode node = root;
     int remaining = position;
     while (!node.isLeaf()) {
       int child = 0;
-      while (remaining >= node.children[child].count) {
-        remaining -= node.children[child].count;
+      while (remaining >= node.children[child].slotCount) {
+        remaining -= node.children[child].slotCount;
         child++;
       }
       node = node.children[child];
@@ -54,27 +52,26 @@
     return node.slots[remaining];
   }
 
-  /** The first slot with that key, or {@link #NONE}. */
-  int find(long sought) {
+  /** Returns the first slot with the given key, or {@link #NONE}. */
+  int find(long targetKey) {
     SlotNode node = root;
-    int follower = NONE;
+    int firstOfNextChild = NONE;
     while (!node.isLeaf()) {
-      // No slot number is negative, so this is the child that begins ahead of all slots of that
-      // key.
-      int child = childFor(node, sought, NONE);
-      if (child + 1 < node.used && node.keys[child + 1] == sought) {
-        follower = node.slots[child + 1];
+      // NONE is below every slot number, so this child starts before all slots with the key.
+      int child = childPosition(node, targetKey, NONE);
+      if (child + 1 < node.entryCount && node.keys[child + 1] == targetKey) {
+        firstOfNextChild = node.slots[child + 1];
       }
       node = node.children[child];
     }
-    int at = positionInLeaf(node, sought, NONE);
-    if (at == node.used) {
-      return follower;
+    int position = positionInLeaf(node, targetKey, NONE);
+    if (position == node.entryCount) {
+      return firstOfNextChild;
     }
-    return key.of(node.slots[at]) == sought ? node.slots[at] : NONE;
+    return key.of(node.slots[position]) == targetKey ? node.slots[position] : NONE;
   }
 
-  /** Adds a slot that is not in the tree. */
+  /** Adds a slot that is not in the set. */
   void add(int slot) {
     SlotNode left = root;
     SlotNode right = add(root, slot, key.of(slot));
@@ -85,32 +82,32 @@
   }
 
   private SlotNode add(SlotNode node, int slot, long slotKey) {
-    int at;
+    int position;
     if (node.isLeaf()) {
-      at = positionInLeaf(node, slotKey, slot);
-      node.insert(at, slot);
+      position = positionInLeaf(node, slotKey, slot);
+      node.insert(position, slot);
     } else {
-      at = childFor(node, slotKey, slot);
-      SlotNode right = add(node.children[at], slot, slotKey);
-      node.count++;
-      updateFirst(node, at);
+      position = childPosition(node, slotKey, slot);
+      SlotNode right = add(node.children[position], slot, slotKey);
+      node.slotCount++;
+      updateFirstSlot(node, position);
       if (right != null) {
-        node.count -= right.count;
-        at++;
-        node.insert(at, right, firstKey(right));
+        node.slotCount -= right.slotCount;
+        position++;
+        node.insert(position, right, firstKey(right));
       }
     }
-    if (node.used <= SlotNode.MAX_ENTRIES) {
+    if (node.entryCount <= SlotNode.MAX_ENTRIES) {
       return null;
     }
-    // What is added in order leaves full nodes behind.
-    return node.split(at == node.used - 1 ? SlotNode.MAX_ENTRIES : SlotNode.MAX_ENTRIES / 2);
+    // A split at the last entry leaves full nodes if slots are added in ascending order.
+    return node.split(position == node.entryCount - 1 ? SlotNode.MAX_ENTRIES : SlotNode.MAX_ENTRIES / 2);
   }
 
-  /** Removes a slot; false where it is not in the tree. */
+  /** Removes a slot. Returns false if the slot is not in the set. */
   boolean remove(int slot) {
     boolean removed = remove(root, slot, key.of(slot));
-    while (!root.isLeaf() && root.used == 1) {
+    while (!root.isLeaf() && root.entryCount == 1) {
       root = root.children[0];
     }
     return removed;
@@ -118,38 +115,38 @@
 
   private boolean remove(SlotNode node, int slot, long slotKey) {
     if (node.isLeaf()) {
-      int at = positionInLeaf(node, slotKey, slot);
-      if (at == node.used || node.slots[at] != slot) {
+      int position = positionInLeaf(node, slotKey, slot);
+      if (position == node.entryCount || node.slots[position] != slot) {
         return false;
       }
-      node.removeSlot(at);
+      node.removeSlot(position);
       return true;
     }
-    int at = childFor(node, slotKey, slot);
-    if (!remove(node.children[at], slot, slotKey)) {
+    int position = childPosition(node, slotKey, slot);
+    if (!remove(node.children[position], slot, slotKey)) {
       return false;
     }
-    node.count--;
-    if (node.children[at].used == 0) {
-      node.removeChild(at);
+    node.slotCount--;
+    if (node.children[position].entryCount == 0) {
+      node.removeChild(position);
     } else {
-      updateFirst(node, at);
-      if (at > 0) {
-        merge(node, at - 1);
-      } else if (node.used > 1) {
+      updateFirstSlot(node, position);
+      if (position > 0) {
+        merge(node, position - 1);
+      } else if (node.entryCount > 1) {
         merge(node, 0);
       }
     }
     return true;
   }
 
-  /** Merges a child with its right neighbour, if they are small enough. */
-  private static void merge(SlotNode node, int left) {
-    SlotNode right = node.children[left + 1];
-    if (node.children[left].used + right.used <= MAX_MERGED_ENTRIES) {
-      node.removeChild(left + 1);
-      node.children[left].append(right);
-      node.count += right.count;
+  /** Merges a child with its right neighbor if they are small enough. */
+  private static void merge(SlotNode node, int leftAt) {
+    SlotNode right = node.children[leftAt + 1];
+    if (node.children[leftAt].entryCount + right.entryCount <= MAX_MERGED_ENTRIES) {
+      node.removeChild(leftAt + 1);
+      node.children[leftAt].append(right);
+      node.slotCount += right.slotCount;
     }
   }
 
@@ -157,22 +154,22 @@
     return node.isLeaf() ? key.of(node.slots[0]) : node.keys[0];
   }
 
-  /** Takes over the first slot and key of a child, which may have changed. */
-  private void updateFirst(SlotNode node, int at) {
-    SlotNode child = node.children[at];
-    if (node.slots[at] != child.slots[0]) {
-      node.slots[at] = child.slots[0];
-      node.keys[at] = firstKey(child);
+  /** Updates the entry of a child whose first slot and key may have changed. */
+  private void updateFirstSlot(SlotNode node, int position) {
+    SlotNode child = node.children[position];
+    if (node.slots[position] != child.slots[0]) {
+      node.slots[position] = child.slots[0];
+      node.keys[position] = firstKey(child);
     }
   }
 
-  /** Where in a leaf the slot is or would be. */
+  /** Returns the position in a leaf at which the slot is or would be inserted. */
   private int positionInLeaf(SlotNode leaf, long slotKey, int slot) {
     int low = 0;
-    int high = leaf.used;
+    int high = leaf.entryCount;
     while (low < high) {
       int middle = (low + high) >>> 1;
-      if (before(key.of(leaf.slots[middle]), leaf.slots[middle], slotKey, slot)) {
+      if (isBefore(key.of(leaf.slots[middle]), leaf.slots[middle], slotKey, slot)) {
         low = middle + 1;
       } else {
         high = middle;
@@ -181,13 +178,13 @@
     return low;
   }
 
-  /** The last child that begins no later than the slot, or the first. */
-  private static int childFor(SlotNode node, long slotKey, int slot) {
+  /** Returns the position of the last child that starts at or before the slot, or else 0. */
+  private static int childPosition(SlotNode node, long slotKey, int slot) {
     int low = 0;
-    int high = node.used - 1;
+    int high = node.entryCount - 1;
     while (low < high) {
       int middle = (low + high + 1) >>> 1;
-      if (before(slotKey, slot, node.keys[middle], node.slots[middle])) {
+      if (isBefore(slotKey, slot, node.keys[middle], node.slots[middle])) {
         high = middle - 1;
       } else {
         low = middle;
@@ -196,7 +193,7 @@
     return low;
   }
 
-  private static boolean before(long key, int slot, long otherKey, int otherSlot) {
+  private static boolean isBefore(long key, int slot, long otherKey, int otherSlot) {
     return key < otherKey || (key == otherKey && slot < otherSlot);
   }
 }
--- a/src/main/java/quotagateway/endpoint/ServingEndpoints.java
+++ b/src/main/java/quotagateway/endpoint/ServingEndpoints.java
@@ -1,13 +1,16 @@
 package quotagateway.endpoint;
 
-/** What the network code looks up of endpoints. */
+/** The lookups of endpoints that the network code needs. */
 public interface ServingEndpoints {
-  /** Where an endpoint listens; {@link Endpoint#NO_ADDRESS} for one that does not serve. */
+  /** Returns the address of an endpoint, or {@link Endpoint#NO_ADDRESS} if it is not serving. */
   long address(long id);
 
-  /** When a serving endpoint started, as the endpoint list says, in Unix milliseconds. */
+  /**
+   * Returns the start time of an endpoint in the endpoint list, in Unix milliseconds; 0 if it was long
+   * ago or the endpoint is unknown.
+   */
   double startedMs(long id);
 
-  /** Whether any endpoint serves. */
+  /** Returns whether any endpoint is serving. */
   boolean anyServing();
 }
--- a/src/main/java/quotagateway/endpoint/SlotNode.java
+++ b/src/main/java/quotagateway/endpoint/SlotNode.java
@@ -3,47 +3,47 @@
 import java.util.Arrays;
 
 /**
- * A node of the tree of {@link OrderedSlots}: an array list that knows how many slots are below it.
- * It keeps no order of its own. Owned by the policy's thread.
+ * A node of the tree of {@link OrderedSlots}: array lists of entries, and the number of slots in the
+ * subtree. The caller keeps the entries in order. Owned by the policy's thread.
  */
 final class SlotNode {
 
   /**
-   * Entries of a node: a small share of an entry's cost is the node's own, and moving them is
-   * cheap.
+   * Maximum number of entries of a node: enough to make the node's own overhead for each entry small,
+   * and few enough to make moving entries cheap.
    */
   static final int MAX_ENTRIES = 128;
 
   private static final int INITIAL_CAPACITY = 4;
 
-  /** A node grows by so many entries at most, and is cut to what it holds at a split. */
+  /** Limits the unused capacity of a node; a split also trims the left node to its entries. */
   private static final int MAX_GROWTH = 16;
 
-  /** Of a leaf, its slots; of any other node, the first slot below each child. */
+  /** The slots of a leaf, or the first slot in the subtree of each child of an inner node. */
   int[] slots;
 
-  /** The keys of those first slots; null in a leaf. */
+  /** The keys of the first slots of the children; null in a leaf. */
   long[] keys;
 
-  /** Null in a leaf. */
+  /** The children of an inner node; null in a leaf. */
   SlotNode[] children;
 
-  /** Entries in use of the arrays above. */
-  int used;
+  /** Number of entries in use in the arrays above. */
+  int entryCount;
 
-  /** Slots in this node and all below it. */
-  int count;
+  /** Number of slots in the subtree of this node. */
+  int slotCount;
 
   private SlotNode() {}
 
-  /** An empty leaf. */
+  /** Creates an empty leaf. */
   static SlotNode leaf() {
     SlotNode leaf = new SlotNode();
     leaf.slots = new int[INITIAL_CAPACITY];
     return leaf;
   }
 
-  /** A node with one child, whose first slot has that key. */
+  /** Creates an inner node with one child, whose first slot has the given key. */
   static SlotNode parent(SlotNode child, long key) {
     SlotNode parent = new SlotNode();
     parent.slots = new int[INITIAL_CAPACITY];
@@ -58,95 +58,95 @@
   }
 
   /** Inserts a slot into a leaf. */
-  void insert(int at, int slot) {
-    if (used == slots.length) {
+  void insert(int position, int slot) {
+    if (entryCount == slots.length) {
       slots = Arrays.copyOf(slots, grownCapacity());
     }
-    System.arraycopy(slots, at, slots, at + 1, used - at);
-    slots[at] = slot;
-    used++;
-    count++;
+    System.arraycopy(slots, position, slots, position + 1, entryCount - position);
+    slots[position] = slot;
+    entryCount++;
+    slotCount++;
   }
 
-  /** Inserts a child, whose first slot has that key, into a node that is no leaf. */
-  void insert(int at, SlotNode child, long key) {
-    if (used == children.length) {
+  /** Inserts a child, whose first slot has the given key, into an inner node. */
+  void insert(int position, SlotNode child, long key) {
+    if (entryCount == children.length) {
       int capacity = grownCapacity();
       slots = Arrays.copyOf(slots, capacity);
       keys = Arrays.copyOf(keys, capacity);
       children = Arrays.copyOf(children, capacity);
     }
-    System.arraycopy(slots, at, slots, at + 1, used - at);
-    System.arraycopy(keys, at, keys, at + 1, used - at);
-    System.arraycopy(children, at, children, at + 1, used - at);
-    slots[at] = child.slots[0];
-    keys[at] = key;
-    children[at] = child;
-    used++;
-    count += child.count;
+    System.arraycopy(slots, position, slots, position + 1, entryCount - position);
+    System.arraycopy(keys, position, keys, position + 1, entryCount - position);
+    System.arraycopy(children, position, children, position + 1, entryCount - position);
+    slots[position] = child.slots[0];
+    keys[position] = key;
+    children[position] = child;
+    entryCount++;
+    slotCount += child.slotCount;
   }
 
   /** Removes a slot from a leaf. */
-  void removeSlot(int at) {
-    used--;
-    count--;
-    System.arraycopy(slots, at + 1, slots, at, used - at);
+  void removeSlot(int position) {
+    entryCount--;
+    slotCount--;
+    System.arraycopy(slots, position + 1, slots, position, entryCount - position);
   }
 
-  /** Removes a child with all slots below it. */
-  void removeChild(int at) {
-    count -= children[at].count;
-    used--;
-    System.arraycopy(slots, at + 1, slots, at, used - at);
-    System.arraycopy(keys, at + 1, keys, at, used - at);
-    System.arraycopy(children, at + 1, children, at, used - at);
-    children[used] = null;
+  /** Removes a child and all slots in its subtree. */
+  void removeChild(int position) {
+    slotCount -= children[position].slotCount;
+    entryCount--;
+    System.arraycopy(slots, position + 1, slots, position, entryCount - position);
+    System.arraycopy(keys, position + 1, keys, position, entryCount - position);
+    System.arraycopy(children, position + 1, children, position, entryCount - position);
+    children[entryCount] = null;
   }
 
   private int grownCapacity() {
-    return Math.min(Math.min(2 * used, used + MAX_GROWTH), MAX_ENTRIES + 1);
+    return Math.min(Math.min(2 * entryCount, entryCount + MAX_GROWTH), MAX_ENTRIES + 1);
   }
 
-  /** Keeps so many entries, and gives a node with the others. */
-  SlotNode split(int keep) {
+  /** Keeps the first {@code keptCount} entries, and returns a new node with the others. */
+  SlotNode split(int keptCount) {
     SlotNode right = new SlotNode();
-    int end = Math.max(used, keep + INITIAL_CAPACITY);
-    right.slots = Arrays.copyOfRange(slots, keep, end);
-    slots = Arrays.copyOf(slots, keep);
-    right.used = used - keep;
-    right.count = right.used;
+    int end = Math.max(entryCount, keptCount + INITIAL_CAPACITY);
+    right.slots = Arrays.copyOfRange(slots, keptCount, end);
+    slots = Arrays.copyOf(slots, keptCount);
+    right.entryCount = entryCount - keptCount;
+    right.slotCount = right.entryCount;
     if (!isLeaf()) {
-      right.keys = Arrays.copyOfRange(keys, keep, end);
-      keys = Arrays.copyOf(keys, keep);
-      right.children = Arrays.copyOfRange(children, keep, end);
-      children = Arrays.copyOf(children, keep);
-      right.count = right.countOfChildren();
+      right.keys = Arrays.copyOfRange(keys, keptCount, end);
+      keys = Arrays.copyOf(keys, keptCount);
+      right.children = Arrays.copyOfRange(children, keptCount, end);
+      children = Arrays.copyOf(children, keptCount);
+      right.slotCount = right.sumOfChildSlotCounts();
     }
-    used = keep;
-    count -= right.count;
+    entryCount = keptCount;
+    slotCount -= right.slotCount;
     return right;
   }
 
-  private int countOfChildren() {
+  private int sumOfChildSlotCounts() {
     int sum = 0;
-    for (int i = 0; i < used; i++) {
-      sum += children[i].count;
+    for (int i = 0; i < entryCount; i++) {
+      sum += children[i].slotCount;
     }
     return sum;
   }
 
-  /** Takes all entries of its right neighbour. */
+  /** Appends all entries of the right neighbor. */
   void append(SlotNode right) {
-    int capacity = Math.max(slots.length, used + right.used);
+    int capacity = Math.max(slots.length, entryCount + right.entryCount);
     slots = Arrays.copyOf(slots, capacity);
-    System.arraycopy(right.slots, 0, slots, used, right.used);
+    System.arraycopy(right.slots, 0, slots, entryCount, right.entryCount);
     if (!isLeaf()) {
       keys = Arrays.copyOf(keys, capacity);
-      System.arraycopy(right.keys, 0, keys, used, right.used);
+      System.arraycopy(right.keys, 0, keys, entryCount, right.entryCount);
       children = Arrays.copyOf(children, capacity);
-      System.arraycopy(right.children, 0, children, used, right.used);
+      System.arraycopy(right.children, 0, children, entryCount, right.entryCount);
     }
-    used += right.used;
-    count += right.count;
+    entryCount += right.entryCount;
+    slotCount += right.slotCount;
   }
 }
--- a/src/main/java/quotagateway/endpoint/SnapshotRemoval.java
+++ b/src/main/java/quotagateway/endpoint/SnapshotRemoval.java
@@ -3,48 +3,48 @@
 import java.util.BitSet;
 
 /**
- * Finds the endpoints that a snapshot of the list did not name, from the first slot to the last, in
- * as many goes as the caller likes. Owned by the policy's thread.
+ * Finds the endpoints that a snapshot of the list did not contain, from the first slot to the last. The
+ * caller can spread the scan over several calls. Owned by the policy's thread.
  */
 final class SnapshotRemoval {
 
-  /** Slots that the snapshot or a later message named; null where no removal is under way. */
-  private BitSet kept;
+  /** Slots in the snapshot or a later update; null if no removal is in progress. */
+  private BitSet keptSlots;
 
-  /** All slots before this one have been looked at. */
+  /** The next slot to check. */
   private int nextSlot;
 
-  /** Begins: all endpoints but those with these slots have left. */
-  void begin(BitSet namedSlots) {
-    kept = namedSlots;
+  /** Starts the removal of all endpoints except those with the given slots. */
+  void begin(BitSet listedSlots) {
+    keptSlots = listedSlots;
     nextSlot = 0;
   }
 
-  boolean isUnderWay() {
-    return kept != null;
+  boolean isInProgress() {
+    return keptSlots != null;
   }
 
-  /** An endpoint was named by a message after the snapshot: it stays. */
+  /** Keeps an endpoint that an update after the snapshot contains. */
   void keep(int slot) {
-    if (kept != null) {
-      kept.set(slot);
+    if (keptSlots != null) {
+      keptSlots.set(slot);
     }
   }
 
-  /** Whether an endpoint has left and was not looked at yet. */
+  /** Returns whether a slot is to be removed and has not been checked yet. */
   boolean isPending(int slot) {
-    return kept != null && slot >= nextSlot && !kept.get(slot);
+    return keptSlots != null && slot >= nextSlot && !keptSlots.get(slot);
   }
 
   /**
-   * The next slot that was not named, or {@link OrderedSlots#NONE} at the end.
+   * Returns the next slot to remove, or {@link OrderedSlots#NONE} at the end.
    *
-   * @param capacity how many slots there are
+   * @param capacity the number of slots
    */
   int next(int capacity) {
-    int slot = kept.nextClearBit(nextSlot);
+    int slot = keptSlots.nextClearBit(nextSlot);
     if (slot >= capacity) {
-      kept = null;
+      keptSlots = null;
       return OrderedSlots.NONE;
     }
     nextSlot = slot + 1;
--- a/src/main/java/quotagateway/endpoint/WarmingUpEndpoints.java
+++ b/src/main/java/quotagateway/endpoint/WarmingUpEndpoints.java
@@ -1,44 +1,44 @@
 package quotagateway.endpoint;
 
 /**
- * Those of the serving endpoints that started too lately to have their whole capacity, the earliest
- * first. Owned by the policy's thread.
+ * The serving endpoints that started too recently to have full capacity, ordered by start time. Owned
+ * by the policy's thread.
  */
 final class WarmingUpEndpoints {
 
   private final EndpointColumns columns;
 
-  /** Start times are positive, so that their bits have the same order. */
-  private final OrderedSlots byStart;
+  /** Ordered by the bits of the start times, which sort like the times because these are positive. */
+  private final OrderedSlots byStartTime;
 
   WarmingUpEndpoints(EndpointColumns columns) {
     this.columns = columns;
-    byStart = new OrderedSlots(slot -> Double.doubleToLongBits(columns.startedMs(slot)));
+    byStartTime = new OrderedSlots(slot -> Double.doubleToLongBits(columns.startedMs(slot)));
   }
 
-  /** Whether an endpoint, serving or not, started less than so long ago. */
+  /** Returns whether an endpoint, serving or not, started less than {@code warmUpMs} ago. */
   boolean isWarmingUp(int slot, double warmUpMs, double nowMs) {
     double startedMs = columns.startedMs(slot);
     return startedMs > 0 && nowMs - startedMs < warmUpMs;
   }
 
-  /** Adds an endpoint that is not in the set, if it belongs there. */
+  /** Adds an endpoint if it is warming up. The endpoint must not be in the set. */
   void addIfWarmingUp(int slot, double warmUpMs, double nowMs) {
     if (isWarmingUp(slot, warmUpMs, nowMs)) {
-      byStart.add(slot);
+      byStartTime.add(slot);
     }
   }
 
-  /** Removes an endpoint, if it is in the set; to be called before its start time changes. */
+  /** Removes an endpoint if it is in the set. Must be called before its start time changes. */
   void remove(int slot) {
-    byStart.remove(slot);
+    byStartTime.remove(slot);
   }
 
-  /** How many there are, after those that have warmed up were removed. */
+  /** Removes the endpoints that have warmed up, and returns the number of the others. */
   int count(double warmUpMs, double nowMs) {
-    while (byStart.size() > 0 && !isWarmingUp(byStart.get(0), warmUpMs, nowMs)) {
-      byStart.remove(byStart.get(0));
+    while (byStartTime.size() > 0 && !isWarmingUp(byStartTime.get(0), warmUpMs, nowMs)) {
+      byStartTime.remove(byStartTime.get(0));
     }
-    return byStart.size();
+    return byStartTime.size();
   }
 }
--- a/src/main/java/quotagateway/endpoint/package-info.java
+++ b/src/main/java/quotagateway/endpoint/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The endpoints that discovery has listed: an index of all of them, and its ordered sets. Nothing
- * is decided here, and no type of this package refers to another package of the gateway.
+ * The endpoints that discovery has listed: an index of all endpoints, and its ordered sets. This
+ * package makes no decisions, and does not depend on any other package of the gateway.
  */
 package quotagateway.endpoint;
--- a/src/main/java/quotagateway/policy/routing/AttemptRecord.java
+++ b/src/main/java/quotagateway/policy/routing/AttemptRecord.java
@@ -3,7 +3,7 @@
 /**
  * One attempt to have a request executed by a backend. Owned by the policy's thread.
  *
- * <p>No record: sets of attempts go by identity.
+ * <p>This class is not a record because sets of attempts compare them by identity.
  */
 public final class AttemptRecord {
 
@@ -18,28 +18,28 @@
     this.sentAtMs = sentAtMs;
   }
 
-  /** Its number among the attempts of its request, from 0. */
+  /** Returns the attempt's number within its request, starting at 0. */
   public int number() {
     return number;
   }
 
-  /** Where it was sent. */
+  /** Returns the backend that the attempt was sent to. */
   public BackendStatus backend() {
     return backend;
   }
 
-  /** When it was started, or when the last byte of its request came, if that was later. */
+  /** Returns when the attempt started, or when the last byte of its request arrived, if later. */
   public double sentAtMs() {
     return sentAtMs;
   }
 
-  /** Whether the backend has the whole request, so that the attempt is part of its load. */
+  /** Returns whether the backend has the complete request, so that the attempt is part of its load. */
   public boolean reachedBackend() {
     return reachedBackend;
   }
 
-  /** The backend begins only now, as the last byte of the request has come. */
-  void bodyComplete(double nowMs) {
+  /** Restarts the attempt's time, because the last byte of the request has arrived. */
+  void markBodyComplete(double nowMs) {
     sentAtMs = nowMs;
   }
 
@@ -48,12 +48,12 @@
   }
 
   /**
-   * Whether the attempt looks lost: it has waited longer than the given time, and its backend has
-   * answered nothing since it was sent, or has already answered an attempt that was sent later by
-   * more than that time.
+   * Returns whether the attempt looks lost. It does if it has waited longer than the timeout and its
+   * backend either has not responded since the attempt was sent, or has already answered an attempt
+   * that was sent more than the timeout later.
    *
    * @param lossTimeoutMs time after which a wait is unusual
-   * @param nowMs the present time
+   * @param nowMs the current time
    */
   public boolean looksLost(double lossTimeoutMs, double nowMs) {
     boolean overtaken = backend.latestAnsweredSentAtMs > sentAtMs + lossTimeoutMs;
--- a/src/main/java/quotagateway/policy/routing/BackendRouter.java
+++ b/src/main/java/quotagateway/policy/routing/BackendRouter.java
@@ -9,8 +9,8 @@
 import quotagateway.policy.settings.PolicySettings;
 
 /**
- * Chooses backends and learns from what attempts there come to. Every class of this package is
- * reached through this one. Owned by the policy's thread.
+ * Selects the backend for each attempt and records the outcomes of attempts. This class is the
+ * entry point of the package. Owned by the policy's thread.
  */
 public final class BackendRouter {
 
@@ -24,11 +24,11 @@
   private final EndpointSelector selector;
 
   /**
-   * A router that knows of no backend.
+   * Creates a router without endpoints.
    *
-   * @param context time, settings, chance and actions
-   * @param index of the endpoints; changed by this router alone
-   * @param attemptsInFlight mean number of attempts that this gateway has at all backends
+   * @param context the time, settings, random numbers and emitted actions
+   * @param index the index of endpoints; only this router changes it
+   * @param attemptsInFlight mean number of attempts that this gateway has in flight at all backends
    */
   public BackendRouter(
       DecisionContext context, EndpointIndex index, ExponentialMean attemptsInFlight) {
@@ -45,20 +45,23 @@
 
   // ---- Endpoints ----
 
-  /** Takes a message of the endpoint list. */
+  /** Applies an update of the endpoint list. */
   public void updateEndpoints(EndpointsUpdated event) {
     tracker.update(event);
   }
 
-  /** Goes on removing endpoints that have left. */
+  /** Continues the removal of endpoints that are no longer listed. */
   public void continueSweep() {
     tracker.continueSweep();
   }
 
-  /** Orders and counts endpoints by other settings; to be called before those are in force. */
+  /**
+   * Updates the ranking of endpoints and the set of endpoints that are warming up for changed
+   * settings. Must be called before the settings take effect.
+   */
   public void prepareSettings(PolicySettings changed) {
-    if (changed.gatewayIndex() != index.gateway()) {
-      index.rankFor(changed.gatewayIndex());
+    if (changed.gatewayIndex() != index.gatewayIndex()) {
+      index.rankForGateway(changed.gatewayIndex());
     }
     double warmUpMs = changed.rules().warmUpMs();
     if (warmUpMs != context.settings().rules().warmUpMs()) {
@@ -66,12 +69,12 @@
     }
   }
 
-  /** How many backends a full status is kept of. */
+  /** Returns the number of backends that have a {@link BackendStatus}. */
   public int statusCount() {
     return tracker.statusCount();
   }
 
-  /** Mean service time over all backends, in milliseconds. */
+  /** Returns the mean service time over all backends, in milliseconds. */
   public double fleetServiceMs() {
     return load.fleetServiceMs();
   }
@@ -79,67 +82,73 @@
   // ---- Attempts ----
 
   /**
-   * The backend for the next attempt of a request, or null where none can be used now.
+   * Returns the backend for the next attempt of a request, or null if none can be used now.
    *
-   * @param latencyObjectiveMs of the request
+   * @param latencyObjectiveMs the latency objective of the request
    */
   public BackendStatus select(RequestRouting request, double latencyObjectiveMs) {
     return selector.select(request, latencyObjectiveMs);
   }
 
-  /** Starts the attempt of that number at a backend that was selected. */
+  /** Starts the attempt with the given number at the selected backend. */
   public AttemptRecord startAttempt(RequestRouting request, int number, BackendStatus backend) {
     slowStart.recordAttempt(backend);
-    request.attemptStarted(backend);
+    request.recordAttempt(backend);
     return new AttemptRecord(number, backend, context.nowMs());
   }
 
-  /** The backend has the whole request: the attempt is part of its load from now on. */
+  /**
+   * Records that the backend has the complete request. The attempt counts towards the backend's load
+   * from now on.
+   */
   public void attemptReachedBackend(AttemptRecord attempt) {
     attempt.markReachedBackend();
-    attempt.backend().outstanding.add(attempt);
+    attempt.backend().outstandingAttempts.add(attempt);
   }
 
   /**
-   * The last byte of a request that was forwarded while it came in has come: its backend begins
-   * only now, and its time counts from here.
+   * Records that the last byte of a request that is forwarded while it is being received has arrived.
+   * The backend starts processing only now, so the attempt's time is measured from here.
    */
   public void requestBodyComplete(AttemptRecord attempt) {
-    attempt.bodyComplete(context.nowMs());
+    attempt.markBodyComplete(context.nowMs());
     attemptReachedBackend(attempt);
   }
 
-  /** A response streams: its backend has done its work, and the rest is up to the client. */
+  /**
+   * Records the start of a streamed response. The backend has finished its work; how long the rest
+   * takes depends on the client.
+   */
   public void responseStarted(AttemptRecord attempt) {
     BackendStatus backend = attempt.backend();
-    backend.outstanding.remove(attempt);
+    backend.outstandingAttempts.remove(attempt);
     backend.recordResponse(attempt, context.nowMs());
   }
 
   /**
-   * Learns from an attempt that has ended.
+   * Records the outcome of an attempt.
    *
-   * @param stalledUntilMs when this gateway last stalled, up to its end
+   * @param stalledUntilMs the end of this gateway's latest stall
    */
   public void attemptEnded(AttemptRecord attempt, AttemptEnded event, double stalledUntilMs) {
     BackendStatus backend = attempt.backend();
     Status status = event.status();
-    backend.outstanding.remove(attempt);
+    backend.outstandingAttempts.remove(attempt);
     load.recordReport(backend, event.loadReport());
     boolean failed = outliers.isFailure(backend, attempt, status, stalledUntilMs);
-    boolean responded = isResponse(status);
-    // What was learned has faded up to now; the response itself would make it fresh.
-    double learnedWeight = backend.learnedWeight(context.nowMs());
+    boolean responded = isBackendResponse(status);
+    // Read before the response is recorded, which would reset the weight to 1.
+    double observationWeight = backend.observationWeight(context.nowMs());
     if (responded) {
       backend.recordResponse(attempt, context.nowMs());
     }
     if (status == Status.OK || failed) {
-      outliers.recordSample(backend, failed, learnedWeight);
+      outliers.recordSample(backend, failed, observationWeight);
     }
     recordReachability(attempt, responded, failed);
     if (status == Status.OK) {
       restarts.recordSuccess(backend, attempt);
-      outliers.close(backend);
+      outliers.closeCircuitBreaker(backend);
       load.recordServiceTime(backend, event.loadReport(), event.latencyMs());
     } else if (status == Status.REJECTED) {
       outliers.pauseAfterRejection(backend, load.fleetServiceMs());
@@ -158,8 +167,8 @@
     backend.cellReachability.record(attempt.sentAtMs(), responded, failed, nowMs);
   }
 
-  /** Whether the backend works; it does where its response cannot be read, too. */
-  private static boolean isResponse(Status status) {
+  /** Returns whether the backend responded. An unreadable response counts as a response. */
+  private static boolean isBackendResponse(Status status) {
     return status == Status.OK
         || status == Status.ERROR
         || status == Status.REJECTED
--- a/src/main/java/quotagateway/policy/routing/BackendStatus.java
+++ b/src/main/java/quotagateway/policy/routing/BackendStatus.java
@@ -4,56 +4,57 @@
 import quotagateway.policy.settings.ServiceRules;
 
 /**
- * What this gateway knows of one process of a backend. A backend that starts again gets a new
- * status. It decides nothing: each group of fields belongs to the class named above it, the only
- * one that changes it. Owned by the policy's thread.
+ * The state that this gateway keeps for one process of a backend. A backend that restarts gets a new
+ * status. Each group of fields is changed only by the class that is named above it. Owned by the
+ * policy's thread.
  */
 public final class BackendStatus {
 
-  /** What was learned of a backend counts 1/e after this time without a response from it. */
-  private static final double LEARNED_MEMORY_MS = 3_000;
+  /** Time without a response after which observations of a backend have a weight of 1/e. */
+  private static final double OBSERVATION_TIME_CONSTANT_MS = 3_000;
 
   final int slot;
   private final long endpointId;
 
-  /** When the endpoint list says that it started, in Unix milliseconds; 0 for long ago. */
+  /** Start time in the endpoint list, in Unix milliseconds; 0 if it was long ago. */
   final double listedStartMs;
 
-  // EndpointTracker: the group that it is in, and when it is assumed to have started.
+  // EndpointTracker: the backend's group and its assumed start time.
   String zone;
   int cell;
   GroupReachability zoneReachability;
   GroupReachability cellReachability;
   double assumedStartMs;
 
-  /** RestartDetector: since when it looks restarted; negative infinity where it does not. */
+  /** RestartDetector: when a restart was suspected; negative infinity if none is suspected. */
   double restartSuspectedAtMs = Double.NEGATIVE_INFINITY;
 
-  // SlowStartLimiter: token bucket of attempts while it warms up, as of the time beside it.
+  // SlowStartLimiter: tokens for attempts during warm-up, and the time of their latest refill.
   double slowStartTokens;
   double slowStartRefilledAtMs;
 
-  // BackendRouter: attempts that it has, oldest first; its last response, and when the latest-sent
-  // of the answered attempts was sent.
-  final LinkedHashSet<AttemptRecord> outstanding = new LinkedHashSet<>();
+  // BackendRouter: outstanding attempts, oldest first; the time of the latest response; the latest
+  // send time among the answered attempts.
+  final LinkedHashSet<AttemptRecord> outstandingAttempts = new LinkedHashSet<>();
   double lastResponseAtMs;
   double latestAnsweredSentAtMs = Double.NEGATIVE_INFINITY;
 
-  // OutlierDetector: share of failures (0 to 1), ejections in a row, and whether the next attempt
-  // is a half-open probe.
+  // OutlierDetector: failure share (0 to 1), consecutive ejections, whether the circuit breaker is
+  // half-open once the ejection ends, and the end of the ejection.
   double failureShare;
   int ejections;
   boolean halfOpen;
   double ejectedUntilMs = Double.NEGATIVE_INFINITY;
 
-  /** OutlierDetector: it has rejected a request and gets none until then. */
-  double rejectingUntilMs = Double.NEGATIVE_INFINITY;
+  /** OutlierDetector: the end of the pause after a rejected request. */
+  double pausedUntilMs = Double.NEGATIVE_INFINITY;
 
-  // LoadEstimator: mean service time, NaN before the first response; requests in flight as last
-  // reported (NaN before), how many of them were this gateway's, and when that came.
+  // LoadEstimator: mean service time (NaN before the first success); requests in flight in the
+  // latest load report (NaN before the first), this gateway's outstanding attempts at that time,
+  // and the time of the report.
   double meanServiceMs = Double.NaN;
   double reportedInFlight = Double.NaN;
-  double ownWhenReported;
+  double ownAttemptsWhenReported;
   double reportedAtMs;
 
   BackendStatus(int slot, long endpointId, double startedMs, double slowStartTokens, double nowMs) {
@@ -66,42 +67,42 @@
     this.lastResponseAtMs = nowMs;
   }
 
-  /** Its number in the endpoint list. */
+  /** Returns the backend's identifier in the endpoint list. */
   public long endpointId() {
     return endpointId;
   }
 
   /**
-   * Weight, from 0 to 1, of what was learned of this backend; it falls while the backend answers
-   * nothing.
+   * Returns the weight, from 0 to 1, of what this gateway has observed of the backend. The weight
+   * falls while the backend does not respond.
    *
-   * <p>Prevents avoiding a backend for ever after a fault that nobody sees end. Cost: a lasting
-   * fault is met again once in a while.
+   * <p>Without this decay, the gateway would avoid a backend forever after a fault whose end it cannot
+   * see. The drawback is that some requests still run into a lasting fault now and then.
    */
-  double learnedWeight(double nowMs) {
-    return Math.exp((lastResponseAtMs - nowMs) / LEARNED_MEMORY_MS);
+  double observationWeight(double nowMs) {
+    return Math.exp((lastResponseAtMs - nowMs) / OBSERVATION_TIME_CONSTANT_MS);
   }
 
-  /** Whether it is assumed to have started too lately to have its whole capacity. */
+  /** Returns whether the backend is assumed to have started too recently to have full capacity. */
   boolean isWarmingUp(ServiceRules rules, double nowMs) {
     return assumedStartMs > 0 && nowMs - assumedStartMs < rules.warmUpMs();
   }
 
-  /** The share of its capacity that the service rules promise by now, at most 1. */
-  double warmedUpShare(ServiceRules rules, double nowMs) {
-    double warmedUp =
+  /** Returns the share of its capacity that the backend has reached under the service rules. */
+  double availableCapacityShare(ServiceRules rules, double nowMs) {
+    double share =
         rules.warmUpInitialShare()
             + (1 - rules.warmUpInitialShare()) * (nowMs - assumedStartMs) / rules.warmUpMs();
-    return Math.min(1, warmedUp);
+    return Math.min(1, share);
   }
 
-  /** Notes that it has answered an attempt. */
+  /** Records a response to an attempt. */
   void recordResponse(AttemptRecord attempt, double nowMs) {
     lastResponseAtMs = nowMs;
     latestAnsweredSentAtMs = Math.max(latestAnsweredSentAtMs, attempt.sentAtMs());
   }
 
-  /** The share of attempts lost on the way to its zone or to its cell, whichever is more. */
+  /** Returns the share of attempts lost to the backend's zone or cell, whichever is larger. */
   double groupLossShare(double nowMs) {
     return Math.max(zoneReachability.lossShare(nowMs), cellReachability.lossShare(nowMs));
   }
--- a/src/main/java/quotagateway/policy/routing/EndpointSelector.java
+++ b/src/main/java/quotagateway/policy/routing/EndpointSelector.java
@@ -6,32 +6,34 @@
 import quotagateway.policy.settings.DeduplicationScope;
 
 /**
- * Chooses the backend for an attempt: the one of least cost of a few drawn at random (power of two
- * choices). They are drawn from this gateway's subset; where none of those can be used, from all;
- * then from the subset again, ejected ones included. A request that is bound to a zone or a cell
- * stays there. Owned by the policy's thread.
+ * Selects the backend for an attempt: the one with the lowest cost among a few random candidates
+ * (power of two choices). Candidates are drawn from this gateway's subset. If no backend of the
+ * subset can be used, they are drawn from all backends, and then from the subset again with ejected
+ * backends included. A request that is bound to a zone or a cell stays there. Owned by the policy's
+ * thread.
  *
- * <p>Prevents a herd: with many gateways, equal and late load reports would send all requests to
- * the same backend. Cost: the best backend is often not among those drawn.
+ * <p>Random candidates avoid a thundering herd: many gateways with the same delayed load reports
+ * would otherwise send all requests to the same backend. The drawback is that the cheapest backend
+ * is often not among the candidates.
  */
 final class EndpointSelector {
 
   /**
-   * Backends compared for a request, over all gateways: the more gateways, the fewer each compares,
-   * so that not all find the same best one.
+   * Candidates in total over all gateways. The more gateways there are, the fewer candidates each
+   * one compares, so that they do not all find the same cheapest backend.
    */
-  private static final double FLEET_CANDIDATES = 30;
+  private static final double CANDIDATES_OVER_ALL_GATEWAYS = 30;
 
-  /** With a single candidate there would be no choice. */
+  /** A single candidate would be selected at random, whatever its cost. */
   private static final int MIN_CANDIDATES = 2;
 
-  /** Draws for each candidate wanted, as some drawn cannot be used. */
-  private static final int DRAWS_PER_CANDIDATE = 3;
+  /** Maximum draws for each candidate, because some of the drawn backends cannot be used. */
+  private static final int MAX_DRAWS_PER_CANDIDATE = 3;
 
-  /** Random spread of costs, so that gateways with the same reports choose differently. */
-  private static final double COST_SPREAD = 0.15;
+  /** Random increase of costs, so that gateways with the same load reports choose differently. */
+  private static final double COST_JITTER = 0.15;
 
-  /** Where the latest attempt failed, the next one goes only if others cost far more. */
+  /** A retry goes to the backend of the latest attempt only if other candidates cost far more. */
   private static final double LAST_BACKEND_COST_FACTOR = 4;
 
   private final DecisionContext context;
@@ -57,15 +59,15 @@
   }
 
   /**
-   * The backend for the next attempt of a request, or null where none can be used.
+   * Returns the backend for the next attempt of a request, or null if none can be used.
    *
-   * @param latencyObjectiveMs of the request
+   * @param latencyObjectiveMs the latency objective of the request
    */
   BackendStatus select(RequestRouting request, double latencyObjectiveMs) {
-    BackendStatus boundTo = request.boundTo();
-    if (boundTo != null) {
-      OrderedSlots group = deduplicationGroup(request, boundTo);
-      return bestInGroup(group, group.size(), request, latencyObjectiveMs);
+    BackendStatus boundBackend = request.boundBackend();
+    if (boundBackend != null) {
+      OrderedSlots group = deduplicationGroup(request, boundBackend);
+      return selectInGroup(group, group.size(), request, latencyObjectiveMs);
     }
     OrderedSlots ranked = index.ranked();
     int subsetSize = tracker.subsetSize();
@@ -80,43 +82,44 @@
     return best;
   }
 
-  private BackendStatus bestInGroup(
+  private BackendStatus selectInGroup(
       OrderedSlots group, int size, RequestRouting request, double latencyObjectiveMs) {
     BackendStatus best = cheapest(group, size, request, latencyObjectiveMs, false);
     return best != null ? best : cheapest(group, size, request, latencyObjectiveMs, true);
   }
 
-  /** The backends that drop a repeated execution of the request. */
-  private OrderedSlots deduplicationGroup(RequestRouting request, BackendStatus first) {
+  /** Returns the backends that deduplicate the request together with the given backend. */
+  private OrderedSlots deduplicationGroup(RequestRouting request, BackendStatus backend) {
     return request.requestClass().deduplicationScope() == DeduplicationScope.ZONE
-        ? index.inZone(first.zone)
-        : index.inCell(first.zone, first.cell);
+        ? index.servingInZone(backend.zone)
+        : index.servingInCell(backend.zone, backend.cell);
   }
 
   /**
-   * The cheapest of a few usable backends among the first so many of an order: all of them where
-   * they are few, or else drawn at random, perhaps more than once.
+   * Returns the cheapest of a few usable backends among the first {@code size} slots, or null if none
+   * is usable. Compares all of these backends if there are few; otherwise draws candidates at random
+   * with replacement.
    */
   private BackendStatus cheapest(
-      OrderedSlots order,
+      OrderedSlots slots,
       int size,
       RequestRouting request,
       double latencyObjectiveMs,
-      boolean ejectedToo) {
+      boolean includeEjected) {
     int candidates = candidateCount();
     boolean compareAll = size <= candidates;
-    int draws = compareAll ? size : DRAWS_PER_CANDIDATE * candidates;
+    int draws = compareAll ? size : MAX_DRAWS_PER_CANDIDATE * candidates;
     BackendStatus best = null;
     double lowestCostMs = Double.POSITIVE_INFINITY;
-    int found = 0;
-    for (int i = 0; i < draws && found < candidates; i++) {
-      int place = compareAll ? i : context.nextRandom(size);
-      BackendStatus candidate = tracker.status(order.get(place));
-      if (!isUsable(candidate, request, ejectedToo)) {
+    int compared = 0;
+    for (int i = 0; i < draws && compared < candidates; i++) {
+      int position = compareAll ? i : context.nextRandom(size);
+      BackendStatus candidate = tracker.getOrCreateStatus(slots.get(position));
+      if (!isUsable(candidate, request, includeEjected)) {
         continue;
       }
-      found++;
-      double costMs = spreadCostMs(candidate, request, latencyObjectiveMs);
+      compared++;
+      double costMs = jitteredCostMs(candidate, request, latencyObjectiveMs);
       if (costMs < lowestCostMs) {
         lowestCostMs = costMs;
         best = candidate;
@@ -127,24 +130,27 @@
 
   private int candidateCount() {
     int gatewayCount = Math.max(2, context.settings().gatewayCount());
-    return (int) Math.max(MIN_CANDIDATES, Math.ceil(FLEET_CANDIDATES / gatewayCount));
+    return (int) Math.max(MIN_CANDIDATES, Math.ceil(CANDIDATES_OVER_ALL_GATEWAYS / gatewayCount));
   }
 
-  private double spreadCostMs(
+  private double jitteredCostMs(
       BackendStatus candidate, RequestRouting request, double latencyObjectiveMs) {
     double costMs = load.costMs(candidate, latencyObjectiveMs);
-    double spread = 1 + COST_SPREAD * context.nextRandom();
-    double repeated = candidate == request.lastBackend() ? LAST_BACKEND_COST_FACTOR : 1;
-    return costMs * spread * repeated;
+    double jitter = 1 + COST_JITTER * context.nextRandom();
+    double lastBackendFactor = candidate == request.lastBackend() ? LAST_BACKEND_COST_FACTOR : 1;
+    return costMs * jitter * lastBackendFactor;
   }
 
-  /** Asks the limiter last, as its answer refills the backend's tokens. */
-  private boolean isUsable(BackendStatus backend, RequestRouting request, boolean ejectedToo) {
-    if (index.hasLeft(backend.slot) || outliers.isPaused(backend)) {
+  /**
+   * Returns whether a backend can get an attempt. Asks the slow-start limiter last, because that
+   * refills the backend's tokens.
+   */
+  private boolean isUsable(BackendStatus backend, RequestRouting request, boolean includeEjected) {
+    if (index.isPendingRemoval(backend.slot) || outliers.isPaused(backend)) {
       return false;
     }
-    boolean open =
-        ejectedToo || !outliers.isClosedTo(backend, request.requestClass().idempotency());
-    return open && slowStart.admits(backend);
+    boolean available =
+        includeEjected || !outliers.isUnavailableFor(backend, request.requestClass().idempotency());
+    return available && slowStart.admits(backend);
   }
 }
--- a/src/main/java/quotagateway/policy/routing/EndpointTracker.java
+++ b/src/main/java/quotagateway/policy/routing/EndpointTracker.java
@@ -13,38 +13,38 @@
 import quotagateway.policy.event.EndpointsUpdated;
 
 /**
- * Follows the endpoint list: keeps the index of all endpoints up to date, and a full {@link
- * BackendStatus} of those backends that this gateway has met. Owned by the policy's thread.
+ * Applies updates of the endpoint list to the index of all endpoints, and keeps a {@link
+ * BackendStatus} for each backend that this gateway has considered. Owned by the policy's thread.
  *
- * <p>The index has a few dozen bytes for each endpoint, a status some hundred: with tens of
- * thousands of endpoints, those that nothing is known of have none.
+ * <p>An endpoint takes a few dozen bytes in the index, and a status some hundred bytes. Since there
+ * can be tens of thousands of endpoints, those about which nothing is known have no status.
  */
 final class EndpointTracker {
 
   /**
-   * Statuses kept beside those of the subset: more than most fleets have backends, and no more than
+   * Statuses kept in addition to those of the subset: more than most fleets have backends, and at most
    * a few megabytes.
    */
-  private static final int MAX_OTHER_STATUSES = 4_000;
+  private static final int MAX_STATUSES_OUTSIDE_SUBSET = 4_000;
 
-  /** Looking for statuses to drop more often than this would find few. */
-  private static final double MIN_CLEANUP_INTERVAL_MS = 10_000;
+  /** Evicting statuses more often would find few of them evictable. */
+  private static final double MIN_EVICTION_INTERVAL_MS = 10_000;
 
-  /** What was learned of a backend and has faded to this weight changes no decision any more. */
-  private static final double NEGLIGIBLE_WEIGHT = 0.001;
+  /** Weight below which observations of a backend no longer change any decision. */
+  private static final double NEGLIGIBLE_OBSERVATION_WEIGHT = 0.001;
 
-  /** Endpoints removed in one go: about a millisecond, in which no request is served. */
-  private static final int MAX_REMOVALS_AT_ONCE = 200;
+  /** Removing this many endpoints takes about a millisecond, during which no request is served. */
+  private static final int MAX_REMOVALS_PER_SWEEP = 200;
 
-  /** Pause between two such goes, which lets requests in between. */
+  /** Pause between two batches of removals, during which requests are served. */
   private static final double SWEEP_PAUSE_MS = 1;
 
-  /** Pause after the endpoint list could not be had. */
+  /** Pause after a failed attempt to get the endpoint list. */
   private static final double WATCH_RETRY_MS = 1_000;
 
   /**
-   * Backends that a gateway keeps to, and gateways that each backend is used by at least: many
-   * enough to spread load, few enough to keep connections few.
+   * Minimum number of backends in a gateway's subset, and of gateways that, on average, have a backend
+   * in their subsets: enough to spread the load, and few enough to limit the number of connections.
    */
   private static final int MIN_SUBSET_SIZE = 12;
 
@@ -54,18 +54,18 @@
   private final SlowStartLimiter slowStart;
   private final OutlierDetector outliers;
 
-  /** By their slots in the index. */
+  /** Keyed by slot in the index. */
   private final Int2ObjectOpenHashMap<BackendStatus> statuses = new Int2ObjectOpenHashMap<>();
 
-  /** Slots of endpoints that are removed from the list, until they are removed from the index. */
-  private final IntArrayList removedSlots = new IntArrayList();
+  /** Slots of endpoints that the list has removed and that are still in the index. */
+  private final IntArrayList slotsToRemove = new IntArrayList();
 
-  /** Slots named so far by the snapshot that is coming in, or null. */
+  /** Slots contained in the fragments of the current snapshot so far; null between snapshots. */
   private BitSet snapshotSlots;
 
   private boolean sweepScheduled;
   private int subsetSize;
-  private double cleanedUpAtMs = Double.NEGATIVE_INFINITY;
+  private double lastEvictionAtMs = Double.NEGATIVE_INFINITY;
 
   EndpointTracker(
       DecisionContext context,
@@ -80,19 +80,19 @@
     this.outliers = outliers;
   }
 
-  /** How many backends, first in this gateway's own order of the index, it keeps to. */
+  /** Returns the size of this gateway's subset: the first backends in the ranking of the index. */
   int subsetSize() {
     return subsetSize;
   }
 
-  /** How many backends have a full status. */
+  /** Returns the number of backends that have a status. */
   int statusCount() {
     return statuses.size();
   }
 
   // ---- The endpoint list ----
 
-  /** Takes a message of the endpoint list, a whole one or a part. */
+  /** Applies an update of the endpoint list, or a fragment of one. */
   void update(EndpointsUpdated event) {
     EndpointListForm form = event.form();
     if (form == EndpointListForm.FAILED) {
@@ -104,7 +104,7 @@
     }
     event.endpoints().forEach(this::updateEndpoint);
     if (form == EndpointListForm.SNAPSHOT || form == EndpointListForm.CACHED_SNAPSHOT) {
-      index.keepOnly(snapshotSlots);
+      index.beginSnapshotRemoval(snapshotSlots);
     }
     if (form != EndpointListForm.FRAGMENT) {
       snapshotSlots = null;
@@ -112,71 +112,71 @@
     sweep();
   }
 
-  /** Takes one entry; an endpoint that has started again is a new backend. */
+  /** Applies one entry of the list; a process that has restarted counts as a new backend. */
   private void updateEndpoint(Endpoint endpoint) {
     int group = index.group(endpoint.zone(), endpoint.cell());
-    int knownSlot = index.find(endpoint.id());
-    int slot = knownSlot == EndpointIndex.NONE ? index.add(endpoint.id(), group) : knownSlot;
+    int existingSlot = index.find(endpoint.id());
+    int slot = existingSlot == EndpointIndex.NONE ? index.add(endpoint.id(), group) : existingSlot;
     BackendStatus status = statuses.get(slot);
     double listedStartMs = status == null ? index.assumedStartMs(slot) : status.listedStartMs;
-    boolean sameProcess = knownSlot != EndpointIndex.NONE && listedStartMs == endpoint.startedMs();
+    boolean sameProcess = existingSlot != EndpointIndex.NONE && listedStartMs == endpoint.startedMs();
     double startedMs = sameProcess ? index.assumedStartMs(slot) : endpoint.startedMs();
-    double size = context.settings().endpointWeightsTold() ? endpoint.weight() : 1;
+    double weight = context.settings().endpointWeightsTold() ? endpoint.weight() : 1;
     index.setAddress(slot, endpoint.address());
-    index.update(slot, group, endpoint.state(), size, startedMs, warmUpMs(), context.nowMs());
+    index.update(slot, group, endpoint.state(), weight, startedMs, warmUpMs(), context.nowMs());
     if (!sameProcess) {
-      index.forgetAssumedStart(slot);
+      index.clearAssumedStart(slot);
       replaceStatus(slot);
     } else if (status != null) {
-      joinGroup(status);
+      updateGroup(status);
     }
     if (endpoint.state() == EndpointState.REMOVED) {
-      removedSlots.add(slot);
+      slotsToRemove.add(slot);
     }
     if (snapshotSlots != null) {
       snapshotSlots.set(slot);
     }
   }
 
-  /** Goes on removing endpoints, after the pause that it was scheduled for. */
+  /** Continues the removal of endpoints after the scheduled pause. */
   void continueSweep() {
     sweepScheduled = false;
     sweep();
   }
 
   /**
-   * Removes endpoints that have left, in several goes where there are many.
+   * Removes endpoints that are no longer listed, in batches.
    *
-   * <p>Prevents a stall of all requests while thousands are removed at once. Cost: none known, as
-   * the index lets none be chosen that has left.
+   * <p>Without batches, removing thousands of endpoints at once would stall all requests. There is no
+   * known drawback, because endpoints that wait for removal are not selected.
    */
   private void sweep() {
-    boolean moreRemain = index.sweep(MAX_REMOVALS_AT_ONCE, removedSlots::add);
+    boolean moreRemain = index.sweep(MAX_REMOVALS_PER_SWEEP, slotsToRemove::add);
     if (moreRemain && !sweepScheduled) {
       context.emit(new ScheduleTimer(context.nowMs() + SWEEP_PAUSE_MS, Timer.ENDPOINT_SWEEP));
     }
     sweepScheduled = moreRemain;
-    removedSlots.removeIf(this::removeIfIdle);
+    slotsToRemove.removeIf(this::removeIfIdle);
     subsetSize = subsetSizeOf(index.serving().size());
-    slowStart.warmCountChanged();
+    slowStart.invalidateWarmCount();
   }
 
   private int subsetSizeOf(int servingCount) {
     int gatewayCount = Math.max(1, context.settings().gatewayCount());
-    int fairSize = MIN_SUBSET_SIZE * servingCount / gatewayCount;
-    return Math.min(servingCount, Math.max(MIN_SUBSET_SIZE, fairSize));
+    int proportionalSize = MIN_SUBSET_SIZE * servingCount / gatewayCount;
+    return Math.min(servingCount, Math.max(MIN_SUBSET_SIZE, proportionalSize));
   }
 
   /**
-   * Removes an endpoint from the index, unless an attempt is outstanding there; true when it need
-   * not be looked at again.
+   * Removes an endpoint from the index unless it has outstanding attempts. Returns whether the slot
+   * needs no further check: the endpoint is removed now, was removed before, or is listed again.
    */
   private boolean removeIfIdle(int slot) {
     if (!index.isUsed(slot) || index.state(slot) != EndpointState.REMOVED) {
       return true;
     }
     BackendStatus status = statuses.get(slot);
-    if (status != null && !status.outstanding.isEmpty()) {
+    if (status != null && !status.outstandingAttempts.isEmpty()) {
       return false;
     }
     statuses.remove(slot);
@@ -186,33 +186,33 @@
 
   // ---- Statuses ----
 
-  /** The status of a backend; one that had none is new, and without tokens if it warms up. */
-  BackendStatus status(int slot) {
-    BackendStatus known = statuses.get(slot);
-    if (known != null) {
-      return known;
+  /** Returns the status of a backend, or a new one, without tokens if the backend is warming up. */
+  BackendStatus getOrCreateStatus(int slot) {
+    BackendStatus existing = statuses.get(slot);
+    if (existing != null) {
+      return existing;
     }
     double nowMs = context.nowMs();
-    if (isFull() && nowMs - cleanedUpAtMs > MIN_CLEANUP_INTERVAL_MS) {
-      cleanedUpAtMs = nowMs;
-      statuses.values().removeIf(this::isDispensable);
+    if (isStatusLimitReached() && nowMs - lastEvictionAtMs > MIN_EVICTION_INTERVAL_MS) {
+      lastEvictionAtMs = nowMs;
+      statuses.values().removeIf(this::isEvictable);
     }
     BackendStatus created = newStatus(slot, index.isWarmingUp(slot, warmUpMs(), nowMs) ? 0 : 1);
-    // In the list since the start and good ever since: a process that came later warms up first,
-    // and got its status then.
+    // A process that starts later gets its status while it warms up. This one is therefore assumed
+    // to have been listed, and to have worked, since the gateway started.
     created.lastResponseAtMs = context.startedAtMs();
     statuses.put(slot, created);
     return created;
   }
 
   /**
-   * Another process has this slot: nothing is known of it. One that warms up has a status at once,
-   * while there is room, so that its bucket begins to fill.
+   * Discards the status of a slot whose process was replaced. A process that is warming up gets a new
+   * status at once, unless the limit of statuses is reached, so that its token bucket starts to fill.
    */
   private void replaceStatus(int slot) {
     double slowStartTokens = context.nextRandom();
     statuses.remove(slot);
-    if (index.isWarmingUp(slot, warmUpMs(), context.nowMs()) && !isFull()) {
+    if (index.isWarmingUp(slot, warmUpMs(), context.nowMs()) && !isStatusLimitReached()) {
       statuses.put(slot, newStatus(slot, slowStartTokens));
     }
   }
@@ -221,41 +221,42 @@
     BackendStatus created =
         new BackendStatus(
             slot, index.id(slot), index.assumedStartMs(slot), slowStartTokens, context.nowMs());
-    joinGroup(created);
+    updateGroup(created);
     return created;
   }
 
-  /** Takes a backend's zone and cell as the index has them. */
-  private void joinGroup(BackendStatus backend) {
+  /** Sets a backend's zone and cell, and their reachabilities, from the index. */
+  private void updateGroup(BackendStatus backend) {
     int group = index.group(backend.slot);
     backend.zone = index.zone(group);
     backend.cell = index.cell(group);
-    backend.zoneReachability = reachabilities.ofZone(backend.zone);
-    backend.cellReachability = reachabilities.ofCell(group);
+    backend.zoneReachability = reachabilities.forZone(backend.zone);
+    backend.cellReachability = reachabilities.forCell(group);
   }
 
-  /** Assumes that a backend started at that time, whatever the list says. */
+  /** Sets the assumed start time of a backend, overriding the endpoint list. */
   void assumeStarted(BackendStatus backend, double startedMs) {
     backend.assumedStartMs = startedMs;
-    // An attempt may still be outstanding at a process that was replaced: the index has the newer.
+    // A replaced process may still have an outstanding attempt; the index then describes the newer
+    // process.
     if (statuses.get(backend.slot) == backend) {
       index.assumeStarted(backend.slot, startedMs, warmUpMs(), context.nowMs());
     }
   }
 
-  private boolean isFull() {
-    return statuses.size() >= subsetSize + MAX_OTHER_STATUSES;
+  private boolean isStatusLimitReached() {
+    return statuses.size() >= subsetSize + MAX_STATUSES_OUTSIDE_SUBSET;
   }
 
-  /** Whether a new status would serve as well, as nothing that matters is known any more. */
-  private boolean isDispensable(BackendStatus backend) {
+  /** Returns whether a status contains nothing that a new one would not. */
+  private boolean isEvictable(BackendStatus backend) {
     double nowMs = context.nowMs();
-    return backend.outstanding.isEmpty()
+    return backend.outstandingAttempts.isEmpty()
         && backend.assumedStartMs == backend.listedStartMs
         && !index.isWarmingUp(backend.slot, warmUpMs(), nowMs)
-        && outliers.isForgotten(backend)
-        && backend.learnedWeight(nowMs) < NEGLIGIBLE_WEIGHT
-        && !index.isAmongFirst(subsetSize, backend.slot);
+        && outliers.hasNoRecentEjection(backend)
+        && backend.observationWeight(nowMs) < NEGLIGIBLE_OBSERVATION_WEIGHT
+        && !index.isRankedWithin(subsetSize, backend.slot);
   }
 
   private double warmUpMs() {
--- a/src/main/java/quotagateway/policy/routing/GroupReachabilities.java
+++ b/src/main/java/quotagateway/policy/routing/GroupReachabilities.java
@@ -6,8 +6,8 @@
 import quotagateway.policy.context.DecisionContext;
 
 /**
- * The reachability of each zone, and of each cell of a zone, that a known backend is in. Owned by
- * the policy's thread.
+ * The reachability of each zone and cell that contains a backend with a status. Owned by the policy's
+ * thread.
  */
 final class GroupReachabilities {
 
@@ -19,23 +19,23 @@
     this.context = context;
   }
 
-  /** That of a zone. */
-  GroupReachability ofZone(String zone) {
-    GroupReachability known = byZone.get(zone);
-    if (known == null) {
-      known = new GroupReachability(context.startedAtMs());
-      byZone.put(zone, known);
+  /** Returns the reachability of a zone. */
+  GroupReachability forZone(String zone) {
+    GroupReachability reachability = byZone.get(zone);
+    if (reachability == null) {
+      reachability = new GroupReachability(context.startedAtMs());
+      byZone.put(zone, reachability);
     }
-    return known;
+    return reachability;
   }
 
-  /** That of a cell, by the number of its group in the endpoint index. */
-  GroupReachability ofCell(int group) {
-    GroupReachability known = byGroup.get(group);
-    if (known == null) {
-      known = new GroupReachability(context.startedAtMs());
-      byGroup.put(group, known);
+  /** Returns the reachability of a cell, given its group number in the endpoint index. */
+  GroupReachability forCell(int group) {
+    GroupReachability reachability = byGroup.get(group);
+    if (reachability == null) {
+      reachability = new GroupReachability(context.startedAtMs());
+      byGroup.put(group, reachability);
     }
-    return known;
+    return reachability;
   }
 }
--- a/src/main/java/quotagateway/policy/routing/OutlierDetector.java
+++ b/src/main/java/quotagateway/policy/routing/OutlierDetector.java
@@ -5,36 +5,43 @@
 import quotagateway.policy.settings.Idempotency;
 
 /**
- * Ejects backends that fail (a circuit breaker for each): one whose share of failures is too high
- * gets no requests for a time that doubles with each ejection in a row. It is half-open then: one
- * request probes it, a success closes the breaker, a failure ejects it again. A backend is also
- * left alone for a moment after it has rejected a request. Owned by the policy's thread.
+ * Ejects failing backends, with one circuit breaker for each backend. A backend whose failure share
+ * is too high gets no requests for a time that doubles with each consecutive ejection. Then the
+ * breaker is half-open: one request probes the backend; a success closes the breaker, a failure
+ * ejects the backend again. A backend that has rejected a request is also paused for a short time.
+ * Owned by the policy's thread.
  */
 final class OutlierDetector {
 
-  /** Weight of the newest response in a backend's share of failures. */
-  private static final double NEWEST_WEIGHT = 0.2;
+  /** Weight of the newest sample in a backend's failure share. */
+  private static final double NEWEST_SAMPLE_WEIGHT = 0.2;
 
-  /** Above this share a backend is ejected, as after three failures in a row. */
+  /** Failure share above which a backend is ejected; three consecutive failures exceed it. */
   private static final double MAX_FAILURE_SHARE = 0.4;
 
-  /** Below this share the next ejection is a first one again: the backend has truly recovered. */
+  /**
+   * Failure share below which a backend has recovered, so that its next ejection counts as the first
+   * again.
+   */
   private static final double RECOVERED_FAILURE_SHARE = MAX_FAILURE_SHARE / 4;
 
-  /** First ejection: long enough for a brief fault to end, short enough to lose little capacity. */
-  private static final double EJECTION_MS = 1_000;
+  /**
+   * Duration of the first ejection: long enough for a brief fault to end, short enough to lose little
+   * capacity.
+   */
+  private static final double FIRST_EJECTION_MS = 1_000;
 
-  /** The ejection time doubles so often at most, so that a repaired backend is soon in use. */
-  private static final int MAX_DOUBLINGS = 3;
+  /** Limits the ejection time, so that a repaired backend is soon used again. */
+  private static final int MAX_EJECTION_DOUBLINGS = 3;
 
-  /** Random part of the ejection time, so that the gateways do not probe all at once. */
+  /** Random increase of the ejection time, so that the gateways do not all probe at once. */
   private static final double EJECTION_JITTER = 0.3;
 
-  /** A rejecting backend is left alone for so many mean service times of the fleet. */
+  /** Pause after a rejection, as a multiple of the mean service time over all backends. */
   private static final double REJECTION_PAUSE_SERVICE_TIMES = 2;
 
-  /** An ejection is part of what is known of a backend for so long after it has ended. */
-  private static final double EJECTION_MEMORY_MS = 10_000;
+  /** Time after its end for which an ejection keeps the backend's status from being evicted. */
+  private static final double EJECTION_RETENTION_MS = 10_000;
 
   private final DecisionContext context;
 
@@ -43,10 +50,11 @@
   }
 
   /**
-   * Whether an outcome is a failure of the backend. A time-out counts only where the backend has
-   * answered nothing since, and this gateway did not stall meanwhile.
+   * Returns whether the outcome of an attempt is a failure of the backend. A timeout or cancellation
+   * counts only if, since the attempt was sent, the backend has answered nothing and this gateway has
+   * not stalled.
    *
-   * @param stalledUntilMs when this gateway last stalled, up to its end
+   * @param stalledUntilMs the end of this gateway's latest stall
    */
   boolean isFailure(
       BackendStatus backend, AttemptRecord attempt, Status status, double stalledUntilMs) {
@@ -59,17 +67,17 @@
   }
 
   /**
-   * Takes a success or a failure into a backend's share of failures.
+   * Adds a success or a failure to a backend's failure share.
    *
-   * @param learnedWeight weight of the share so far, from 0 to 1
+   * @param observationWeight weight of the previous failure share, from 0 to 1
    */
-  void recordSample(BackendStatus backend, boolean failed, double learnedWeight) {
-    backend.failureShare *= learnedWeight;
-    backend.failureShare += NEWEST_WEIGHT * ((failed ? 1 : 0) - backend.failureShare);
+  void recordSample(BackendStatus backend, boolean failed, double observationWeight) {
+    backend.failureShare *= observationWeight;
+    backend.failureShare += NEWEST_SAMPLE_WEIGHT * ((failed ? 1 : 0) - backend.failureShare);
   }
 
-  /** Closes the breaker after a success. */
-  void close(BackendStatus backend) {
+  /** Closes a backend's circuit breaker after a success. */
+  void closeCircuitBreaker(BackendStatus backend) {
     backend.halfOpen = false;
     if (backend.failureShare < RECOVERED_FAILURE_SHARE) {
       backend.ejections = 0;
@@ -77,16 +85,16 @@
   }
 
   /**
-   * Ejects a backend after a failed attempt, if it fails too often, or where the attempt was its
-   * half-open probe. An attempt from before the end of the last ejection is neither: it tells of
-   * the fault for which the backend was ejected.
+   * Ejects a backend after a failed attempt if its failure share is too high or the breaker is
+   * half-open. Ignores an attempt that was sent before the end of the latest ejection, because it
+   * failed due to the fault for which the backend was ejected.
    */
   void ejectIfFailing(BackendStatus backend, AttemptRecord attempt) {
     if (attempt.sentAtMs() < backend.ejectedUntilMs) {
       return;
     }
     if (backend.failureShare > MAX_FAILURE_SHARE || backend.halfOpen) {
-      double ejectionMs = EJECTION_MS * (1 << Math.min(backend.ejections, MAX_DOUBLINGS));
+      double ejectionMs = FIRST_EJECTION_MS * (1 << Math.min(backend.ejections, MAX_EJECTION_DOUBLINGS));
       double jitter = 1 + EJECTION_JITTER * context.nextRandom();
       backend.ejectedUntilMs = context.nowMs() + ejectionMs * jitter;
       backend.ejections++;
@@ -94,32 +102,33 @@
     }
   }
 
-  /** Leaves a backend alone for a moment that has rejected a request. */
+  /** Pauses a backend that has rejected a request. */
   void pauseAfterRejection(BackendStatus backend, double fleetServiceMs) {
-    backend.rejectingUntilMs = context.nowMs() + REJECTION_PAUSE_SERVICE_TIMES * fleetServiceMs;
+    backend.pausedUntilMs = context.nowMs() + REJECTION_PAUSE_SERVICE_TIMES * fleetServiceMs;
   }
 
-  /** Whether a backend is left alone after a rejection. */
+  /** Returns whether a backend is paused after a rejection. */
   boolean isPaused(BackendStatus backend) {
-    return context.nowMs() < backend.rejectingUntilMs;
+    return context.nowMs() < backend.pausedUntilMs;
   }
 
   /**
-   * Whether a backend is closed to a request: ejected, half-open with its probe under way or a
-   * request that must not be executed twice, or in a zone or cell that cannot be reached.
+   * Returns whether a backend must not get a request: because it is ejected, because it is half-open
+   * and either has an outstanding attempt or the request is not idempotent, or because its zone or
+   * cell cannot be reached.
    */
-  boolean isClosedTo(BackendStatus backend, Idempotency idempotency) {
+  boolean isUnavailableFor(BackendStatus backend, Idempotency idempotency) {
     double nowMs = context.nowMs();
-    boolean probeBarred =
+    boolean probeDisallowed =
         backend.halfOpen
-            && (!backend.outstanding.isEmpty() || idempotency == Idempotency.NOT_IDEMPOTENT);
+            && (!backend.outstandingAttempts.isEmpty() || idempotency == Idempotency.NOT_IDEMPOTENT);
     return nowMs < backend.ejectedUntilMs
-        || probeBarred
+        || probeDisallowed
         || backend.groupLossShare(nowMs) > MAX_FAILURE_SHARE;
   }
 
-  /** Whether a backend's last ejection is so long ago that it does not matter any more. */
-  boolean isForgotten(BackendStatus backend) {
-    return context.nowMs() > backend.ejectedUntilMs + EJECTION_MEMORY_MS;
+  /** Returns whether a backend was never ejected or its latest ejection is no longer relevant. */
+  boolean hasNoRecentEjection(BackendStatus backend) {
+    return context.nowMs() > backend.ejectedUntilMs + EJECTION_RETENTION_MS;
   }
 }
--- a/src/main/java/quotagateway/policy/routing/RequestRouting.java
+++ b/src/main/java/quotagateway/policy/routing/RequestRouting.java
@@ -3,35 +3,34 @@
 import quotagateway.policy.settings.DeduplicationScope;
 import quotagateway.policy.settings.RequestClass;
 
-/** Where the attempts of one request were, as far as it binds the next one. */
+/** The earlier attempts of one request, as far as they restrict the selection of the next backend. */
 public final class RequestRouting {
 
   private final RequestClass requestClass;
   private BackendStatus lastBackend;
   private BackendStatus deduplicatingBackend;
 
-  /** The routing of a request without attempts. */
+  /** Creates the routing of a request that has no attempts yet. */
   public RequestRouting(RequestClass requestClass) {
     this.requestClass = requestClass;
   }
 
-  /** The class that the request is served by. */
   RequestClass requestClass() {
     return requestClass;
   }
 
-  /** Where the latest attempt went, or null. */
+  /** Returns the backend of the latest attempt, or null if there was none. */
   BackendStatus lastBackend() {
     return lastBackend;
   }
 
-  void attemptStarted(BackendStatus backend) {
+  void recordAttempt(BackendStatus backend) {
     lastBackend = backend;
   }
 
   /**
-   * Binds all further attempts to the backends that deduplicate together with this one, which may
-   * have executed the request; only the first call counts.
+   * Binds all further attempts to the backends that deduplicate together with the given backend, which
+   * may have executed the request. Only the first call has an effect.
    */
   public void bindTo(BackendStatus backend) {
     if (deduplicatingBackend == null) {
@@ -40,10 +39,11 @@
   }
 
   /**
-   * The backend whose zone or cell a further attempt has to stay in; null where it may go anywhere.
+   * Returns the backend whose zone or cell further attempts must stay in, or null if they may go to
+   * any backend.
    */
-  BackendStatus boundTo() {
-    boolean anywhere = requestClass.deduplicationScope() == DeduplicationScope.ALL;
-    return anywhere ? null : deduplicatingBackend;
+  BackendStatus boundBackend() {
+    boolean unrestricted = requestClass.deduplicationScope() == DeduplicationScope.ALL;
+    return unrestricted ? null : deduplicatingBackend;
   }
 }
--- a/src/main/java/quotagateway/policy/routing/RestartDetector.java
+++ b/src/main/java/quotagateway/policy/routing/RestartDetector.java
@@ -3,14 +3,13 @@
 import quotagateway.policy.context.DecisionContext;
 
 /**
- * Takes a backend that refuses a connection for one that has restarted, before the endpoint list
- * says so, so that it is met as one that warms up. Owned by the policy's thread.
+ * Suspects that a backend has restarted when a connection to it fails, before the endpoint list
+ * reports the restart. A suspected backend is treated as warming up. Owned by the policy's thread.
  *
- * <p>Prevents a burst of requests to a process that has just started. A suspected backend that then
- * answers an attempt sent before the suspicion has not restarted, as nothing outlives its process:
- * the suspicion ends. That prevents connections that fail for any other cause, of which a few would
- * suffice, from making the whole fleet look as if it was warming up. Cost: none known, as a start
- * that the list gives still holds.
+ * <p>Without this, a process that has just started would get a burst of requests. The suspicion ends
+ * when an attempt that was sent before it succeeds, because an attempt cannot outlive its process.
+ * Otherwise a few connections that fail for another reason would suffice to make the entire fleet look
+ * as if it was warming up. There is no known drawback, because a start time in the list still applies.
  */
 final class RestartDetector {
 
@@ -24,21 +23,21 @@
     this.slowStart = slowStart;
   }
 
-  /** Suspects a restart after a failed connection, unless the backend is warming up anyway. */
+  /** Suspects a restart after a failed connection, unless the backend is already warming up. */
   void recordConnectFailure(BackendStatus backend) {
     if (!backend.isWarmingUp(context.settings().rules(), context.nowMs())) {
       backend.restartSuspectedAtMs = context.nowMs();
-      slowStart.restart(backend);
+      slowStart.resetBucket(backend);
       tracker.assumeStarted(backend, context.nowMs());
     }
   }
 
-  /** Ends the suspicion if the successful attempt was sent before it. */
+  /** Ends the suspicion if the successful attempt was sent before it arose. */
   void recordSuccess(BackendStatus backend, AttemptRecord attempt) {
     if (attempt.sentAtMs() < backend.restartSuspectedAtMs) {
       tracker.assumeStarted(backend, backend.listedStartMs);
       backend.restartSuspectedAtMs = Double.NEGATIVE_INFINITY;
-      slowStart.warmCountChanged();
+      slowStart.invalidateWarmCount();
     }
   }
 }
--- a/src/main/java/quotagateway/policy/routing/package-info.java
+++ b/src/main/java/quotagateway/policy/routing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * To which backend an attempt goes: what is known of each backend, which of them may be used, and
- * the choice among those. {@link quotagateway.policy.routing.BackendRouter} is the entry.
+ * Selection of the backend for each attempt: the state of each backend, which backends can be used,
+ * and the choice among them. {@link quotagateway.policy.routing.BackendRouter} is the entry point.
  */
 package quotagateway.policy.routing;
--- a/src/test/java/quotagateway/endpoint/EndpointIndexTest.java
+++ b/src/test/java/quotagateway/endpoint/EndpointIndexTest.java
@@ -15,15 +15,15 @@
 import quotagateway.policy.GatewayPolicy;
 import quotagateway.policy.RandomEvents;
 
-/** The index against plain lists that are made anew of all backends for each question. */
+/** Compares the index with lists that are rebuilt from all backends for each query. */
 class EndpointIndexTest {
 
   private static final double WARM_UP_MS = 5_000;
 
-  /** Filters, sorts and sums all backends each time, as a plain program would. */
-  private static final class PlainIndex extends EndpointIndex {
-    PlainIndex(long gateway) {
-      super(gateway);
+  /** A reference implementation that filters, sorts and sums all backends for each query. */
+  private static final class ReferenceIndex extends EndpointIndex {
+    ReferenceIndex(long gatewayIndex) {
+      super(gatewayIndex);
     }
 
     @Override
@@ -38,16 +38,16 @@
 
     @Override
     public OrderedSlots ranked() {
-      return sorted(slot -> true, slot -> RendezvousHash.rank(id(slot), gateway()));
+      return sorted(slot -> true, slot -> RendezvousHash.rank(id(slot), gatewayIndex()));
     }
 
     @Override
-    public OrderedSlots inZone(String zone) {
+    public OrderedSlots servingInZone(String zone) {
       return sorted(slot -> groups.get(group(slot)).startsWith(zone + "/"), this::id);
     }
 
     @Override
-    public OrderedSlots inCell(String zone, int cell) {
+    public OrderedSlots servingInCell(String zone, int cell) {
       return sorted(slot -> groups.get(group(slot)).equals(zone + "/" + cell), this::id);
     }
 
@@ -61,8 +61,8 @@
     }
 
     @Override
-    public int countWarm(double warmUpMs, double now) {
-      return (int) serve().filter(slot -> !isWarmingUp(slot, warmUpMs, now)).count();
+    public int countWarm(double warmUpMs, double nowMs) {
+      return (int) servingSlots().filter(slot -> !isWarmingUp(slot, warmUpMs, nowMs)).count();
     }
 
     @Override
@@ -76,54 +76,54 @@
 
     private final List<String> groups = new ArrayList<>();
 
-    private IntStream slots(IntPredicate among) {
-      return IntStream.range(0, capacity()).filter(this::isUsed).filter(among);
+    private IntStream slots(IntPredicate predicate) {
+      return IntStream.range(0, capacity()).filter(this::isUsed).filter(predicate);
     }
 
-    private IntStream serve() {
+    private IntStream servingSlots() {
       return slots(slot -> state(slot) == EndpointState.SERVING);
     }
 
-    private OrderedSlots sorted(IntPredicate among, OrderedSlots.Key order) {
-      OrderedSlots sorted = new OrderedSlots(order);
-      serve().filter(among).forEach(sorted::add);
+    private OrderedSlots sorted(IntPredicate predicate, OrderedSlots.Key key) {
+      OrderedSlots sorted = new OrderedSlots(key);
+      servingSlots().filter(predicate).forEach(sorted::add);
       return sorted;
     }
   }
 
-  private static List<String> play(long seed, int gateways, int backends, EndpointIndex index) {
+  private static List<String> runRandomEvents(long seed, int gateways, int backends, EndpointIndex index) {
     List<String> actions = new ArrayList<>();
     new RandomEvents(
             seed,
             gateways,
             backends,
             settings -> new GatewayPolicy(settings, seed, index),
-            (now, event, led) -> actions.add(event + " at " + now + ": " + led))
+            (nowMs, event, emitted) -> actions.add(event + " at " + nowMs + ": " + emitted))
         .run(2_000);
     return actions;
   }
 
-  /** Whatever is chosen among the backends is chosen alike by either index, event by event. */
+  /** Both indexes must lead to the same actions for each event. */
   @Test
-  void decidesTheSameAsWithPlainLists() {
+  void leadsToSameActionsAsReferenceIndex() {
     int[][] sizes = {{1, 6}, {2, 24}, {6, 60}, {100, 200}, {300, 24}};
     for (int seed = 0; seed < sizes.length; seed++) {
-      List<String> plain = play(seed, sizes[seed][0], sizes[seed][1], new PlainIndex(1));
-      List<String> quick = play(seed, sizes[seed][0], sizes[seed][1], new EndpointIndex(1));
-      assertEquals(plain, quick);
-      assertTrue(plain.stream().filter(line -> line.contains("StartAttempt[")).count() > 500);
+      List<String> expected = runRandomEvents(seed, sizes[seed][0], sizes[seed][1], new ReferenceIndex(1));
+      List<String> actual = runRandomEvents(seed, sizes[seed][0], sizes[seed][1], new EndpointIndex(1));
+      assertEquals(expected, actual);
+      assertTrue(expected.stream().filter(line -> line.contains("StartAttempt[")).count() > 500);
     }
   }
 
-  private static Set<Long> members(EndpointIndex index, int many) {
-    Set<Long> members = new HashSet<>();
-    for (int i = 0; i < many; i++) {
-      members.add(index.id(index.ranked().get(i)));
+  private static Set<Long> subset(EndpointIndex index, int size) {
+    Set<Long> subset = new HashSet<>();
+    for (int i = 0; i < size; i++) {
+      subset.add(index.id(index.ranked().get(i)));
     }
-    return members;
+    return subset;
   }
 
-  private static void serve(EndpointIndex index, long id) {
+  private static void addServing(EndpointIndex index, long id) {
     index.update(
         index.add(id, index.group("a", 0)),
         index.group("a", 0),
@@ -134,35 +134,32 @@
         0);
   }
 
-  /** Of the backends that come first in a gateway's order, one that is replaced moves one. */
+  /** Replacing one endpoint changes at most one of the first endpoints in a gateway's ranking. */
   @Test
-  void changesOneMemberOfASubsetForAReplacedBackend() {
+  void changesAtMostOneSubsetMemberPerReplacedEndpoint() {
     EndpointIndex index = new EndpointIndex(4);
     SplittableRandom random = new SplittableRandom(5);
     for (long id = 0; id < 1_000; id++) {
-      serve(index, id);
+      addServing(index, id);
     }
     for (int round = 0; round < 500; round++) {
-      Set<Long> before = members(index, 100);
+      Set<Long> before = subset(index, 100);
       int slot = index.serving().get(random.nextInt(index.serving().size()));
       index.update(slot, index.group(slot), EndpointState.REMOVED, 1, 0, WARM_UP_MS, 0);
       index.remove(slot);
-      serve(index, 1_000 + round);
-      before.removeAll(members(index, 100));
-      assertTrue(before.size() <= 1, before + " left at once");
+      addServing(index, 1_000 + round);
+      before.removeAll(subset(index, 100));
+      assertTrue(before.size() <= 1, before + " left the subset at once");
     }
   }
 
-  /**
-   * However often sizes of all magnitudes come and go, the mean of those left is that of a fresh
-   * start.
-   */
+  /** Weights of very different magnitudes must leave no rounding error in the mean. */
   @Test
-  void keepsTheMeanWeightExactThroughManyChanges() {
+  void keepsMeanWeightExactThroughManyChanges() {
     EndpointIndex index = new EndpointIndex(4);
     SplittableRandom random = new SplittableRandom(6);
-    serve(index, 1);
-    serve(index, 2);
+    addServing(index, 1);
+    addServing(index, 2);
     int slot = index.find(2);
     for (int i = 0; i < 100_000; i++) {
       double weight = Math.pow(10, random.nextInt(-6, 9)) * random.nextDouble();
@@ -172,11 +169,12 @@
     assertEquals(0.6, index.meanWeight());
   }
 
-  // A weight of nought or a huge one is junk, and would take a backend out or make it the only one.
+  // An invalid weight of zero would exclude a backend, and a huge one would make it the only one
+  // used.
   @Test
-  void boundsWeightsThatAreJunk() {
+  void clampsInvalidWeights() {
     EndpointIndex index = new EndpointIndex(4);
-    serve(index, 1);
+    addServing(index, 1);
     int slot = index.find(1);
     index.update(slot, index.group(slot), EndpointState.SERVING, 0, 0, WARM_UP_MS, 0);
     assertEquals(1e-6, index.weight(slot));
@@ -185,38 +183,38 @@
   }
 
   @Test
-  void movesAnEndpointBetweenZones() {
+  void movesEndpointBetweenZones() {
     EndpointIndex index = new EndpointIndex(4);
-    serve(index, 1);
+    addServing(index, 1);
     int slot = index.find(1);
     int other = index.group("b", 3);
     index.update(slot, other, EndpointState.SERVING, 1, 0, WARM_UP_MS, 0);
-    assertEquals(0, index.inZone("a").size());
-    assertEquals(1, index.inZone("b").size());
-    assertEquals(1, index.inCell("b", 3).size());
+    assertEquals(0, index.servingInZone("a").size());
+    assertEquals(1, index.servingInZone("b").size());
+    assertEquals(1, index.servingInCell("b", 3).size());
   }
 
-  // No new connection goes to an endpoint that left, though it is removed later.
+  // No new connection may go to an endpoint that is no longer listed, even before its removal.
   @Test
-  void givesNoAddressOfAnEndpointThatLeft() {
+  void returnsNoAddressOfUnlistedEndpoint() {
     EndpointIndex index = new EndpointIndex(4);
-    serve(index, 1);
+    addServing(index, 1);
     int slot = index.find(1);
     index.setAddress(slot, 77);
     assertEquals(77, index.address(1));
-    index.keepOnly(new BitSet());
+    index.beginSnapshotRemoval(new BitSet());
     assertEquals(Endpoint.NO_ADDRESS, index.address(1));
-    assertTrue(index.hasLeft(slot));
+    assertTrue(index.isPendingRemoval(slot));
   }
 
   @Test
-  void handsOverEachRemovedEndpointOnce() {
+  void passesEachRemovedSlotToConsumerOnce() {
     EndpointIndex index = new EndpointIndex(4);
-    serve(index, 1);
-    serve(index, 2);
+    addServing(index, 1);
+    addServing(index, 2);
     int drained = index.find(1);
     index.update(drained, index.group(drained), EndpointState.REMOVED, 1, 0, WARM_UP_MS, 0);
-    index.keepOnly(new BitSet());
+    index.beginSnapshotRemoval(new BitSet());
     List<Integer> removed = new ArrayList<>();
     while (index.sweep(1, removed::add)) {
       assertTrue(removed.size() <= 1);
--- a/src/test/java/quotagateway/endpoint/OrderedSlotsTest.java
+++ b/src/test/java/quotagateway/endpoint/OrderedSlotsTest.java
@@ -11,16 +11,16 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The tree of slots against a plain sorted list. */
+/** Compares the tree of slots with a sorted list. */
 class OrderedSlotsTest {
 
   private static final int SLOTS = 20_000;
 
   private final SplittableRandom random = new SplittableRandom(3);
   private final OrderedSlots tree = new OrderedSlots(OrderedSlotsTest::key);
-  private final List<Integer> plain = new ArrayList<>();
+  private final List<Integer> expected = new ArrayList<>();
 
-  /** One key for each three slots. */
+  /** Maps each group of three consecutive slots to one key. */
   private static long key(int slot) {
     return (slot / 3) * 0x9E3779B97F4A7C15L;
   }
@@ -29,68 +29,68 @@
     return key(a) != key(b) ? Long.compare(key(a), key(b)) : Integer.compare(a, b);
   }
 
-  /** Compares with the place just ahead of the first slot of a key. */
-  private static int firstOfKey(int slot, int aheadOf) {
-    return key(slot) < key(aheadOf + 1) ? -1 : 1;
+  /** Compares a slot with the position just before the first slot with the next key. */
+  private static int compareToStartOfNextKey(int slot, int previousSlot) {
+    return key(slot) < key(previousSlot + 1) ? -1 : 1;
   }
 
   private void toggle(int slot) {
-    int at = Collections.binarySearch(plain, slot, OrderedSlotsTest::compare);
-    if (at >= 0) {
-      plain.remove(at);
+    int position = Collections.binarySearch(expected, slot, OrderedSlotsTest::compare);
+    if (position >= 0) {
+      expected.remove(position);
       assertTrue(tree.remove(slot));
       assertFalse(tree.remove(slot));
     } else {
-      plain.add(-at - 1, slot);
+      expected.add(-position - 1, slot);
       tree.add(slot);
     }
   }
 
-  private void assertSame() {
-    assertEquals(plain.size(), tree.size());
-    for (int i = 0; i < plain.size(); i++) {
-      assertEquals(plain.get(i), tree.get(i));
+  private void assertSameSlots() {
+    assertEquals(expected.size(), tree.size());
+    for (int i = 0; i < expected.size(); i++) {
+      assertEquals(expected.get(i), tree.get(i));
     }
     for (int i = 0; i < SLOTS; i++) {
-      int first = -Collections.binarySearch(plain, i / 3 * 3 - 1, OrderedSlotsTest::firstOfKey) - 1;
-      boolean there = first < plain.size() && key(plain.get(first)) == key(i);
-      assertEquals(there ? plain.get(first) : OrderedSlots.NONE, tree.find(key(i)));
+      int first = -Collections.binarySearch(expected, i / 3 * 3 - 1, OrderedSlotsTest::compareToStartOfNextKey) - 1;
+      boolean present = first < expected.size() && key(expected.get(first)) == key(i);
+      assertEquals(present ? expected.get(first) : OrderedSlots.NONE, tree.find(key(i)));
     }
-    assertThrows(IndexOutOfBoundsException.class, () -> tree.get(plain.size()));
+    assertThrows(IndexOutOfBoundsException.class, () -> tree.get(expected.size()));
     assertThrows(IndexOutOfBoundsException.class, () -> tree.get(-1));
   }
 
   @Test
-  void holdsTheSameAsASortedListThroughGrowthAndShrinking() {
-    assertSame();
+  void matchesSortedListWhileGrowingAndShrinking() {
+    assertSameSlots();
     for (int round = 0; round < 4; round++) {
       for (int i = 0; i < SLOTS; i++) {
         toggle(random.nextInt(SLOTS));
       }
-      assertSame();
-      while (plain.size() > 50 * round) {
-        toggle(plain.get(random.nextInt(plain.size())));
+      assertSameSlots();
+      while (expected.size() > 50 * round) {
+        toggle(expected.get(random.nextInt(expected.size())));
       }
-      assertSame();
+      assertSameSlots();
     }
   }
 
   @Test
-  void takesSlotsInOrderAndInReverse() {
-    OrderedSlots up = new OrderedSlots(slot -> slot);
-    OrderedSlots down = new OrderedSlots(slot -> -slot);
+  void addsAndRemovesSlotsInAscendingAndDescendingOrder() {
+    OrderedSlots ascending = new OrderedSlots(slot -> slot);
+    OrderedSlots descending = new OrderedSlots(slot -> -slot);
     for (int i = 0; i < SLOTS; i++) {
-      up.add(i);
-      down.add(i);
+      ascending.add(i);
+      descending.add(i);
     }
     for (int i = 0; i < SLOTS; i++) {
-      assertEquals(i, up.get(i));
-      assertEquals(SLOTS - 1 - i, down.get(i));
+      assertEquals(i, ascending.get(i));
+      assertEquals(SLOTS - 1 - i, descending.get(i));
     }
     for (int i = 0; i < SLOTS; i++) {
-      assertTrue(up.remove(i));
-      assertTrue(down.remove(i));
+      assertTrue(ascending.remove(i));
+      assertTrue(descending.remove(i));
     }
-    assertEquals(0, up.size() + down.size());
+    assertEquals(0, ascending.size() + descending.size());
   }
 }
--- a/src/test/java/quotagateway/policy/routing/BackendRouterTest.java
+++ b/src/test/java/quotagateway/policy/routing/BackendRouterTest.java
@@ -22,7 +22,7 @@
 import quotagateway.policy.settings.PolicySettings;
 import quotagateway.policy.settings.ServiceRules;
 
-/** What a router of one backend learns from each end of an attempt, and from settings. */
+/** Tests how a router with one backend handles outcomes of attempts and changes of settings. */
 class BackendRouterTest {
 
   private static final double START_MS = RoutingFixture.START_MS;
@@ -41,7 +41,7 @@
     context.start(START_MS);
     router.updateEndpoints(
         new EndpointsUpdated(EndpointListForm.SNAPSHOT, List.of(RoutingFixture.endpoint(0, 0))));
-    backend = router.select(request, RoutingFixture.OBJECTIVE_MS);
+    backend = router.select(request, RoutingFixture.LATENCY_OBJECTIVE_MS);
     context.begin(START_MS + 10);
   }
 
@@ -66,37 +66,37 @@
   }
 
   @Test
-  void countsAnAttemptAsOutstandingUntilItEnds() {
+  void countsAttemptAsOutstandingUntilItEnds() {
     AttemptRecord attempt = start();
-    assertEquals(1, backend.outstanding.size());
+    assertEquals(1, backend.outstandingAttempts.size());
     assertTrue(attempt.reachedBackend());
     assertSame(backend, request.lastBackend());
     end(attempt, Status.OK, null);
-    assertTrue(backend.outstanding.isEmpty());
+    assertTrue(backend.outstandingAttempts.isEmpty());
   }
 
-  // A backend that sends a long response is not busy, and it has answered.
+  // A backend that streams a long response has responded and has no more work with the request.
   @Test
-  void countsAnAttemptAsOutstandingUntilItsResponseStarts() {
+  void countsAttemptAsOutstandingUntilResponseStarts() {
     AttemptRecord attempt = start();
     router.responseStarted(attempt);
-    assertTrue(backend.outstanding.isEmpty());
+    assertTrue(backend.outstandingAttempts.isEmpty());
     assertEquals(context.nowMs(), backend.lastResponseAtMs);
     assertEquals(attempt.sentAtMs(), backend.latestAnsweredSentAtMs);
   }
 
-  // An upload takes as long as its client: the backend's time begins with the last byte.
+  // The duration of an upload depends on the client, so the backend's time starts at the last byte.
   @Test
-  void countsAForwardedRequestFromItsLastByte() {
+  void measuresStreamedRequestFromLastByte() {
     AttemptRecord attempt = router.startAttempt(request, 0, backend);
-    assertTrue(backend.outstanding.isEmpty());
+    assertTrue(backend.outstandingAttempts.isEmpty());
     context.begin(START_MS + 500);
     router.requestBodyComplete(attempt);
     assertEquals(START_MS + 500, attempt.sentAtMs());
-    assertEquals(1, backend.outstanding.size());
+    assertEquals(1, backend.outstandingAttempts.size());
   }
 
-  // The backend works, whatever it answers, and even if that cannot be read.
+  // Any response shows that the backend works, even if the response cannot be read.
   @ParameterizedTest
   @CsvSource({
     "OK, true",
@@ -110,7 +110,7 @@
     "CANCELLED, false",
     "NOT_SENT, false"
   })
-  void takesAnyResponseAsASignOfLife(Status status, boolean responded) {
+  void updatesLastResponseTimeOnAnyResponse(Status status, boolean responded) {
     backend.lastResponseAtMs = START_MS;
     end(status);
     assertEquals(responded ? context.nowMs() : START_MS, backend.lastResponseAtMs);
@@ -128,10 +128,10 @@
     "TIMED_OUT, 0.6",
     "CONNECT_FAILED, 0.6"
   })
-  void movesTheFailureShareByASuccessOrAFailureOnly(Status status, double expected) {
+  void updatesFailureShareOnSuccessOrFailureOnly(Status status, double expected) {
     AttemptRecord attempt = start();
     backend.lastResponseAtMs = attempt.sentAtMs();
-    backend.failureShare = 0.5 / backend.learnedWeight(context.nowMs());
+    backend.failureShare = 0.5 / backend.observationWeight(context.nowMs());
     if (expected == 0.5) {
       backend.failureShare = 0.5;
     }
@@ -140,14 +140,14 @@
   }
 
   @Test
-  void learnsLoadAndServiceTimeFromASuccess() {
+  void recordsLoadAndServiceTimeOnSuccess() {
     end(start(), Status.OK, new LoadReport(5, Double.NaN));
     assertEquals(102, router.fleetServiceMs(), 1e-9);
     assertEquals(5, backend.reportedInFlight);
   }
 
   @Test
-  void ejectsABackendThatFailsAndClosesAfterASuccess() {
+  void ejectsFailingBackendAndClosesCircuitBreakerAfterSuccess() {
     backend.failureShare = 1;
     end(Status.ERROR);
     assertTrue(backend.halfOpen);
@@ -157,14 +157,14 @@
   }
 
   @Test
-  void pausesABackendThatRejects() {
+  void pausesBackendAfterRejection() {
     end(Status.REJECTED);
-    assertEquals(context.nowMs() + 200, backend.rejectingUntilMs);
+    assertEquals(context.nowMs() + 200, backend.pausedUntilMs);
   }
 
-  // A refused connection is how a restart shows first; an answer to something older disproves it.
+  // A restart first shows as a refused connection; a response to an older attempt disproves it.
   @Test
-  void suspectsARestartUntilAnEarlierAttemptSucceeds() {
+  void suspectsRestartUntilEarlierAttemptSucceeds() {
     AttemptRecord earlier = start();
     end(Status.RESET);
     assertFalse(isWarmingUp());
@@ -175,14 +175,14 @@
   }
 
   @Test
-  void recordsLossesForTheZoneAndTheCell() {
+  void recordsLossesForZoneAndCell() {
     end(Status.RESET);
     assertEquals(0.2, backend.zoneReachability.lossShare(context.nowMs()), 0.01);
     assertEquals(0.2, backend.cellReachability.lossShare(context.nowMs()), 0.01);
   }
 
   @Test
-  void takesATokenWithEachAttemptAtABackendThatWarmsUp() {
+  void takesTokenForEachAttemptAtWarmingUpBackend() {
     end(Status.CONNECT_FAILED);
     backend.slowStartTokens = 1;
     router.startAttempt(request, 0, backend);
@@ -190,7 +190,7 @@
   }
 
   @Test
-  void ordersAndCountsEndpointsByNewSettings() {
+  void updatesRankingAndWarmUpForChangedSettings() {
     end(Status.CONNECT_FAILED);
     ServiceRules rules = settings.rules();
     assertEquals(0, index.countWarm(rules.warmUpMs(), context.nowMs()));
@@ -211,7 +211,7 @@
                 0,
                 rules.overloadMultiple(),
                 rules.overloadWindowMs())));
-    assertEquals(1, index.gateway());
+    assertEquals(1, index.gatewayIndex());
     assertEquals(1, index.countWarm(rules.warmUpMs(), context.nowMs()));
   }
 }
--- a/src/test/java/quotagateway/policy/routing/EndpointSelectorTest.java
+++ b/src/test/java/quotagateway/policy/routing/EndpointSelectorTest.java
@@ -17,7 +17,7 @@
 import quotagateway.policy.settings.DeduplicationScope;
 import quotagateway.policy.settings.Idempotency;
 
-/** Which backend a request gets, of those that are drawn. */
+/** Tests which backend is selected for a request. */
 class EndpointSelectorTest {
 
   private static final int ROUNDS = 200;
@@ -25,10 +25,10 @@
   private RoutingFixture fixture = RoutingFixture.of(2, 4);
 
   private BackendStatus select(RequestRouting request) {
-    return fixture.selector.select(request, RoutingFixture.OBJECTIVE_MS);
+    return fixture.selector.select(request, RoutingFixture.LATENCY_OBJECTIVE_MS);
   }
 
-  private Set<Long> selected(RequestRouting request) {
+  private Set<Long> selectRepeatedly(RequestRouting request) {
     Set<Long> selected = new HashSet<>();
     for (int i = 0; i < ROUNDS; i++) {
       BackendStatus backend = select(request);
@@ -41,44 +41,44 @@
 
   private void eject(long... ids) {
     for (long id : ids) {
-      fixture.fail(fixture.backend(id), 3);
+      fixture.recordFailures(fixture.backend(id), 3);
     }
   }
 
   @Test
-  void spreadsRequestsOverBackendsOfTheSameCost() {
-    assertEquals(Set.of(0L, 1L, 2L, 3L), selected(RoutingFixture.idempotentRequest()));
+  void spreadsRequestsOverBackendsOfSameCost() {
+    assertEquals(Set.of(0L, 1L, 2L, 3L), selectRepeatedly(RoutingFixture.idempotentRequest()));
   }
 
   @Test
-  void prefersTheCheaperBackend() {
+  void selectsCheapestBackend() {
     for (long id = 0; id < 3; id++) {
-      fixture.attemptAt(fixture.backend(id));
+      fixture.startAttemptAt(fixture.backend(id));
     }
-    assertEquals(Set.of(3L), selected(RoutingFixture.idempotentRequest()));
+    assertEquals(Set.of(3L), selectRepeatedly(RoutingFixture.idempotentRequest()));
   }
 
   @Test
-  void selectsNothingWithoutBackends() {
+  void returnsNullWithoutBackends() {
     fixture = RoutingFixture.of(2, 0);
     assertNull(select(RoutingFixture.idempotentRequest()));
   }
 
   @Test
-  void avoidsEjectedBackends() {
+  void skipsEjectedBackendsWhileOthersAreUsable() {
     eject(0, 1, 2);
-    assertEquals(Set.of(3L), selected(RoutingFixture.idempotentRequest()));
+    assertEquals(Set.of(3L), selectRepeatedly(RoutingFixture.idempotentRequest()));
   }
 
-  // A fault that all backends show is no reason to serve nobody: there is no better choice.
+  // If all backends fail, trying an ejected one is better than serving no request.
   @Test
-  void passesOverEjectionsWhereAllAreEjected() {
+  void usesEjectedBackendsIfAllAreEjected() {
     eject(0, 1, 2, 3);
-    assertEquals(Set.of(0L, 1L, 2L, 3L), selected(RoutingFixture.idempotentRequest()));
+    assertEquals(Set.of(0L, 1L, 2L, 3L), selectRepeatedly(RoutingFixture.idempotentRequest()));
   }
 
   @Test
-  void sendsNothingToABackendThatRejectsEvenWhereAllDo() {
+  void returnsNullIfAllBackendsArePausedAfterRejection() {
     for (long id = 0; id < 4; id++) {
       fixture.outliers.pauseAfterRejection(fixture.backend(id), 100);
     }
@@ -86,57 +86,58 @@
   }
 
   @Test
-  void sendsNothingToABackendThatWarmsUpAndHasNoToken() {
+  void skipsWarmingUpBackendWithoutToken() {
     fixture.tracker.assumeStarted(fixture.backend(0), fixture.context.nowMs());
     fixture.backend(0).slowStartTokens = 0;
-    assertEquals(Set.of(1L, 2L, 3L), selected(RoutingFixture.idempotentRequest()));
+    assertEquals(Set.of(1L, 2L, 3L), selectRepeatedly(RoutingFixture.idempotentRequest()));
   }
 
-  // Where an attempt failed, the next one most likely fails too; but one backend is better than
+  // Another attempt at the same backend will probably fail too, but one backend is better than
   // none.
   @Test
-  void goesElsewhereAfterAFailedAttemptIfItCan() {
+  void avoidsBackendOfLatestAttemptIfOthersAreUsable() {
     RequestRouting request = RoutingFixture.idempotentRequest();
-    request.attemptStarted(fixture.backend(2));
-    assertEquals(Set.of(0L, 1L, 3L), selected(request));
+    request.recordAttempt(fixture.backend(2));
+    assertEquals(Set.of(0L, 1L, 3L), selectRepeatedly(request));
     eject(0, 1, 3);
-    assertEquals(Set.of(2L), selected(request));
+    assertEquals(Set.of(2L), selectRepeatedly(request));
   }
 
-  // A backend elsewhere does not know the idempotency key, and would execute the request again.
+  // A backend of another group does not know the idempotency key and would execute the request
+  // again.
   @Test
-  void staysInTheGroupThatDeduplicates() {
+  void staysInDeduplicationScopeOfBoundBackend() {
     RequestRouting inZone =
         RoutingFixture.request(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE);
     inZone.bindTo(fixture.backend(1));
     inZone.bindTo(fixture.backend(0));
-    assertEquals(Set.of(1L, 3L), selected(inZone));
+    assertEquals(Set.of(1L, 3L), selectRepeatedly(inZone));
     RequestRouting inCell =
         RoutingFixture.request(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL);
     inCell.bindTo(fixture.backend(1));
-    assertEquals(Set.of(1L), selected(inCell));
+    assertEquals(Set.of(1L), selectRepeatedly(inCell));
     RequestRouting anywhere =
         RoutingFixture.request(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ALL);
     anywhere.bindTo(fixture.backend(1));
-    assertEquals(Set.of(0L, 1L, 2L, 3L), selected(anywhere));
+    assertEquals(Set.of(0L, 1L, 2L, 3L), selectRepeatedly(anywhere));
   }
 
   @Test
-  void passesOverEjectionsInTheGroupBeforeItLeavesIt() {
+  void usesEjectedBackendsOfBoundGroupRatherThanOtherGroups() {
     RequestRouting inZone =
         RoutingFixture.request(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE);
     inZone.bindTo(fixture.backend(1));
     eject(1, 3);
-    assertEquals(Set.of(1L, 3L), selected(inZone));
+    assertEquals(Set.of(1L, 3L), selectRepeatedly(inZone));
     for (long id : new long[] {1, 3}) {
       fixture.outliers.pauseAfterRejection(fixture.backend(id), 100);
     }
     assertNull(select(inZone));
   }
 
-  // Connections to all of a large fleet from all gateways would be too many.
+  // If every gateway used all backends of a large fleet, there would be too many connections.
   @Test
-  void keepsToItsSubsetUntilNoneOfItCanBeUsed() {
+  void staysInSubsetUntilNoneOfItIsUsable() {
     fixture = RoutingFixture.of(100, 200);
     int subsetSize = fixture.tracker.subsetSize();
     assertEquals(24, subsetSize);
@@ -144,90 +145,93 @@
     for (int i = 0; i < subsetSize; i++) {
       subset.add(fixture.index.id(fixture.index.ranked().get(i)));
     }
-    Set<Long> selected = selected(RoutingFixture.idempotentRequest());
+    Set<Long> selected = selectRepeatedly(RoutingFixture.idempotentRequest());
     assertTrue(subset.containsAll(selected), selected + " of " + subset);
     subset.forEach(id -> eject(id));
-    Set<Long> elsewhere = selected(RoutingFixture.idempotentRequest());
-    elsewhere.removeAll(subset);
-    assertTrue(elsewhere.size() > 20, elsewhere.toString());
+    Set<Long> outsideSubset = selectRepeatedly(RoutingFixture.idempotentRequest());
+    outsideSubset.removeAll(subset);
+    assertTrue(outsideSubset.size() > 20, outsideSubset.toString());
   }
 
   @Test
-  void sendsNothingToAnEndpointThatDrains() {
+  void skipsDrainingEndpoint() {
     fixture.tracker.update(
         new EndpointsUpdated(
             EndpointListForm.DELTA,
             List.of(new Endpoint(0, "a", 0, EndpointState.DRAINING, 1, 0))));
-    assertEquals(Set.of(1L, 2L, 3L), selected(RoutingFixture.idempotentRequest()));
+    assertEquals(Set.of(1L, 2L, 3L), selectRepeatedly(RoutingFixture.idempotentRequest()));
   }
 
-  // Many gateways that find the same best backend in the same reports overload it together.
+  // Many gateways that select the same backend from the same load reports would overload it.
   @Test
-  void comparesFewerBackendsTheMoreGatewaysThereAre() {
+  void comparesFewerBackendsIfThereAreMoreGateways() {
     fixture = RoutingFixture.of(30, 12);
-    int notTheBest = 0;
+    int idleBackendMisses = 0;
     for (long id = 1; id < 12; id++) {
-      fixture.attemptAt(fixture.backend(id));
+      fixture.startAttemptAt(fixture.backend(id));
     }
     for (int i = 0; i < ROUNDS; i++) {
-      notTheBest += select(RoutingFixture.idempotentRequest()).endpointId() == 0 ? 0 : 1;
+      idleBackendMisses += select(RoutingFixture.idempotentRequest()).endpointId() == 0 ? 0 : 1;
     }
-    // Two of twelve are drawn, perhaps the same one twice: the idle one is missed in five of six.
-    assertTrue(notTheBest > ROUNDS / 2, notTheBest + " of " + ROUNDS);
+    // Two candidates are drawn from twelve with replacement, so five of six selections miss the
+    // idle backend.
+    assertTrue(idleBackendMisses > ROUNDS / 2, idleBackendMisses + " of " + ROUNDS);
     fixture = RoutingFixture.of(2, 12);
     for (long id = 1; id < 12; id++) {
-      fixture.attemptAt(fixture.backend(id));
+      fixture.startAttemptAt(fixture.backend(id));
     }
-    assertEquals(Set.of(0L), selected(RoutingFixture.idempotentRequest()));
+    assertEquals(Set.of(0L), selectRepeatedly(RoutingFixture.idempotentRequest()));
   }
 
-  // The snapshot that no longer names them is known at once, though they are removed in slices.
+  // A new snapshot takes effect at once, although missing endpoints are removed in batches.
   @Test
-  void sendsNothingToAnEndpointThatLeftButIsNotRemovedYet() {
+  void skipsUnlistedEndpointBeforeItsRemoval() {
     fixture = RoutingFixture.of(2, 1_000);
     fixture.tracker.update(
         new EndpointsUpdated(EndpointListForm.SNAPSHOT, List.of(RoutingFixture.endpoint(999, 0))));
     assertTrue(fixture.index.serving().size() > 1);
-    Set<Long> selected = selected(RoutingFixture.idempotentRequest());
+    Set<Long> selected = selectRepeatedly(RoutingFixture.idempotentRequest());
     selected.remove(999L);
     assertEquals(Set.of(), selected);
   }
 
-  // With a single candidate a backend would be chosen at random, however busy it is.
+  // With a single candidate, the backend would be selected at random, however busy it is.
   @Test
-  void comparesTwoBackendsHoweverManyGatewaysThereAre() {
+  void comparesAtLeastTwoBackendsWithManyGateways() {
     fixture = RoutingFixture.of(1_000, 2);
-    fixture.attemptAt(fixture.backend(0));
-    assertEquals(Set.of(1L), selected(RoutingFixture.idempotentRequest()));
+    fixture.startAttemptAt(fixture.backend(0));
+    assertEquals(Set.of(1L), selectRepeatedly(RoutingFixture.idempotentRequest()));
   }
 
-  // A draw that finds a backend that cannot be used is made again, up to three for each candidate.
+  // A draw that yields an unusable backend is repeated, with up to three draws for each candidate.
   @Test
-  void drawsAgainForBackendsThatCannotBeUsed() {
+  void drawsAgainIfDrawnBackendIsUnusable() {
     fixture = RoutingFixture.of(1_000, 12);
     for (long id = 0; id < 9; id++) {
       fixture.outliers.pauseAfterRejection(fixture.backend(id), 100);
     }
-    int served = 0;
+    int selections = 0;
     for (int i = 0; i < ROUNDS; i++) {
-      served += select(RoutingFixture.idempotentRequest()) == null ? 0 : 1;
+      selections += select(RoutingFixture.idempotentRequest()) == null ? 0 : 1;
     }
-    // Eighteen draws in three passes find none of the three in one of 180 cases, six in one of 6.
-    assertTrue(served > 0.95 * ROUNDS, served + " of " + ROUNDS);
+    // Eighteen draws in three passes miss all three usable backends in one of 180 cases; six draws
+    // would miss them in one of 6.
+    assertTrue(selections > 0.95 * ROUNDS, selections + " of " + ROUNDS);
   }
 
-  // One gateway or two compare fifteen backends: no more are drawn, and of fewer all are compared.
+  // With one or two gateways, fifteen candidates are compared: all backends if there are no more
+  // than fifteen.
   @ParameterizedTest
   @ValueSource(ints = {1, 2})
-  void comparesAllBackendsUpToFifteenWhereThereAreFewGateways(int gatewayCount) {
-    assertEquals(0, timesTheIdleBackendIsMissed(gatewayCount, 15));
-    assertTrue(timesTheIdleBackendIsMissed(gatewayCount, 16) > 0);
+  void comparesUpToFifteenBackendsWithOneOrTwoGateways(int gatewayCount) {
+    assertEquals(0, countIdleBackendMisses(gatewayCount, 15));
+    assertTrue(countIdleBackendMisses(gatewayCount, 16) > 0);
   }
 
-  private int timesTheIdleBackendIsMissed(int gatewayCount, int backendCount) {
+  private int countIdleBackendMisses(int gatewayCount, int backendCount) {
     fixture = RoutingFixture.of(gatewayCount, backendCount);
     for (long id = 1; id < backendCount; id++) {
-      fixture.attemptAt(fixture.backend(id));
+      fixture.startAttemptAt(fixture.backend(id));
     }
     int missed = 0;
     for (int i = 0; i < ROUNDS; i++) {
--- a/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
+++ b/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
@@ -20,12 +20,12 @@
 import quotagateway.policy.event.Status;
 import quotagateway.policy.event.TimerFired;
 
-/** Follows endpoint lists of all forms and lengths, through the events of a whole policy. */
+/** Tests the handling of endpoint lists of all forms and lengths, partly through a whole policy. */
 class EndpointTrackerTest {
 
-  // A full status of each endpoint of a long list would take more memory than a gateway has.
+  // Keeping a status for each endpoint of a long list would exceed a gateway's memory.
   @Test
-  void keepsTheFullStatusOfFewBackendsOfALongList() {
+  void limitsNumberOfStatusesForLongList() {
     int length = 30_000;
     PolicyFixture gateway =
         new PolicyFixture(PolicyFixture.settings(true, 2_000, false)).backends(length);
@@ -41,10 +41,10 @@
         gateway.policy.trackedBackends() < 10_000, gateway.policy.trackedBackends() + " kept");
   }
 
-  // After a fleet-wide restart all backends warm up: those beyond the statuses that are kept must
-  // not be taken for warm.
+  // After a restart of the entire fleet, all backends are warming up. Those without a status, due
+  // to the limit of statuses, must not be treated as warm.
   @Test
-  void keepsTheFullStatusOfFewBackendsOfALongListThatWarmsUp() {
+  void limitsNumberOfStatusesForLongListOfWarmingUpBackends() {
     PolicyFixture gateway = new PolicyFixture(PolicyFixture.settings(true, 2_000, false));
     List<Endpoint> entries = new ArrayList<>();
     for (int i = 0; i < 30_000; i++) {
@@ -53,12 +53,12 @@
     gateway.on(new EndpointsUpdated(EndpointListForm.SNAPSHOT, entries));
     assertTrue(
         gateway.policy.trackedBackends() < 5_000, gateway.policy.trackedBackends() + " kept");
-    int sent = 0;
+    int startedAttempts = 0;
     for (int i = 0; i < 1_000; i++) {
       gateway.request("safe", "free", 1);
-      sent += gateway.did(StartAttempt.class) ? 1 : 0;
+      startedAttempts += gateway.did(StartAttempt.class) ? 1 : 0;
     }
-    assertEquals(0, sent, "sent to backends that have just started");
+    assertEquals(0, startedAttempts, "attempts at backends that have just started");
   }
 
   private static List<Endpoint> entries(int from, int to, EndpointState state) {
@@ -69,27 +69,27 @@
     return entries;
   }
 
-  private static Set<Long> listed(PolicyFixture gateway, int most) {
-    Set<Long> listed = new HashSet<>();
-    for (long id = 0; id < most; id++) {
+  private static Set<Long> servingIds(PolicyFixture gateway, int idLimit) {
+    Set<Long> ids = new HashSet<>();
+    for (long id = 0; id < idLimit; id++) {
       if (gateway.policy.servingEndpoints().address(id) == id + 1) {
-        listed.add(id);
+        ids.add(id);
       }
     }
-    return listed;
+    return ids;
   }
 
-  private static long backendOfNextRequest(PolicyFixture gateway) {
+  private static long sendRequestAndGetBackend(PolicyFixture gateway) {
     gateway.request("safe", "free", 1);
-    StartAttempt send = gateway.only(StartAttempt.class);
-    gateway.outcome(send, 0, Status.OK, true);
-    return send.endpointId();
+    StartAttempt attempt = gateway.only(StartAttempt.class);
+    gateway.outcome(attempt, 0, Status.OK, true);
+    return attempt.endpointId();
   }
 
-  // A snapshot comes in fragments. One that breaks off has not named all endpoints, and must not
-  // remove the others; a whole one removes those that no fragment of it named.
+  // An interrupted snapshot does not contain all endpoints and must not remove the others. A
+  // complete snapshot removes the endpoints that none of its fragments contains.
   @Test
-  void removesEndpointsOnlyAfterAWholeSnapshot() {
+  void removesEndpointsOnlyAfterCompleteSnapshot() {
     PolicyFixture gateway = new PolicyFixture(PolicyFixture.settings(true, 2, false));
     gateway.on(
         new EndpointsUpdated(EndpointListForm.SNAPSHOT, entries(0, 4, EndpointState.SERVING)));
@@ -98,61 +98,61 @@
     gateway.on(new EndpointsUpdated(EndpointListForm.DELTA, List.of()));
     gateway.on(
         new EndpointsUpdated(EndpointListForm.FRAGMENT, entries(0, 1, EndpointState.SERVING)));
-    assertEquals(Set.of(0L, 1L, 2L, 3L), listed(gateway, 5));
+    assertEquals(Set.of(0L, 1L, 2L, 3L), servingIds(gateway, 5));
     gateway.on(
         new EndpointsUpdated(EndpointListForm.SNAPSHOT, entries(2, 3, EndpointState.SERVING)));
-    assertEquals(Set.of(0L, 2L), listed(gateway, 5));
+    assertEquals(Set.of(0L, 2L), servingIds(gateway, 5));
     for (int i = 0; i < 50; i++) {
-      assertTrue(Set.of(0L, 2L).contains(backendOfNextRequest(gateway)));
+      assertTrue(Set.of(0L, 2L).contains(sendRequestAndGetBackend(gateway)));
     }
   }
 
-  // A backend that drains must get nothing more, however long the rest of the snapshot takes.
+  // A draining backend must not get new requests while the rest of the snapshot is being received.
   @Test
-  void appliesADrainFromItsFragmentOn() {
+  void appliesDrainingStateOfFragmentAtOnce() {
     PolicyFixture gateway = PolicyFixture.counted();
     gateway.on(
         new EndpointsUpdated(EndpointListForm.FRAGMENT, entries(0, 3, EndpointState.DRAINING)));
     for (int i = 0; i < 50; i++) {
-      assertEquals(3, backendOfNextRequest(gateway));
+      assertEquals(3, sendRequestAndGetBackend(gateway));
     }
   }
 
-  // Thousands leave with one snapshot. Removing them takes many slices, between which requests are
-  // served: none of them may go to an endpoint that is still to be removed.
+  // Removing thousands of endpoints takes many sweeps, between which requests are served. None of
+  // the requests may go to an endpoint that waits for its removal.
   @Test
-  void sendsNothingToEndpointsThatLeftThoughTheyAreRemovedInSlices() {
+  void sendsNoRequestToUnlistedEndpointsBetweenSweeps() {
     PolicyFixture gateway = new PolicyFixture(PolicyFixture.settings(true, 2, false));
     gateway.on(
         new EndpointsUpdated(EndpointListForm.SNAPSHOT, entries(0, 10_500, EndpointState.SERVING)));
     gateway.on(
         new EndpointsUpdated(
             EndpointListForm.SNAPSHOT, entries(10_499, 10_503, EndpointState.SERVING)));
-    int slices = 0;
+    int sweeps = 0;
     while (gateway.did(ScheduleTimer.class)) {
-      slices++;
+      sweeps++;
       assertEquals(Endpoint.NO_ADDRESS, gateway.policy.servingEndpoints().address(3));
       for (int i = 0; i < 3; i++) {
         gateway.request("safe", "free", 1);
         if (gateway.did(StartAttempt.class)) {
-          StartAttempt send = gateway.only(StartAttempt.class);
-          boolean listedAgain = send.endpointId() == 10_400 && slices > 10;
+          StartAttempt attempt = gateway.only(StartAttempt.class);
+          boolean listedAgain = attempt.endpointId() == 10_400 && sweeps > 10;
           assertTrue(
-              send.endpointId() >= 10_499 || listedAgain,
-              "sent to " + send.endpointId() + ", which has left");
-          gateway.outcome(send, 0, Status.OK, true);
+              attempt.endpointId() >= 10_499 || listedAgain,
+              "sent to " + attempt.endpointId() + ", which is no longer listed");
+          gateway.outcome(attempt, 0, Status.OK, true);
         }
       }
-      // One that is listed again while others are removed stays.
-      if (slices == 10) {
+      // An endpoint that is listed again during the removal stays.
+      if (sweeps == 10) {
         gateway.on(
             new EndpointsUpdated(
                 EndpointListForm.DELTA, entries(10_400, 10_401, EndpointState.SERVING)));
       }
       gateway.pass(1).on(new TimerFired(Timer.ENDPOINT_SWEEP));
     }
-    assertTrue(slices > 10, slices + " slices");
-    assertEquals(Set.of(10_400L, 10_499L, 10_500L, 10_501L, 10_502L), listed(gateway, 10_600));
+    assertTrue(sweeps > 10, sweeps + " sweeps");
+    assertEquals(Set.of(10_400L, 10_499L, 10_500L, 10_501L, 10_502L), servingIds(gateway, 10_600));
   }
 
   private static void update(RoutingFixture fixture, EndpointListForm form, Endpoint... endpoints) {
@@ -164,9 +164,9 @@
   }
 
   @Test
-  void asksForTheListAgainASecondAfterItCouldNotBeHad() {
+  void retriesEndpointWatchOneSecondAfterFailure() {
     RoutingFixture fixture = RoutingFixture.of(2, 4);
-    fixture.pass(0);
+    fixture.advanceMs(0);
     update(fixture, EndpointListForm.FAILED);
     assertEquals(
         List.of(new ScheduleTimer(RoutingFixture.START_MS + 1_000, Timer.ENDPOINT_WATCH)),
@@ -174,9 +174,9 @@
   }
 
   @Test
-  void schedulesOneSweepAtATimeAMillisecondAhead() {
+  void schedulesOneSweepAtATimeAfterOneMillisecond() {
     RoutingFixture fixture = RoutingFixture.of(2, 1_000);
-    fixture.pass(0);
+    fixture.advanceMs(0);
     update(fixture, EndpointListForm.SNAPSHOT);
     update(fixture, EndpointListForm.DELTA);
     assertEquals(
@@ -186,15 +186,15 @@
   }
 
   @Test
-  void removesWhatACachedSnapshotDoesNotName() {
+  void removesEndpointsMissingFromCachedSnapshot() {
     RoutingFixture fixture = RoutingFixture.of(2, 4);
     update(fixture, EndpointListForm.CACHED_SNAPSHOT, RoutingFixture.endpoint(1, 0));
     assertEquals(1, fixture.index.serving().size());
   }
 
-  // Its process is the same one: a start that was noticed here, and the list has not, still holds.
+  // The process is the same, so a start time that only this gateway assumes still applies.
   @Test
-  void keepsAnAssumedStartThatTheListDoesNotTell() {
+  void keepsAssumedStartTimeIfListedStartTimeIsUnchanged() {
     RoutingFixture fixture = RoutingFixture.of(2, 4);
     BackendStatus backend = fixture.backend(1);
     fixture.tracker.assumeStarted(backend, RoutingFixture.START_MS);
@@ -204,14 +204,14 @@
   }
 
   @Test
-  void ignoresWeightsThatDoNotMeanCapacity() {
+  void ignoresListedWeightsIfSettingsDoNotUseThem() {
     RoutingFixture fixture = RoutingFixture.of(2, 4);
     update(fixture, EndpointListForm.DELTA, endpoint(1, "b", EndpointState.SERVING, 7));
     assertEquals(1, fixture.index.weight(fixture.backend(1).slot));
   }
 
   @Test
-  void movesABackendToTheZoneThatTheListTells() {
+  void movesBackendToListedZone() {
     RoutingFixture fixture = RoutingFixture.of(2, 4);
     BackendStatus backend = fixture.backend(1);
     update(fixture, EndpointListForm.DELTA, endpoint(1, "a", EndpointState.SERVING, 1));
@@ -219,50 +219,52 @@
     assertEquals(fixture.backend(0).zoneReachability, backend.zoneReachability);
   }
 
-  // What an outstanding attempt comes to is still learned, and must not be booked to another one.
+  // The outcome of an outstanding attempt is still recorded, and must not count for another
+  // backend.
   @Test
-  void keepsTheSlotOfARemovedBackendWhileAnAttemptIsOutstanding() {
+  void keepsSlotOfRemovedBackendWhileAttemptIsOutstanding() {
     RoutingFixture fixture = RoutingFixture.of(2, 4);
     BackendStatus backend = fixture.backend(1);
-    AttemptRecord attempt = fixture.attemptAt(backend);
+    AttemptRecord attempt = fixture.startAttemptAt(backend);
     update(fixture, EndpointListForm.DELTA, endpoint(1, "b", EndpointState.REMOVED, 1));
     assertTrue(fixture.index.isUsed(backend.slot));
-    backend.outstanding.remove(attempt);
+    backend.outstandingAttempts.remove(attempt);
     update(fixture, EndpointListForm.DELTA);
     assertEquals(EndpointIndex.NONE, fixture.index.find(1));
     assertEquals(0, fixture.tracker.statusCount());
   }
 
-  // A backend that is met for the first time was listed all along: it has not answered just now.
+  // A backend that is first considered long after the start has been listed since, without a
+  // response.
   @Test
-  void takesABackendMetLateForUnheardSinceTheStart() {
+  void setsLastResponseOfNewStatusToStartOfGateway() {
     RoutingFixture fixture = RoutingFixture.of(2, 4);
-    fixture.pass(60_000);
+    fixture.advanceMs(60_000);
     assertEquals(RoutingFixture.START_MS, fixture.backend(1).lastResponseAtMs);
   }
 
-  /** Of a list of 20,000 with 4,000 statuses kept, those beyond the subset that can be dropped. */
+  // The list has 20,000 endpoints; 4,000 statuses outside the subset may be kept.
   @Test
-  void dropsOnlyStatusesThatTellNothingAnyMore() {
+  void evictsOnlyStatusesWithoutRelevantState() {
     RoutingFixture fixture = RoutingFixture.of(20_000, 20_000);
     int subsetSize = fixture.tracker.subsetSize();
     for (int i = 0; i < subsetSize + 4_000; i++) {
-      fixture.tracker.status(fixture.index.ranked().get(i));
+      fixture.tracker.getOrCreateStatus(fixture.index.ranked().get(i));
     }
-    BackendStatus inSubset = fixture.tracker.status(fixture.index.ranked().get(0));
-    BackendStatus busy = fixture.tracker.status(fixture.index.ranked().get(subsetSize));
-    BackendStatus ejected = fixture.tracker.status(fixture.index.ranked().get(subsetSize + 1));
-    BackendStatus restarted = fixture.tracker.status(fixture.index.ranked().get(subsetSize + 2));
-    BackendStatus answered = fixture.tracker.status(fixture.index.ranked().get(subsetSize + 3));
-    fixture.attemptAt(busy);
+    BackendStatus inSubset = fixture.tracker.getOrCreateStatus(fixture.index.ranked().get(0));
+    BackendStatus busy = fixture.tracker.getOrCreateStatus(fixture.index.ranked().get(subsetSize));
+    BackendStatus ejected = fixture.tracker.getOrCreateStatus(fixture.index.ranked().get(subsetSize + 1));
+    BackendStatus restarted = fixture.tracker.getOrCreateStatus(fixture.index.ranked().get(subsetSize + 2));
+    BackendStatus answered = fixture.tracker.getOrCreateStatus(fixture.index.ranked().get(subsetSize + 3));
+    fixture.startAttemptAt(busy);
     fixture.tracker.assumeStarted(restarted, RoutingFixture.START_MS);
-    fixture.pass(30_000);
+    fixture.advanceMs(30_000);
     ejected.ejectedUntilMs = fixture.context.nowMs() - 9_000;
     answered.lastResponseAtMs = fixture.context.nowMs() - 1_000;
-    fixture.tracker.status(fixture.index.ranked().get(subsetSize + 4_000));
+    fixture.tracker.getOrCreateStatus(fixture.index.ranked().get(subsetSize + 4_000));
     assertEquals(subsetSize + 4 + 1, fixture.tracker.statusCount());
     for (BackendStatus kept : List.of(inSubset, busy, ejected, restarted, answered)) {
-      assertEquals(kept, fixture.tracker.status(kept.slot));
+      assertEquals(kept, fixture.tracker.getOrCreateStatus(kept.slot));
     }
   }
 }
--- a/src/test/java/quotagateway/policy/routing/LoadEstimatorTest.java
+++ b/src/test/java/quotagateway/policy/routing/LoadEstimatorTest.java
@@ -10,124 +10,127 @@
 import quotagateway.policy.event.LoadReport;
 import quotagateway.policy.settings.PolicySettings;
 
-/** The expected wait at a backend, from what is known of its load. */
+/** Tests the estimates of a backend's service time, load and cost. */
 class LoadEstimatorTest {
 
-  private static final double EXACT = 1e-9;
+  private static final double TOLERANCE = 1e-9;
 
   private final RoutingFixture fixture = RoutingFixture.of(3, 4);
   private final LoadEstimator load = fixture.load;
   private final BackendStatus backend = fixture.backend(0);
 
   @Test
-  void assumesTheDefaultServiceTimeBeforeAnyResponse() {
+  void assumesDefaultServiceTimeBeforeFirstResponse() {
     assertEquals(100, load.fleetServiceMs());
     assertEquals(100, load.serviceMs(backend));
   }
 
   @Test
-  void movesATenthToEachServiceTimeOfABackendAndAFiftiethForTheFleet() {
+  void weightsServiceTimeByOneTenthForBackendAndOneFiftiethForFleet() {
     load.recordServiceTime(backend, null, 200);
-    assertEquals(102, load.fleetServiceMs(), EXACT);
-    assertEquals(110, load.serviceMs(backend), EXACT);
+    assertEquals(102, load.fleetServiceMs(), TOLERANCE);
+    assertEquals(110, load.serviceMs(backend), TOLERANCE);
   }
 
-  // A latency counts the queue too, so what the backend reports of itself goes first.
+  // The latency includes the time in the backend's queue, so the reported service time is
+  // preferred.
   @Test
-  void prefersTheReportedServiceTimeToTheLatency() {
+  void prefersReportedServiceTimeToLatency() {
     load.recordServiceTime(backend, new LoadReport(Double.NaN, 50), 900);
-    assertEquals(95, load.serviceMs(backend), EXACT);
+    assertEquals(95, load.serviceMs(backend), TOLERANCE);
   }
 
-  // A backend that was slow once is not avoided for ever.
+  // A backend that was slow once must not be avoided forever.
   @Test
-  void forgetsAServiceTimeWhileTheBackendAnswersNothing() {
+  void decaysServiceTimeWhileBackendDoesNotRespond() {
     load.recordServiceTime(backend, null, 200);
-    fixture.pass(3_000);
-    assertEquals(102 + 8 * Math.exp(-1), load.serviceMs(backend), EXACT);
+    fixture.advanceMs(3_000);
+    assertEquals(102 + 8 * Math.exp(-1), load.serviceMs(backend), TOLERANCE);
   }
 
   @Test
-  void countsItsOwnAttemptsAndTheMeanOfOtherGateways() {
+  void countsOwnAttemptsAndExpectedAttemptsOfOtherGateways() {
     fixture.attemptsInFlight.add(8, RoutingFixture.START_MS);
-    fixture.attemptAt(backend);
-    assertEquals(1 + 8 / 4.0 * 2, load.requestsInFlight(backend), EXACT);
+    fixture.startAttemptAt(backend);
+    assertEquals(1 + 8 / 4.0 * 2, load.requestsInFlight(backend), TOLERANCE);
   }
 
-  // A report of a high load is old as soon as nothing is sent there: it must fade.
+  // A backend with a high reported load gets no requests and so sends no new report: the old report
+  // must decay.
   @Test
-  void trustsALoadReportLessAsItAges() {
-    fixture.attemptAt(backend);
+  void decaysLoadReportWithAge() {
+    fixture.startAttemptAt(backend);
     load.recordReport(backend, new LoadReport(31, Double.NaN));
-    assertEquals(31, load.requestsInFlight(backend), EXACT);
-    fixture.pass(700);
-    assertEquals(1 + 30 * Math.exp(-1), load.requestsInFlight(backend), EXACT);
+    assertEquals(31, load.requestsInFlight(backend), TOLERANCE);
+    fixture.advanceMs(700);
+    assertEquals(1 + 30 * Math.exp(-1), load.requestsInFlight(backend), TOLERANCE);
   }
 
   @Test
-  void keepsTheLastReportWhereOneTellsNoRequests() {
+  void keepsLatestReportIfNewOneHasNoRequestsInFlight() {
     load.recordReport(backend, new LoadReport(9, 50));
     load.recordReport(backend, new LoadReport(Double.NaN, 50));
     load.recordReport(backend, null);
-    assertEquals(9, load.requestsInFlight(backend), EXACT);
+    assertEquals(9, load.requestsInFlight(backend), TOLERANCE);
   }
 
   @Test
-  void costsAServiceTimeForEachRequestThere() {
-    assertEquals(100, load.costMs(backend, RoutingFixture.OBJECTIVE_MS), EXACT);
-    fixture.attemptAt(backend);
-    assertEquals(200, load.costMs(backend, RoutingFixture.OBJECTIVE_MS), EXACT);
+  void addsServiceTimeToCostForEachRequestInFlight() {
+    assertEquals(100, load.costMs(backend, RoutingFixture.LATENCY_OBJECTIVE_MS), TOLERANCE);
+    fixture.startAttemptAt(backend);
+    assertEquals(200, load.costMs(backend, RoutingFixture.LATENCY_OBJECTIVE_MS), TOLERANCE);
   }
 
-  // A backend that hangs has one request and no queue: only the age of that one shows it.
+  // A stuck backend may have one request and no queue, so that only the request's age shows the
+  // fault.
   @Test
-  void costsMoreOnceTheOldestAttemptIsOverdue() {
-    fixture.attemptAt(backend);
-    fixture.pass(250);
-    assertEquals(200, load.costMs(backend, RoutingFixture.OBJECTIVE_MS), EXACT);
-    fixture.pass(40);
-    assertEquals(240, load.costMs(backend, RoutingFixture.OBJECTIVE_MS), EXACT);
+  void increasesCostIfOldestAttemptIsOverdue() {
+    fixture.startAttemptAt(backend);
+    fixture.advanceMs(250);
+    assertEquals(200, load.costMs(backend, RoutingFixture.LATENCY_OBJECTIVE_MS), TOLERANCE);
+    fixture.advanceMs(40);
+    assertEquals(240, load.costMs(backend, RoutingFixture.LATENCY_OBJECTIVE_MS), TOLERANCE);
   }
 
   @Test
-  void costsMoreTheMoreItFailsAndHalfWhileHalfOpen() {
+  void increasesCostWithFailureShareAndHalvesItWhileHalfOpen() {
     backend.failureShare = 0.5;
-    assertEquals(300, load.costMs(backend, RoutingFixture.OBJECTIVE_MS), EXACT);
+    assertEquals(300, load.costMs(backend, RoutingFixture.LATENCY_OBJECTIVE_MS), TOLERANCE);
     backend.halfOpen = true;
-    assertEquals(150, load.costMs(backend, RoutingFixture.OBJECTIVE_MS), EXACT);
+    assertEquals(150, load.costMs(backend, RoutingFixture.LATENCY_OBJECTIVE_MS), TOLERANCE);
   }
 
   @Test
-  void costsAShareOfTheObjectiveInAnotherZone() {
-    PolicySettings free = PolicyFixture.settings(true, 3, false);
-    PolicySettings priced =
+  void addsShareOfLatencyObjectiveToCostInOtherZone() {
+    PolicySettings withoutPrice = PolicyFixture.settings(true, 3, false);
+    PolicySettings withPrice =
         new PolicySettings(
-            free.gatewayCount(),
-            free.gatewayIndex(),
-            free.zone(),
-            free.maxRequestUnits(),
+            withoutPrice.gatewayCount(),
+            withoutPrice.gatewayIndex(),
+            withoutPrice.zone(),
+            withoutPrice.maxRequestUnits(),
             0.3,
-            free.endpointWeightsTold(),
-            free.requestClasses(),
-            free.plans(),
-            free.capabilities(),
-            free.rules());
-    fixture.context.replaceSettings(priced);
-    assertEquals(100, load.costMs(fixture.backend(0), 1_000), EXACT);
-    assertEquals(400, load.costMs(fixture.backend(1), 1_000), EXACT);
+            withoutPrice.endpointWeightsTold(),
+            withoutPrice.requestClasses(),
+            withoutPrice.plans(),
+            withoutPrice.capabilities(),
+            withoutPrice.rules());
+    fixture.context.replaceSettings(withPrice);
+    assertEquals(100, load.costMs(fixture.backend(0), 1_000), TOLERANCE);
+    assertEquals(400, load.costMs(fixture.backend(1), 1_000), TOLERANCE);
   }
 
   @Test
-  void estimatesWithoutAnyServingBackend() {
+  void estimatesRequestsInFlightWithoutServingBackends() {
     DecisionContext context = fixture.context;
     LoadEstimator empty =
         new LoadEstimator(context, new EndpointIndex(0), fixture.attemptsInFlight);
     assertEquals(0, empty.requestsInFlight(backend));
   }
 
-  // A backend of twice the capacity has half the queue with as many requests.
+  // With the same requests, a backend of twice the capacity has half the queue.
   @Test
-  void countsRequestsInProportionToTheWeightOfABackend() {
+  void scalesCostOfRequestsInFlightByBackendWeight() {
     fixture.index.update(
         backend.slot,
         fixture.index.group(backend.slot),
@@ -136,14 +139,14 @@
         0,
         10_000,
         RoutingFixture.START_MS);
-    fixture.attemptAt(backend);
-    assertEquals(100 * (1 + 1 / (5 / 2.0)), load.costMs(backend, 1_000), EXACT);
+    fixture.startAttemptAt(backend);
+    assertEquals(100 * (1 + 1 / (5 / 2.0)), load.costMs(backend, 1_000), TOLERANCE);
   }
 
   @Test
-  void forgetsFailuresWhileTheBackendAnswersNothing() {
+  void decaysFailureCostWhileBackendDoesNotRespond() {
     backend.failureShare = 0.5;
-    fixture.pass(3_000);
-    assertEquals(100 * (1 + 2 * Math.exp(-1)), load.costMs(backend, 1_000), EXACT);
+    fixture.advanceMs(3_000);
+    assertEquals(100 * (1 + 2 * Math.exp(-1)), load.costMs(backend, 1_000), TOLERANCE);
   }
 }
--- a/src/test/java/quotagateway/policy/routing/RestartDetectorTest.java
+++ b/src/test/java/quotagateway/policy/routing/RestartDetectorTest.java
@@ -9,7 +9,7 @@
 import quotagateway.endpoint.EndpointListForm;
 import quotagateway.policy.event.EndpointsUpdated;
 
-/** When a backend is assumed to have restarted, and when that is taken back. */
+/** Tests when a backend is suspected of a restart, and when the suspicion ends. */
 class RestartDetectorTest {
 
   private final RoutingFixture fixture = RoutingFixture.of(2, 4);
@@ -20,20 +20,20 @@
     return backend.isWarmingUp(fixture.context.settings().rules(), fixture.context.nowMs());
   }
 
-  // A backend that restarts refuses connections first, and the endpoint list says so only later:
-  // what comes in between would fall on it cold.
+  // A restarting backend refuses connections before the endpoint list reports the restart. Until
+  // then, the cold backend would get its full share of requests.
   @Test
-  void takesABackendThatRefusesAConnectionForRestarted() {
+  void suspectsRestartAfterConnectFailure() {
     restarts.recordConnectFailure(backend);
     assertTrue(isWarmingUp());
     assertEquals(RoutingFixture.START_MS, fixture.index.assumedStartMs(backend.slot));
   }
 
-  // A few connections that fail for any other cause would leave a whole fleet taken for cold.
+  // A few connections that fail for other reasons would make the entire fleet look cold.
   @Test
-  void endsTheSuspicionWhenAnEarlierAttemptSucceeds() {
-    AttemptRecord earlier = fixture.attemptAt(backend);
-    fixture.pass(10);
+  void endsSuspicionIfEarlierAttemptSucceeds() {
+    AttemptRecord earlier = fixture.startAttemptAt(backend);
+    fixture.advanceMs(10);
     restarts.recordConnectFailure(backend);
     restarts.recordSuccess(backend, earlier);
     assertFalse(isWarmingUp());
@@ -41,23 +41,23 @@
   }
 
   @Test
-  void keepsTheSuspicionWhenALaterAttemptSucceeds() {
+  void keepsSuspicionIfLaterAttemptSucceeds() {
     restarts.recordConnectFailure(backend);
-    restarts.recordSuccess(backend, fixture.attemptAt(backend));
+    restarts.recordSuccess(backend, fixture.startAttemptAt(backend));
     assertTrue(isWarmingUp());
   }
 
   @Test
-  void suspectsNoBackendThatIsWarmingUpAnyway() {
+  void doesNotSuspectRestartOfWarmingUpBackend() {
     restarts.recordConnectFailure(backend);
-    fixture.pass(100);
+    fixture.advanceMs(100);
     restarts.recordConnectFailure(backend);
     assertEquals(RoutingFixture.START_MS, backend.assumedStartMs);
   }
 
-  // An attempt may outlive the process that it was sent to: its outcome concerns that one alone.
+  // An attempt may end after its backend process was replaced, and must not affect the new process.
   @Test
-  void leavesAnEndpointAloneWhoseProcessWasReplaced() {
+  void doesNotChangeStartTimeOfReplacedProcess() {
     double restartedMs = RoutingFixture.START_MS - 500;
     fixture.tracker.update(
         new EndpointsUpdated(
@@ -67,18 +67,18 @@
   }
 
   @Test
-  void beginsTheSuspicionWithAPartOfAToken() {
+  void startsSuspicionWithFractionOfToken() {
     backend.slowStartTokens = 5;
-    fixture.pass(10);
+    fixture.advanceMs(10);
     restarts.recordConnectFailure(backend);
     assertTrue(backend.slowStartTokens < 1);
     assertEquals(fixture.context.nowMs(), backend.slowStartRefilledAtMs);
   }
 
   @Test
-  void endsASuspicionOnce() {
-    AttemptRecord earlier = fixture.attemptAt(backend);
-    fixture.pass(10);
+  void endsSuspicionOnlyOnce() {
+    AttemptRecord earlier = fixture.startAttemptAt(backend);
+    fixture.advanceMs(10);
     restarts.recordConnectFailure(backend);
     restarts.recordSuccess(backend, earlier);
     fixture.tracker.assumeStarted(backend, fixture.context.nowMs());
--- a/src/test/java/quotagateway/policy/routing/RoutingFixture.java
+++ b/src/test/java/quotagateway/policy/routing/RoutingFixture.java
@@ -15,16 +15,16 @@
 import quotagateway.policy.settings.PolicySettings;
 import quotagateway.policy.settings.RequestClass;
 
-/** The classes of routing, wired as in a gateway but without the rest of its policy. */
+/** The classes of this package, connected as in a gateway but without the rest of the policy. */
 final class RoutingFixture {
 
   static final double START_MS = 1_000_000;
-  static final double OBJECTIVE_MS = 1_000;
+  static final double LATENCY_OBJECTIVE_MS = 1_000;
 
   final DecisionContext context;
   final EndpointIndex index;
 
-  /** Moves at once to what is added. */
+  /** Takes the value of each sample at once. */
   final ExponentialMean attemptsInFlight = new ExponentialMean(1, 1, START_MS);
 
   final LoadEstimator load;
@@ -47,7 +47,10 @@
     selector = new EndpointSelector(context, index, tracker, load, outliers, slowStart);
   }
 
-  /** One of so many gateways, with so many warm backends: even ones in zone a, odd ones in b. */
+  /**
+   * Creates the routing of one of several gateways, with warm backends numbered from 0: even ones in
+   * zone a, odd ones in zone b.
+   */
   static RoutingFixture of(int gatewayCount, int backendCount) {
     RoutingFixture fixture = new RoutingFixture(PolicyFixture.settings(true, gatewayCount, false));
     List<Endpoint> endpoints =
@@ -56,39 +59,39 @@
     return fixture;
   }
 
-  /** A serving endpoint; each has a cell of its own. */
+  /** Creates a serving endpoint in a cell of its own. */
   static Endpoint endpoint(int id, double startedMs) {
     return new Endpoint(id, id % 2 == 0 ? "a" : "b", id, EndpointState.SERVING, 1, startedMs);
   }
 
   static RequestRouting request(Idempotency idempotency, DeduplicationScope scope) {
     return new RequestRouting(
-        new RequestClass("any", 1, 0, OBJECTIVE_MS, 4_000, idempotency, scope, 3_000, false));
+        new RequestClass("any", 1, 0, LATENCY_OBJECTIVE_MS, 4_000, idempotency, scope, 3_000, false));
   }
 
   static RequestRouting idempotentRequest() {
     return request(Idempotency.IDEMPOTENT, DeduplicationScope.ALL);
   }
 
-  void pass(double ms) {
-    context.begin(context.nowMs() + ms);
+  void advanceMs(double elapsedMs) {
+    context.begin(context.nowMs() + elapsedMs);
   }
 
   BackendStatus backend(long id) {
-    return tracker.status(index.find(id));
+    return tracker.getOrCreateStatus(index.find(id));
   }
 
-  /** An attempt sent now that its backend has in whole. */
-  AttemptRecord attemptAt(BackendStatus backend) {
+  /** Starts an attempt whose request the backend has completely received. */
+  AttemptRecord startAttemptAt(BackendStatus backend) {
     AttemptRecord attempt = new AttemptRecord(0, backend, context.nowMs());
     attempt.markReachedBackend();
-    backend.outstanding.add(attempt);
+    backend.outstandingAttempts.add(attempt);
     return attempt;
   }
 
-  /** So many samples in a row, after each of which the backend may be ejected. */
-  void fail(BackendStatus backend, int times) {
-    for (int i = 0; i < times; i++) {
+  /** Records consecutive failures, each of which may eject the backend. */
+  void recordFailures(BackendStatus backend, int count) {
+    for (int i = 0; i < count; i++) {
       outliers.recordSample(backend, true, 1);
       outliers.ejectIfFailing(backend, new AttemptRecord(0, backend, context.nowMs()));
     }
--- a/src/test/java/quotagateway/policy/routing/SlowStartLimiterTest.java
+++ b/src/test/java/quotagateway/policy/routing/SlowStartLimiterTest.java
@@ -6,23 +6,26 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The rules of {@code PolicyFixture}: warm after 10 s, a fifth at the start, load over 2 s. */
+/**
+ * Tests the limit of attempts during warm-up. The service rules of {@code PolicyFixture} are a warm-up
+ * of 10 s, an initial capacity share of one fifth, and an overload window of 2 s.
+ */
 class SlowStartLimiterTest {
 
   private final RoutingFixture fixture = RoutingFixture.of(2, 4);
   private final SlowStartLimiter slowStart = fixture.slowStart;
 
-  private BackendStatus startedNow(long id) {
+  private BackendStatus restartWithoutTokens(long id) {
     BackendStatus backend = fixture.backend(id);
     fixture.tracker.assumeStarted(backend, fixture.context.nowMs());
-    slowStart.restart(backend);
-    slowStart.warmCountChanged();
+    slowStart.resetBucket(backend);
+    slowStart.invalidateWarmCount();
     backend.slowStartTokens = 0;
     return backend;
   }
 
   @Test
-  void admitsEverythingToAWarmBackend() {
+  void admitsAllAttemptsAtWarmBackend() {
     BackendStatus warm = fixture.backend(0);
     for (int i = 0; i < 100; i++) {
       assertTrue(slowStart.admits(warm));
@@ -30,25 +33,25 @@
     }
   }
 
-  // A backend that has just started and gets its whole part at once fails again.
+  // A backend that gets its full share of the traffic right after its start fails again.
   @Test
-  void admitsOneAttemptForEachTokenToABackendThatWarmsUp() {
-    BackendStatus backend = startedNow(0);
+  void admitsOneAttemptPerTokenAtWarmingUpBackend() {
+    BackendStatus backend = restartWithoutTokens(0);
     assertFalse(slowStart.admits(backend));
-    // Of one core with 100 ms a request, half for each gateway: 5 a second, a fifth of that now.
-    fixture.pass(950);
+    // One core serves 10 requests of 100 ms per second: 5 for each gateway, of which one fifth now.
+    fixture.advanceMs(950);
     assertTrue(slowStart.admits(backend));
-    assertTrue(slowStart.admits(backend), "asking takes no token");
+    assertTrue(slowStart.admits(backend), "admits() takes no token");
     slowStart.recordAttempt(backend);
     assertFalse(slowStart.admits(backend));
   }
 
-  // What every gateway has saved up in a quiet time would come all at once.
+  // Otherwise all gateways could spend the tokens that they saved in a quiet time at once.
   @Test
-  void letsTokensLapseThatWereNotUsedInTime() {
-    BackendStatus backend = startedNow(0);
+  void expiresUnusedTokens() {
+    BackendStatus backend = restartWithoutTokens(0);
     for (int i = 0; i < 400; i++) {
-      fixture.pass(20);
+      fixture.advanceMs(20);
       boolean admitted = slowStart.admits(backend);
       assertEquals(admitted, backend.slowStartTokens >= 1);
       double tokensPerSecond = 5 * (0.2 + 0.8 * (i + 1) * 20 / 10_000);
@@ -56,15 +59,16 @@
     }
   }
 
-  // Alone among warm ones, a backend that starts may get its part of the traffic, not of one core.
+  // The only starting backend among warm ones gets a share of the traffic, not of what one core
+  // serves.
   @Test
-  void fillsByTheTrafficOfWarmBackends() {
-    BackendStatus backend = startedNow(0);
+  void refillsInProportionToTrafficOfWarmBackends() {
+    BackendStatus backend = restartWithoutTokens(0);
     for (int i = 0; i < 400; i++) {
       slowStart.recordAttempt(fixture.backend(1));
     }
-    // 400 attempts at once count 100 a second over 4 s, split among the three that are warm.
-    fixture.pass(100);
+    // 400 attempts at once count as 100 per second over 4 s, split among the three warm backends.
+    fixture.advanceMs(100);
     slowStart.admits(backend);
     double perWarmBackend = 100 * Math.exp(-100 / 4_000.0) / 3;
     double share = 0.2 + 0.8 * 100 / 10_000;
@@ -72,47 +76,47 @@
   }
 
   @Test
-  void beginsARestartWithAPartOfAToken() {
+  void resetsBucketToFractionOfToken() {
     BackendStatus backend = fixture.backend(0);
     backend.slowStartTokens = 3;
-    slowStart.restart(backend);
+    slowStart.resetBucket(backend);
     assertTrue(backend.slowStartTokens >= 0 && backend.slowStartTokens < 1);
   }
 
   @Test
-  void countsTheWarmBackendsAnewAfterHalfASecond() {
-    BackendStatus backend = startedNow(0);
+  void recountsWarmBackendsAfterHalfASecond() {
+    BackendStatus backend = restartWithoutTokens(0);
     for (int i = 0; i < 400; i++) {
       slowStart.recordAttempt(fixture.backend(1));
     }
     slowStart.admits(backend);
-    // The other three start again, which only the index knows.
+    // The other three restart; only the index has the new start times.
     for (long id = 1; id < 4; id++) {
       fixture.tracker.assumeStarted(fixture.backend(id), fixture.context.nowMs());
     }
-    fixture.pass(500);
+    fixture.advanceMs(500);
     slowStart.admits(backend);
-    double byTraffic = backend.slowStartTokens;
-    fixture.pass(1);
+    double tokensByTraffic = backend.slowStartTokens;
+    fixture.advanceMs(1);
     backend.slowStartTokens = 0;
     backend.slowStartRefilledAtMs = fixture.context.nowMs() - 500;
     slowStart.admits(backend);
-    assertTrue(backend.slowStartTokens < byTraffic / 3, "without warm ones, that of one core");
+    assertTrue(backend.slowStartTokens < tokensByTraffic / 3, "the rate of one core applies if no backend is warm");
   }
 
   @Test
-  void endsWithTheWarmUp() {
-    BackendStatus backend = startedNow(0);
+  void endsWarmUpAfterTenSeconds() {
+    BackendStatus backend = restartWithoutTokens(0);
     assertTrue(backend.isWarmingUp(fixture.context.settings().rules(), RoutingFixture.START_MS));
-    fixture.pass(9_999);
+    fixture.advanceMs(9_999);
     assertTrue(backend.isWarmingUp(fixture.context.settings().rules(), fixture.context.nowMs()));
-    fixture.pass(1);
+    fixture.advanceMs(1);
     assertFalse(backend.isWarmingUp(fixture.context.settings().rules(), fixture.context.nowMs()));
   }
 
-  // A start time of 0 stands for long ago, also where the clock itself has begun at 0.
+  // A start time of 0 means long ago, even if the clock itself starts at 0.
   @Test
-  void takesABackendOfUnknownStartForWarm() {
+  void treatsBackendWithoutStartTimeAsWarm() {
     BackendStatus backend = fixture.backend(0);
     assertFalse(backend.isWarmingUp(fixture.context.settings().rules(), 5_000));
   }
