--- a/src/main/java/quotagateway/policy/routing/BackendStatus.java
+++ b/src/main/java/quotagateway/policy/routing/BackendStatus.java
@@ -88,7 +88,7 @@
     return assumedStartMs > 0 && nowMs - assumedStartMs < rules.warmUpMs();
   }
 
-  /** Returns the share of its capacity that the backend has reached under the service rules. */
+  /** Returns the share of its capacity, at most 1, that the backend has by the service rules. */
   double availableCapacityShare(ServiceRules rules, double nowMs) {
     double share =
         rules.warmUpInitialShare()
--- a/src/main/java/quotagateway/policy/routing/EndpointSelector.java
+++ b/src/main/java/quotagateway/policy/routing/EndpointSelector.java
@@ -33,7 +33,7 @@
   /** Random increase of costs, so that gateways with the same load reports choose differently. */
   private static final double COST_JITTER = 0.15;
 
-  /** A retry goes to the backend of the latest attempt only if other candidates cost far more. */
+  /** A request returns to the backend of its latest attempt only if others cost far more. */
   private static final double LAST_BACKEND_COST_FACTOR = 4;
 
   private final DecisionContext context;
--- a/src/main/java/quotagateway/policy/routing/EndpointTracker.java
+++ b/src/main/java/quotagateway/policy/routing/EndpointTracker.java
@@ -248,7 +248,7 @@
     return statuses.size() >= subsetSize + MAX_STATUSES_OUTSIDE_SUBSET;
   }
 
-  /** Returns whether a status contains nothing that a new one would not. */
+  /** Returns whether a status contains nothing relevant that a new one would not. */
   private boolean isEvictable(BackendStatus backend) {
     double nowMs = context.nowMs();
     return backend.outstandingAttempts.isEmpty()
--- a/src/main/java/quotagateway/policy/routing/SlowStartLimiter.java
+++ b/src/main/java/quotagateway/policy/routing/SlowStartLimiter.java
@@ -4,11 +4,11 @@
 import quotagateway.policy.context.DecisionContext;
 
 /**
- * Limits the attempts, including retries, at each backend that is warming up with a token bucket.
+ * Limits the attempts at each backend that is warming up, retries included, with a token bucket.
  * The refill rate is the share of its capacity that the backend has reached, times the larger of two
  * rates: the attempts per second that a warm backend gets from this gateway, and this gateway's part
- * of the requests per second that one core can serve. The second rate is the larger one if no backend
- * is warm or this gateway is new. Owned by the policy's thread.
+ * of the requests per second that one core can serve. The second rate is larger if, for example, no
+ * backend is warm or this gateway is new. Owned by the policy's thread.
  *
  * <p>Without the limit, a backend that has just started, for any reason, would be overloaded and fail
  * again. A token that is not used within the overload window of the service rules expires, so that
