--- a/src/main/java/quotagateway/endpoint/EndpointColumns.java
+++ b/src/main/java/quotagateway/endpoint/EndpointColumns.java
@@ -80,7 +80,9 @@
     return STATES[groupsAndStates.getInt(slot) & STATE_MASK];
   }
 
-  /** Sets the group and state. The state is stored as its ordinal, which is private to this class. */
+  /**
+   * Sets the group and state. The state is stored as its ordinal, which is private to this class.
+   */
   @SuppressWarnings("EnumOrdinal")
   void setGroupAndState(int slot, int group, EndpointState state) {
     groupsAndStates.set(slot, group << STATE_BITS | state.ordinal());
--- a/src/main/java/quotagateway/endpoint/EndpointGroups.java
+++ b/src/main/java/quotagateway/endpoint/EndpointGroups.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * The zones and their cells, with the serving endpoints of each. A cell of a zone is identified by its
- * group number. Owned by the policy's thread.
+ * The zones and their cells, with the serving endpoints of each. A cell of a zone is identified by
+ * its group number. Owned by the policy's thread.
  */
 final class EndpointGroups {
 
--- a/src/main/java/quotagateway/endpoint/EndpointIndex.java
+++ b/src/main/java/quotagateway/endpoint/EndpointIndex.java
@@ -6,10 +6,10 @@
 import java.util.function.IntConsumer;
 
 /**
- * An index of all endpoints that discovery has listed, with the ordered sets from which backends are
- * selected. An endpoint is identified by its slot, a small number that is reused after the endpoint is
- * removed. A change takes time logarithmic in the number of endpoints. The index makes no decisions.
- * Owned by the policy's thread.
+ * An index of all endpoints that discovery has listed, with the ordered sets from which backends
+ * are selected. An endpoint is identified by its slot, a small number that is reused after the
+ * endpoint is removed. A change takes time logarithmic in the number of endpoints. The index makes
+ * no decisions. Owned by the policy's thread.
  */
 public class EndpointIndex implements ServingEndpoints {
 
@@ -29,7 +29,8 @@
   private final SnapshotRemoval removal = new SnapshotRemoval();
 
   /**
-   * Slots of draining and removed endpoints, by identifier; serving endpoints are found in the ordered set.
+   * Slots of draining and removed endpoints, by identifier; serving endpoints are found in the
+   * ordered set.
    */
   private final Long2IntOpenHashMap slotsNotServing = new Long2IntOpenHashMap();
 
@@ -104,7 +105,8 @@
   @Override
   public long address(long id) {
     int slot = find(id);
-    boolean isServing = slot != NONE && state(slot) == EndpointState.SERVING && !isPendingRemoval(slot);
+    boolean isServing =
+        slot != NONE && state(slot) == EndpointState.SERVING && !isPendingRemoval(slot);
     return isServing ? columns.address(slot) : Endpoint.NO_ADDRESS;
   }
 
@@ -277,16 +279,17 @@
 
   /**
    * Marks all endpoints as no longer listed, except those with the given slots and those that are
-   * updated from now on. {@link #isPendingRemoval} reflects this at once; {@link #sweep} then sets the
-   * state of the marked endpoints to {@code REMOVED}.
+   * updated from now on. {@link #isPendingRemoval} reflects this at once; {@link #sweep} then sets
+   * the state of the marked endpoints to {@code REMOVED}.
    */
   public void beginSnapshotRemoval(BitSet listedSlots) {
     removal.begin(listedSlots);
   }
 
   /**
-   * Sets the state of up to {@code maxRemovals} endpoints that are no longer listed to {@code REMOVED},
-   * and passes their slots to the consumer. Returns whether more slots remain to be checked.
+   * Sets the state of up to {@code maxRemovals} endpoints that are no longer listed to {@code
+   * REMOVED}, and passes their slots to the consumer. Returns whether more slots remain to be
+   * checked.
    */
   public boolean sweep(int maxRemovals, IntConsumer onRemoved) {
     int removedCount = 0;
--- a/src/main/java/quotagateway/endpoint/EndpointListForm.java
+++ b/src/main/java/quotagateway/endpoint/EndpointListForm.java
@@ -11,8 +11,8 @@
   /** The list could not be retrieved. */
   FAILED,
   /**
-   * A part of a list that continues in the next update. The next update of another form completes the
-   * list and determines the form of the complete list. The entries of a fragment apply at once.
+   * A part of a list that continues in the next update. The next update of another form completes
+   * the list and determines the form of the complete list. The entries of a fragment apply at once.
    */
   FRAGMENT
 }
--- a/src/main/java/quotagateway/endpoint/OrderedSlots.java
+++ b/src/main/java/quotagateway/endpoint/OrderedSlots.java
@@ -6,15 +6,18 @@
  * while the slot is in the set. Owned by the policy's thread.
  *
  * <p>The set is a B+ tree whose nodes store the number of slots in their subtrees. Leaves store no
- * keys, so that a slot takes about six bytes. Inner nodes store the first key of each child, so that a
- * search looks up few keys.
+ * keys, so that a slot takes about six bytes. Inner nodes store the first key of each child, so
+ * that a search looks up few keys.
  */
 public final class OrderedSlots {
 
   /** Denotes the absence of a slot. */
   static final int NONE = -1;
 
-  /** Neighboring nodes with at most this many entries in total are merged, so that a tree that shrinks frees memory. */
+  /**
+   * Neighboring nodes with at most this many entries in total are merged, so that a tree that
+   * shrinks frees memory.
+   */
   private static final int MAX_MERGED_ENTRIES = SlotNode.MAX_ENTRIES / 2;
 
   /** Provides the key of a slot. */
@@ -101,7 +104,8 @@
       return null;
     }
     // A split at the last entry leaves full nodes if slots are added in ascending order.
-    return node.split(position == node.entryCount - 1 ? SlotNode.MAX_ENTRIES : SlotNode.MAX_ENTRIES / 2);
+    return node.split(
+        position == node.entryCount - 1 ? SlotNode.MAX_ENTRIES : SlotNode.MAX_ENTRIES / 2);
   }
 
   /** Removes a slot. Returns false if the slot is not in the set. */
--- a/src/main/java/quotagateway/endpoint/RendezvousHash.java
+++ b/src/main/java/quotagateway/endpoint/RendezvousHash.java
@@ -1,9 +1,9 @@
 package quotagateway.endpoint;
 
 /**
- * Rendezvous hashing: each gateway ranks all endpoints in its own order, which is the same after each
- * restart. Subsets of the first few endpoints of each order are spread over all endpoints, and adding
- * or removing an endpoint changes at most one member of a subset.
+ * Rendezvous hashing: each gateway ranks all endpoints in its own order, which is the same after
+ * each restart. Subsets of the first few endpoints of each order are spread over all endpoints, and
+ * adding or removing an endpoint changes at most one member of a subset.
  */
 final class RendezvousHash {
 
--- a/src/main/java/quotagateway/endpoint/ServingEndpoints.java
+++ b/src/main/java/quotagateway/endpoint/ServingEndpoints.java
@@ -6,8 +6,8 @@
   long address(long id);
 
   /**
-   * Returns the start time of an endpoint in the endpoint list, in Unix milliseconds; 0 if it was long
-   * ago or the endpoint is unknown.
+   * Returns the start time of an endpoint in the endpoint list, in Unix milliseconds; 0 if it was
+   * long ago or the endpoint is unknown.
    */
   double startedMs(long id);
 
--- a/src/main/java/quotagateway/endpoint/SlotNode.java
+++ b/src/main/java/quotagateway/endpoint/SlotNode.java
@@ -3,14 +3,14 @@
 import java.util.Arrays;
 
 /**
- * A node of the tree of {@link OrderedSlots}: array lists of entries, and the number of slots in the
- * subtree. The caller keeps the entries in order. Owned by the policy's thread.
+ * A node of the tree of {@link OrderedSlots}: array lists of entries, and the number of slots in
+ * the subtree. The caller keeps the entries in order. Owned by the policy's thread.
  */
 final class SlotNode {
 
   /**
-   * Maximum number of entries of a node: enough to make the node's own overhead for each entry small,
-   * and few enough to make moving entries cheap.
+   * Maximum number of entries of a node: enough to make the node's own overhead for each entry
+   * small, and few enough to make moving entries cheap.
    */
   static final int MAX_ENTRIES = 128;
 
--- a/src/main/java/quotagateway/endpoint/SnapshotRemoval.java
+++ b/src/main/java/quotagateway/endpoint/SnapshotRemoval.java
@@ -3,8 +3,8 @@
 import java.util.BitSet;
 
 /**
- * Finds the endpoints that a snapshot of the list did not contain, from the first slot to the last. The
- * caller can spread the scan over several calls. Owned by the policy's thread.
+ * Finds the endpoints that a snapshot of the list did not contain, from the first slot to the last.
+ * The caller can spread the scan over several calls. Owned by the policy's thread.
  */
 final class SnapshotRemoval {
 
--- a/src/main/java/quotagateway/endpoint/WarmingUpEndpoints.java
+++ b/src/main/java/quotagateway/endpoint/WarmingUpEndpoints.java
@@ -1,14 +1,16 @@
 package quotagateway.endpoint;
 
 /**
- * The serving endpoints that started too recently to have full capacity, ordered by start time. Owned
- * by the policy's thread.
+ * The serving endpoints that started too recently to have full capacity, ordered by start time.
+ * Owned by the policy's thread.
  */
 final class WarmingUpEndpoints {
 
   private final EndpointColumns columns;
 
-  /** Ordered by the bits of the start times, which sort like the times because these are positive. */
+  /**
+   * Ordered by the bits of the start times, which sort like the times because these are positive.
+   */
   private final OrderedSlots byStartTime;
 
   WarmingUpEndpoints(EndpointColumns columns) {
--- a/src/main/java/quotagateway/policy/routing/AttemptRecord.java
+++ b/src/main/java/quotagateway/policy/routing/AttemptRecord.java
@@ -33,7 +33,9 @@
     return sentAtMs;
   }
 
-  /** Returns whether the backend has the complete request, so that the attempt is part of its load. */
+  /**
+   * Returns whether the backend has the complete request, so that the attempt is part of its load.
+   */
   public boolean reachedBackend() {
     return reachedBackend;
   }
@@ -48,9 +50,9 @@
   }
 
   /**
-   * Returns whether the attempt looks lost. It does if it has waited longer than the timeout and its
-   * backend either has not responded since the attempt was sent, or has already answered an attempt
-   * that was sent more than the timeout later.
+   * Returns whether the attempt looks lost. It does if it has waited longer than the timeout and
+   * its backend either has not responded since the attempt was sent, or has already answered an
+   * attempt that was sent more than the timeout later.
    *
    * @param lossTimeoutMs time after which a wait is unusual
    * @param nowMs the current time
--- a/src/main/java/quotagateway/policy/routing/BackendRouter.java
+++ b/src/main/java/quotagateway/policy/routing/BackendRouter.java
@@ -98,8 +98,8 @@
   }
 
   /**
-   * Records that the backend has the complete request. The attempt counts towards the backend's load
-   * from now on.
+   * Records that the backend has the complete request. The attempt counts towards the backend's
+   * load from now on.
    */
   public void attemptReachedBackend(AttemptRecord attempt) {
     attempt.markReachedBackend();
@@ -107,8 +107,8 @@
   }
 
   /**
-   * Records that the last byte of a request that is forwarded while it is being received has arrived.
-   * The backend starts processing only now, so the attempt's time is measured from here.
+   * Records that the last byte of a request that is forwarded while it is being received has
+   * arrived. The backend starts processing only now, so the attempt's time is measured from here.
    */
   public void requestBodyComplete(AttemptRecord attempt) {
     attempt.markBodyComplete(context.nowMs());
--- a/src/main/java/quotagateway/policy/routing/BackendStatus.java
+++ b/src/main/java/quotagateway/policy/routing/BackendStatus.java
@@ -4,9 +4,9 @@
 import quotagateway.policy.settings.ServiceRules;
 
 /**
- * The state that this gateway keeps for one process of a backend. A backend that restarts gets a new
- * status. Each group of fields is changed only by the class that is named above it. Owned by the
- * policy's thread.
+ * The state that this gateway keeps for one process of a backend. A backend that restarts gets a
+ * new status. Each group of fields is changed only by the class that is named above it. Owned by
+ * the policy's thread.
  */
 public final class BackendStatus {
 
@@ -76,8 +76,8 @@
    * Returns the weight, from 0 to 1, of what this gateway has observed of the backend. The weight
    * falls while the backend does not respond.
    *
-   * <p>Without this decay, the gateway would avoid a backend forever after a fault whose end it cannot
-   * see. The drawback is that some requests still run into a lasting fault now and then.
+   * <p>Without this decay, the gateway would avoid a backend forever after a fault whose end it
+   * cannot see. The drawback is that some requests still run into a lasting fault now and then.
    */
   double observationWeight(double nowMs) {
     return Math.exp((lastResponseAtMs - nowMs) / OBSERVATION_TIME_CONSTANT_MS);
--- a/src/main/java/quotagateway/policy/routing/EndpointSelector.java
+++ b/src/main/java/quotagateway/policy/routing/EndpointSelector.java
@@ -96,9 +96,9 @@
   }
 
   /**
-   * Returns the cheapest of a few usable backends among the first {@code size} slots, or null if none
-   * is usable. Compares all of these backends if there are few; otherwise draws candidates at random
-   * with replacement.
+   * Returns the cheapest of a few usable backends among the first {@code size} slots, or null if
+   * none is usable. Compares all of these backends if there are few; otherwise draws candidates at
+   * random with replacement.
    */
   private BackendStatus cheapest(
       OrderedSlots slots,
--- a/src/main/java/quotagateway/policy/routing/EndpointTracker.java
+++ b/src/main/java/quotagateway/policy/routing/EndpointTracker.java
@@ -22,8 +22,8 @@
 final class EndpointTracker {
 
   /**
-   * Statuses kept in addition to those of the subset: more than most fleets have backends, and at most
-   * a few megabytes.
+   * Statuses kept in addition to those of the subset: more than most fleets have backends, and at
+   * most a few megabytes.
    */
   private static final int MAX_STATUSES_OUTSIDE_SUBSET = 4_000;
 
@@ -43,8 +43,9 @@
   private static final double WATCH_RETRY_MS = 1_000;
 
   /**
-   * Minimum number of backends in a gateway's subset, and of gateways that, on average, have a backend
-   * in their subsets: enough to spread the load, and few enough to limit the number of connections.
+   * Minimum number of backends in a gateway's subset, and of gateways that, on average, have a
+   * backend in their subsets: enough to spread the load, and few enough to limit the number of
+   * connections.
    */
   private static final int MIN_SUBSET_SIZE = 12;
 
@@ -119,7 +120,8 @@
     int slot = existingSlot == EndpointIndex.NONE ? index.add(endpoint.id(), group) : existingSlot;
     BackendStatus status = statuses.get(slot);
     double listedStartMs = status == null ? index.assumedStartMs(slot) : status.listedStartMs;
-    boolean sameProcess = existingSlot != EndpointIndex.NONE && listedStartMs == endpoint.startedMs();
+    boolean sameProcess =
+        existingSlot != EndpointIndex.NONE && listedStartMs == endpoint.startedMs();
     double startedMs = sameProcess ? index.assumedStartMs(slot) : endpoint.startedMs();
     double weight = context.settings().endpointWeightsTold() ? endpoint.weight() : 1;
     index.setAddress(slot, endpoint.address());
@@ -147,8 +149,8 @@
   /**
    * Removes endpoints that are no longer listed, in batches.
    *
-   * <p>Without batches, removing thousands of endpoints at once would stall all requests. There is no
-   * known drawback, because endpoints that wait for removal are not selected.
+   * <p>Without batches, removing thousands of endpoints at once would stall all requests. There is
+   * no known drawback, because endpoints that wait for removal are not selected.
    */
   private void sweep() {
     boolean moreRemain = index.sweep(MAX_REMOVALS_PER_SWEEP, slotsToRemove::add);
@@ -206,8 +208,9 @@
   }
 
   /**
-   * Discards the status of a slot whose process was replaced. A process that is warming up gets a new
-   * status at once, unless the limit of statuses is reached, so that its token bucket starts to fill.
+   * Discards the status of a slot whose process was replaced. A process that is warming up gets a
+   * new status at once, unless the limit of statuses is reached, so that its token bucket starts to
+   * fill.
    */
   private void replaceStatus(int slot) {
     double slowStartTokens = context.nextRandom();
--- a/src/main/java/quotagateway/policy/routing/GroupReachabilities.java
+++ b/src/main/java/quotagateway/policy/routing/GroupReachabilities.java
@@ -6,8 +6,8 @@
 import quotagateway.policy.context.DecisionContext;
 
 /**
- * The reachability of each zone and cell that contains a backend with a status. Owned by the policy's
- * thread.
+ * The reachability of each zone and cell that contains a backend with a status. Owned by the
+ * policy's thread.
  */
 final class GroupReachabilities {
 
--- a/src/main/java/quotagateway/policy/routing/GroupReachability.java
+++ b/src/main/java/quotagateway/policy/routing/GroupReachability.java
@@ -3,18 +3,20 @@
 import quotagateway.policy.context.ExponentialMean;
 
 /**
- * The recent share of attempts that were lost at the backends of one zone, or of one cell of a zone,
- * which shows whether this gateway can reach the group. Owned by the policy's thread.
+ * The recent share of attempts that were lost at the backends of one zone, or of one cell of a
+ * zone, which shows whether this gateway can reach the group. Owned by the policy's thread.
  */
 final class GroupReachability {
 
   /**
-   * A single loss among responses must not make the group look unreachable; three consecutive losses
-   * must.
+   * A single loss among responses must not make the group look unreachable; three consecutive
+   * losses must.
    */
   private static final double NEWEST_SAMPLE_WEIGHT = 0.2;
 
-  /** A response at least halves the loss share, so that a group that responds again is soon used. */
+  /**
+   * A response at least halves the loss share, so that a group that responds again is soon used.
+   */
   private static final double MIN_RESPONSE_WEIGHT = 0.5;
 
   /** Losses decay within seconds, so that a group that gets no attempts is soon tried again. */
--- a/src/main/java/quotagateway/policy/routing/LoadEstimator.java
+++ b/src/main/java/quotagateway/policy/routing/LoadEstimator.java
@@ -6,8 +6,8 @@
 import quotagateway.policy.event.LoadReport;
 
 /**
- * Estimates the time that a backend needs for one more request, from its responses, its load reports
- * and this gateway's outstanding attempts. Owned by the policy's thread.
+ * Estimates the time that a backend needs for one more request, from its responses, its load
+ * reports and this gateway's outstanding attempts. Owned by the policy's thread.
  */
 final class LoadEstimator {
 
@@ -21,8 +21,8 @@
   private static final double FLEET_NEWEST_SAMPLE_WEIGHT = 0.02;
 
   /**
-   * Time after which a load report has a weight of 1/e. By then, most of the other gateways' requests
-   * that the report counts have been answered.
+   * Time after which a load report has a weight of 1/e. By then, most of the other gateways'
+   * requests that the report counts have been answered.
    */
   private static final double REPORT_TIME_CONSTANT_MS = 700;
 
@@ -101,8 +101,8 @@
    * estimate for other gateways comes from the backend's latest load report, and approaches the
    * expected number as the report ages.
    *
-   * <p>Without this decay, a backend that once reported a high load would be avoided forever, because
-   * it gets no requests and so never reports again. There is no known drawback.
+   * <p>Without this decay, a backend that once reported a high load would be avoided forever,
+   * because it gets no requests and so never reports again. There is no known drawback.
    */
   double requestsInFlight(BackendStatus backend) {
     int otherGateways = context.settings().gatewayCount() - 1;
@@ -112,19 +112,23 @@
     if (Double.isNaN(backend.reportedInFlight)) {
       return ownAttempts + expectedOfOtherGateways;
     }
-    double reportWeight = Math.exp((backend.reportedAtMs - context.nowMs()) / REPORT_TIME_CONSTANT_MS);
-    double reportedOfOtherGateways = Math.max(0, backend.reportedInFlight - backend.ownAttemptsWhenReported);
-    return ownAttempts + expectedOfOtherGateways + reportWeight * (reportedOfOtherGateways - expectedOfOtherGateways);
+    double reportWeight =
+        Math.exp((backend.reportedAtMs - context.nowMs()) / REPORT_TIME_CONSTANT_MS);
+    double reportedOfOtherGateways =
+        Math.max(0, backend.reportedInFlight - backend.ownAttemptsWhenReported);
+    return ownAttempts
+        + expectedOfOtherGateways
+        + reportWeight * (reportedOfOtherGateways - expectedOfOtherGateways);
   }
 
   /**
-   * Returns the cost of sending a request to a backend, as an expected response time in milliseconds:
-   * the service time of all requests in flight there and of the new one. The cost is higher if the
-   * oldest attempt is overdue, if the backend is in another zone, or if it fails; it is lower while
-   * the backend is half-open.
+   * Returns the cost of sending a request to a backend, as an expected response time in
+   * milliseconds: the service time of all requests in flight there and of the new one. The cost is
+   * higher if the oldest attempt is overdue, if the backend is in another zone, or if it fails; it
+   * is lower while the backend is half-open.
    *
-   * @param latencyObjectiveMs the latency objective of the request; the cross-zone price is a share of
-   *     it
+   * @param latencyObjectiveMs the latency objective of the request; the cross-zone price is a share
+   *     of it
    */
   double costMs(BackendStatus backend, double latencyObjectiveMs) {
     double nowMs = context.nowMs();
--- a/src/main/java/quotagateway/policy/routing/OutlierDetector.java
+++ b/src/main/java/quotagateway/policy/routing/OutlierDetector.java
@@ -20,14 +20,14 @@
   private static final double MAX_FAILURE_SHARE = 0.4;
 
   /**
-   * Failure share below which a backend has recovered, so that its next ejection counts as the first
-   * again.
+   * Failure share below which a backend has recovered, so that its next ejection counts as the
+   * first again.
    */
   private static final double RECOVERED_FAILURE_SHARE = MAX_FAILURE_SHARE / 4;
 
   /**
-   * Duration of the first ejection: long enough for a brief fault to end, short enough to lose little
-   * capacity.
+   * Duration of the first ejection: long enough for a brief fault to end, short enough to lose
+   * little capacity.
    */
   private static final double FIRST_EJECTION_MS = 1_000;
 
@@ -50,9 +50,9 @@
   }
 
   /**
-   * Returns whether the outcome of an attempt is a failure of the backend. A timeout or cancellation
-   * counts only if, since the attempt was sent, the backend has answered nothing and this gateway has
-   * not stalled.
+   * Returns whether the outcome of an attempt is a failure of the backend. A timeout or
+   * cancellation counts only if, since the attempt was sent, the backend has answered nothing and
+   * this gateway has not stalled.
    *
    * @param stalledUntilMs the end of this gateway's latest stall
    */
@@ -94,7 +94,8 @@
       return;
     }
     if (backend.failureShare > MAX_FAILURE_SHARE || backend.halfOpen) {
-      double ejectionMs = FIRST_EJECTION_MS * (1 << Math.min(backend.ejections, MAX_EJECTION_DOUBLINGS));
+      double ejectionMs =
+          FIRST_EJECTION_MS * (1 << Math.min(backend.ejections, MAX_EJECTION_DOUBLINGS));
       double jitter = 1 + EJECTION_JITTER * context.nextRandom();
       backend.ejectedUntilMs = context.nowMs() + ejectionMs * jitter;
       backend.ejections++;
@@ -113,15 +114,16 @@
   }
 
   /**
-   * Returns whether a backend must not get a request: because it is ejected, because it is half-open
-   * and either has an outstanding attempt or the request is not idempotent, or because its zone or
-   * cell cannot be reached.
+   * Returns whether a backend must not get a request: because it is ejected, because it is
+   * half-open and either has an outstanding attempt or the request is not idempotent, or because
+   * its zone or cell cannot be reached.
    */
   boolean isUnavailableFor(BackendStatus backend, Idempotency idempotency) {
     double nowMs = context.nowMs();
     boolean probeDisallowed =
         backend.halfOpen
-            && (!backend.outstandingAttempts.isEmpty() || idempotency == Idempotency.NOT_IDEMPOTENT);
+            && (!backend.outstandingAttempts.isEmpty()
+                || idempotency == Idempotency.NOT_IDEMPOTENT);
     return nowMs < backend.ejectedUntilMs
         || probeDisallowed
         || backend.groupLossShare(nowMs) > MAX_FAILURE_SHARE;
--- a/src/main/java/quotagateway/policy/routing/RequestRouting.java
+++ b/src/main/java/quotagateway/policy/routing/RequestRouting.java
@@ -3,7 +3,9 @@
 import quotagateway.policy.settings.DeduplicationScope;
 import quotagateway.policy.settings.RequestClass;
 
-/** The earlier attempts of one request, as far as they restrict the selection of the next backend. */
+/**
+ * The earlier attempts of one request, as far as they restrict the selection of the next backend.
+ */
 public final class RequestRouting {
 
   private final RequestClass requestClass;
@@ -29,8 +31,8 @@
   }
 
   /**
-   * Binds all further attempts to the backends that deduplicate together with the given backend, which
-   * may have executed the request. Only the first call has an effect.
+   * Binds all further attempts to the backends that deduplicate together with the given backend,
+   * which may have executed the request. Only the first call has an effect.
    */
   public void bindTo(BackendStatus backend) {
     if (deduplicatingBackend == null) {
--- a/src/main/java/quotagateway/policy/routing/RestartDetector.java
+++ b/src/main/java/quotagateway/policy/routing/RestartDetector.java
@@ -6,10 +6,11 @@
  * Suspects that a backend has restarted when a connection to it fails, before the endpoint list
  * reports the restart. A suspected backend is treated as warming up. Owned by the policy's thread.
  *
- * <p>Without this, a process that has just started would get a burst of requests. The suspicion ends
- * when an attempt that was sent before it succeeds, because an attempt cannot outlive its process.
- * Otherwise a few connections that fail for another reason would suffice to make the entire fleet look
- * as if it was warming up. There is no known drawback, because a start time in the list still applies.
+ * <p>Without this, a process that has just started would get a burst of requests. The suspicion
+ * ends when an attempt that was sent before it succeeds, because an attempt cannot outlive its
+ * process. Otherwise a few connections that fail for another reason would suffice to make the
+ * entire fleet look as if it was warming up. There is no known drawback, because a start time in
+ * the list still applies.
  */
 final class RestartDetector {
 
--- a/src/main/java/quotagateway/policy/routing/SlowStartLimiter.java
+++ b/src/main/java/quotagateway/policy/routing/SlowStartLimiter.java
@@ -5,15 +5,15 @@
 
 /**
  * Limits the attempts at each backend that is warming up, retries included, with a token bucket.
- * The refill rate is the share of its capacity that the backend has reached, times the larger of two
- * rates: the attempts per second that a warm backend gets from this gateway, and this gateway's part
- * of the requests per second that one core can serve. The second rate is larger if, for example, no
- * backend is warm or this gateway is new. Owned by the policy's thread.
+ * The refill rate is the share of its capacity that the backend has reached, times the larger of
+ * two rates: the attempts per second that a warm backend gets from this gateway, and this gateway's
+ * part of the requests per second that one core can serve. The second rate is larger if, for
+ * example, no backend is warm or this gateway is new. Owned by the policy's thread.
  *
- * <p>Without the limit, a backend that has just started, for any reason, would be overloaded and fail
- * again. A token that is not used within the overload window of the service rules expires, so that
- * the gateways cannot all spend saved tokens at once. The drawback is that traffic returns more slowly
- * to a fleet that has restarted.
+ * <p>Without the limit, a backend that has just started, for any reason, would be overloaded and
+ * fail again. A token that is not used within the overload window of the service rules expires, so
+ * that the gateways cannot all spend saved tokens at once. The drawback is that traffic returns
+ * more slowly to a fleet that has restarted.
  */
 final class SlowStartLimiter {
 
@@ -57,7 +57,10 @@
     return backend.slowStartTokens >= 1;
   }
 
-  /** Returns the attempts per second that this gateway sends to each warm backend; 0 if none is warm. */
+  /**
+   * Returns the attempts per second that this gateway sends to each warm backend; 0 if none is
+   * warm.
+   */
   private double attemptsPerSecondPerWarmBackend() {
     double nowMs = context.nowMs();
     if (nowMs - warmCountedAtMs > WARM_COUNT_MAX_AGE_MS) {
--- a/src/test/java/quotagateway/endpoint/EndpointIndexTest.java
+++ b/src/test/java/quotagateway/endpoint/EndpointIndexTest.java
@@ -91,7 +91,8 @@
     }
   }
 
-  private static List<String> runRandomEvents(long seed, int gateways, int backends, EndpointIndex index) {
+  private static List<String> runRandomEvents(
+      long seed, int gateways, int backends, EndpointIndex index) {
     List<String> actions = new ArrayList<>();
     new RandomEvents(
             seed,
@@ -108,8 +109,10 @@
   void leadsToSameActionsAsReferenceIndex() {
     int[][] sizes = {{1, 6}, {2, 24}, {6, 60}, {100, 200}, {300, 24}};
     for (int seed = 0; seed < sizes.length; seed++) {
-      List<String> expected = runRandomEvents(seed, sizes[seed][0], sizes[seed][1], new ReferenceIndex(1));
-      List<String> actual = runRandomEvents(seed, sizes[seed][0], sizes[seed][1], new EndpointIndex(1));
+      List<String> expected =
+          runRandomEvents(seed, sizes[seed][0], sizes[seed][1], new ReferenceIndex(1));
+      List<String> actual =
+          runRandomEvents(seed, sizes[seed][0], sizes[seed][1], new EndpointIndex(1));
       assertEquals(expected, actual);
       assertTrue(expected.stream().filter(line -> line.contains("StartAttempt[")).count() > 500);
     }
--- a/src/test/java/quotagateway/endpoint/OrderedSlotsTest.java
+++ b/src/test/java/quotagateway/endpoint/OrderedSlotsTest.java
@@ -52,7 +52,10 @@
       assertEquals(expected.get(i), tree.get(i));
     }
     for (int i = 0; i < SLOTS; i++) {
-      int first = -Collections.binarySearch(expected, i / 3 * 3 - 1, OrderedSlotsTest::compareToStartOfNextKey) - 1;
+      int first =
+          -Collections.binarySearch(
+                  expected, i / 3 * 3 - 1, OrderedSlotsTest::compareToStartOfNextKey)
+              - 1;
       boolean present = first < expected.size() && key(expected.get(first)) == key(i);
       assertEquals(present ? expected.get(first) : OrderedSlots.NONE, tree.find(key(i)));
     }
--- a/src/test/java/quotagateway/policy/routing/AttemptRecordTest.java
+++ b/src/test/java/quotagateway/policy/routing/AttemptRecordTest.java
@@ -36,7 +36,8 @@
   void looksLostIfAttemptSentMuchLaterWasAnswered() {
     backend.recordResponse(new AttemptRecord(1, backend, SENT_MS + LOSS_TIMEOUT_MS), SENT_MS + 700);
     assertFalse(looksLost(701));
-    backend.recordResponse(new AttemptRecord(2, backend, SENT_MS + LOSS_TIMEOUT_MS + 1), SENT_MS + 701);
+    backend.recordResponse(
+        new AttemptRecord(2, backend, SENT_MS + LOSS_TIMEOUT_MS + 1), SENT_MS + 701);
     assertTrue(looksLost(702));
   }
 
--- a/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
+++ b/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
@@ -253,9 +253,12 @@
     }
     BackendStatus inSubset = fixture.tracker.getOrCreateStatus(fixture.index.ranked().get(0));
     BackendStatus busy = fixture.tracker.getOrCreateStatus(fixture.index.ranked().get(subsetSize));
-    BackendStatus ejected = fixture.tracker.getOrCreateStatus(fixture.index.ranked().get(subsetSize + 1));
-    BackendStatus restarted = fixture.tracker.getOrCreateStatus(fixture.index.ranked().get(subsetSize + 2));
-    BackendStatus answered = fixture.tracker.getOrCreateStatus(fixture.index.ranked().get(subsetSize + 3));
+    BackendStatus ejected =
+        fixture.tracker.getOrCreateStatus(fixture.index.ranked().get(subsetSize + 1));
+    BackendStatus restarted =
+        fixture.tracker.getOrCreateStatus(fixture.index.ranked().get(subsetSize + 2));
+    BackendStatus answered =
+        fixture.tracker.getOrCreateStatus(fixture.index.ranked().get(subsetSize + 3));
     fixture.startAttemptAt(busy);
     fixture.tracker.assumeStarted(restarted, RoutingFixture.START_MS);
     fixture.advanceMs(30_000);
--- a/src/test/java/quotagateway/policy/routing/RoutingFixture.java
+++ b/src/test/java/quotagateway/policy/routing/RoutingFixture.java
@@ -48,8 +48,8 @@
   }
 
   /**
-   * Creates the routing of one of several gateways, with warm backends numbered from 0: even ones in
-   * zone a, odd ones in zone b.
+   * Creates the routing of one of several gateways, with warm backends numbered from 0: even ones
+   * in zone a, odd ones in zone b.
    */
   static RoutingFixture of(int gatewayCount, int backendCount) {
     RoutingFixture fixture = new RoutingFixture(PolicyFixture.settings(true, gatewayCount, false));
@@ -66,7 +66,8 @@
 
   static RequestRouting request(Idempotency idempotency, DeduplicationScope scope) {
     return new RequestRouting(
-        new RequestClass("any", 1, 0, LATENCY_OBJECTIVE_MS, 4_000, idempotency, scope, 3_000, false));
+        new RequestClass(
+            "any", 1, 0, LATENCY_OBJECTIVE_MS, 4_000, idempotency, scope, 3_000, false));
   }
 
   static RequestRouting idempotentRequest() {
--- a/src/test/java/quotagateway/policy/routing/SlowStartLimiterTest.java
+++ b/src/test/java/quotagateway/policy/routing/SlowStartLimiterTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests the limit of attempts during warm-up. The service rules of {@code PolicyFixture} are a warm-up
- * of 10 s, an initial capacity share of one fifth, and an overload window of 2 s.
+ * Tests the limit of attempts during warm-up. The service rules of {@code PolicyFixture} are a
+ * warm-up of 10 s, an initial capacity share of one fifth, and an overload window of 2 s.
  */
 class SlowStartLimiterTest {
 
@@ -101,7 +101,9 @@
     backend.slowStartTokens = 0;
     backend.slowStartRefilledAtMs = fixture.context.nowMs() - 500;
     slowStart.admits(backend);
-    assertTrue(backend.slowStartTokens < tokensByTraffic / 3, "the rate of one core applies if no backend is warm");
+    assertTrue(
+        backend.slowStartTokens < tokensByTraffic / 3,
+        "the rate of one core applies if no backend is warm");
   }
 
   @Test
