--- a/src/test/java/quotagateway/policy/routing/EndpointSelectorTest.java
+++ b/src/test/java/quotagateway/policy/routing/EndpointSelectorTest.java
@@ -28,15 +28,15 @@
     return fixture.selector.select(request, RoutingFixture.LATENCY_OBJECTIVE_MS);
   }
 
-  private Set<Long> selectRepeatedly(RequestRouting request) {
-    Set<Long> selected = new HashSet<>();
+  private Set<Long> selectedIds(RequestRouting request) {
+    Set<Long> selectedIds = new HashSet<>();
     for (int i = 0; i < ROUNDS; i++) {
       BackendStatus backend = select(request);
       if (backend != null) {
-        selected.add(backend.endpointId());
+        selectedIds.add(backend.endpointId());
       }
     }
-    return selected;
+    return selectedIds;
   }
 
   private void eject(long... ids) {
@@ -47,7 +47,7 @@
 
   @Test
   void spreadsRequestsOverBackendsOfSameCost() {
-    assertEquals(Set.of(0L, 1L, 2L, 3L), selectRepeatedly(RoutingFixture.idempotentRequest()));
+    assertEquals(Set.of(0L, 1L, 2L, 3L), selectedIds(RoutingFixture.idempotentRequest()));
   }
 
   @Test
@@ -55,7 +55,7 @@
     for (long id = 0; id < 3; id++) {
       fixture.startAttemptAt(fixture.backend(id));
     }
-    assertEquals(Set.of(3L), selectRepeatedly(RoutingFixture.idempotentRequest()));
+    assertEquals(Set.of(3L), selectedIds(RoutingFixture.idempotentRequest()));
   }
 
   @Test
@@ -67,14 +67,14 @@
   @Test
   void skipsEjectedBackendsWhileOthersAreUsable() {
     eject(0, 1, 2);
-    assertEquals(Set.of(3L), selectRepeatedly(RoutingFixture.idempotentRequest()));
+    assertEquals(Set.of(3L), selectedIds(RoutingFixture.idempotentRequest()));
   }
 
   // If all backends fail, trying an ejected one is better than serving no request.
   @Test
   void usesEjectedBackendsIfAllAreEjected() {
     eject(0, 1, 2, 3);
-    assertEquals(Set.of(0L, 1L, 2L, 3L), selectRepeatedly(RoutingFixture.idempotentRequest()));
+    assertEquals(Set.of(0L, 1L, 2L, 3L), selectedIds(RoutingFixture.idempotentRequest()));
   }
 
   @Test
@@ -89,7 +89,7 @@
   void skipsWarmingUpBackendWithoutToken() {
     fixture.tracker.assumeStarted(fixture.backend(0), fixture.context.nowMs());
     fixture.backend(0).slowStartTokens = 0;
-    assertEquals(Set.of(1L, 2L, 3L), selectRepeatedly(RoutingFixture.idempotentRequest()));
+    assertEquals(Set.of(1L, 2L, 3L), selectedIds(RoutingFixture.idempotentRequest()));
   }
 
   // Another attempt at the same backend will probably fail too, but one backend is better than
@@ -98,9 +98,9 @@
   void avoidsBackendOfLatestAttemptIfOthersAreUsable() {
     RequestRouting request = RoutingFixture.idempotentRequest();
     request.recordAttempt(fixture.backend(2));
-    assertEquals(Set.of(0L, 1L, 3L), selectRepeatedly(request));
+    assertEquals(Set.of(0L, 1L, 3L), selectedIds(request));
     eject(0, 1, 3);
-    assertEquals(Set.of(2L), selectRepeatedly(request));
+    assertEquals(Set.of(2L), selectedIds(request));
   }
 
   // A backend of another group does not know the idempotency key and would execute the request
@@ -111,15 +111,15 @@
         RoutingFixture.request(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE);
     inZone.bindTo(fixture.backend(1));
     inZone.bindTo(fixture.backend(0));
-    assertEquals(Set.of(1L, 3L), selectRepeatedly(inZone));
+    assertEquals(Set.of(1L, 3L), selectedIds(inZone));
     RequestRouting inCell =
         RoutingFixture.request(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.CELL);
     inCell.bindTo(fixture.backend(1));
-    assertEquals(Set.of(1L), selectRepeatedly(inCell));
+    assertEquals(Set.of(1L), selectedIds(inCell));
     RequestRouting anywhere =
         RoutingFixture.request(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ALL);
     anywhere.bindTo(fixture.backend(1));
-    assertEquals(Set.of(0L, 1L, 2L, 3L), selectRepeatedly(anywhere));
+    assertEquals(Set.of(0L, 1L, 2L, 3L), selectedIds(anywhere));
   }
 
   @Test
@@ -128,7 +128,7 @@
         RoutingFixture.request(Idempotency.IDEMPOTENT_WITH_KEY, DeduplicationScope.ZONE);
     inZone.bindTo(fixture.backend(1));
     eject(1, 3);
-    assertEquals(Set.of(1L, 3L), selectRepeatedly(inZone));
+    assertEquals(Set.of(1L, 3L), selectedIds(inZone));
     for (long id : new long[] {1, 3}) {
       fixture.outliers.pauseAfterRejection(fixture.backend(id), 100);
     }
@@ -145,10 +145,10 @@
     for (int i = 0; i < subsetSize; i++) {
       subset.add(fixture.index.id(fixture.index.ranked().get(i)));
     }
-    Set<Long> selected = selectRepeatedly(RoutingFixture.idempotentRequest());
-    assertTrue(subset.containsAll(selected), selected + " of " + subset);
+    Set<Long> selectedIds = selectedIds(RoutingFixture.idempotentRequest());
+    assertTrue(subset.containsAll(selectedIds), selectedIds + " of " + subset);
     subset.forEach(id -> eject(id));
-    Set<Long> outsideSubset = selectRepeatedly(RoutingFixture.idempotentRequest());
+    Set<Long> outsideSubset = selectedIds(RoutingFixture.idempotentRequest());
     outsideSubset.removeAll(subset);
     assertTrue(outsideSubset.size() > 20, outsideSubset.toString());
   }
@@ -159,7 +159,7 @@
         new EndpointsUpdated(
             EndpointListForm.DELTA,
             List.of(new Endpoint(0, "a", 0, EndpointState.DRAINING, 1, 0))));
-    assertEquals(Set.of(1L, 2L, 3L), selectRepeatedly(RoutingFixture.idempotentRequest()));
+    assertEquals(Set.of(1L, 2L, 3L), selectedIds(RoutingFixture.idempotentRequest()));
   }
 
   // Many gateways that select the same backend from the same load reports would overload it.
@@ -180,7 +180,7 @@
     for (long id = 1; id < 12; id++) {
       fixture.startAttemptAt(fixture.backend(id));
     }
-    assertEquals(Set.of(0L), selectRepeatedly(RoutingFixture.idempotentRequest()));
+    assertEquals(Set.of(0L), selectedIds(RoutingFixture.idempotentRequest()));
   }
 
   // A new snapshot takes effect at once, although missing endpoints are removed in batches.
@@ -190,9 +190,9 @@
     fixture.tracker.update(
         new EndpointsUpdated(EndpointListForm.SNAPSHOT, List.of(RoutingFixture.endpoint(999, 0))));
     assertTrue(fixture.index.serving().size() > 1);
-    Set<Long> selected = selectRepeatedly(RoutingFixture.idempotentRequest());
-    selected.remove(999L);
-    assertEquals(Set.of(), selected);
+    Set<Long> selectedIds = selectedIds(RoutingFixture.idempotentRequest());
+    selectedIds.remove(999L);
+    assertEquals(Set.of(), selectedIds);
   }
 
   // With a single candidate, the backend would be selected at random, however busy it is.
@@ -200,7 +200,7 @@
   void comparesAtLeastTwoBackendsWithManyGateways() {
     fixture = RoutingFixture.of(1_000, 2);
     fixture.startAttemptAt(fixture.backend(0));
-    assertEquals(Set.of(1L), selectRepeatedly(RoutingFixture.idempotentRequest()));
+    assertEquals(Set.of(1L), selectedIds(RoutingFixture.idempotentRequest()));
   }
 
   // A draw that yields an unusable backend is repeated, with up to three draws for each candidate.
--- a/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
+++ b/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
@@ -69,7 +69,7 @@
     return entries;
   }
 
-  private static Set<Long> servingIds(PolicyFixture gateway, int idLimit) {
+  private static Set<Long> servingEndpoints(PolicyFixture gateway, int idLimit) {
     Set<Long> ids = new HashSet<>();
     for (long id = 0; id < idLimit; id++) {
       if (gateway.policy.servingEndpoints().address(id) == id + 1) {
@@ -98,10 +98,10 @@
     gateway.on(new EndpointsUpdated(EndpointListForm.DELTA, List.of()));
     gateway.on(
         new EndpointsUpdated(EndpointListForm.FRAGMENT, entries(0, 1, EndpointState.SERVING)));
-    assertEquals(Set.of(0L, 1L, 2L, 3L), servingIds(gateway, 5));
+    assertEquals(Set.of(0L, 1L, 2L, 3L), servingEndpoints(gateway, 5));
     gateway.on(
         new EndpointsUpdated(EndpointListForm.SNAPSHOT, entries(2, 3, EndpointState.SERVING)));
-    assertEquals(Set.of(0L, 2L), servingIds(gateway, 5));
+    assertEquals(Set.of(0L, 2L), servingEndpoints(gateway, 5));
     for (int i = 0; i < 50; i++) {
       assertTrue(Set.of(0L, 2L).contains(sendRequestAndGetBackend(gateway)));
     }
@@ -152,7 +152,8 @@
       gateway.pass(1).on(new TimerFired(Timer.ENDPOINT_SWEEP));
     }
     assertTrue(sweeps > 10, sweeps + " sweeps");
-    assertEquals(Set.of(10_400L, 10_499L, 10_500L, 10_501L, 10_502L), servingIds(gateway, 10_600));
+    assertEquals(
+        Set.of(10_400L, 10_499L, 10_500L, 10_501L, 10_502L), servingEndpoints(gateway, 10_600));
   }
 
   private static void update(RoutingFixture fixture, EndpointListForm form, Endpoint... endpoints) {
