--- a/src/test/java/quotagateway/testing/DiscoveryAgent.java
+++ b/src/test/java/quotagateway/testing/DiscoveryAgent.java
@@ -18,37 +18,42 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A stand-in for discovery's agent on loopback, by the published protocol: each watch is told the
- * whole list first, unless it has that version, and then each change. It may fall silent, cut a
- * message, or end watches.
+ * A fake discovery agent on loopback that speaks the published protocol. Each watch first receives
+ * the complete list, unless the watch asks for changes to that version, and then each change. A
+ * test can silence the agent, truncate a message or end watches.
  */
 public final class DiscoveryAgent implements Closeable {
 
-  private static final int CHUNK = 64 * 1024;
-  private static final long HEARTBEAT_MS = 2_000;
+  private static final int MAX_CHUNK_BYTES = 64 * 1024;
+  private static final long HEARTBEAT_INTERVAL_MS = 2_000;
 
   private final ServerSocket server;
   private final ScheduledExecutorService heartbeats =
-      Executors.newSingleThreadScheduledExecutor(DiscoveryAgent::daemon);
+      Executors.newSingleThreadScheduledExecutor(DiscoveryAgent::daemonThread);
   private final List<Watch> watches = new CopyOnWriteArrayList<>();
-  private final List<Watch> abandoned = new CopyOnWriteArrayList<>();
-  private final AtomicInteger opened = new AtomicInteger();
-  private final AtomicLong bytes = new AtomicLong();
-  private volatile byte[] whole;
+  private final List<Watch> abandonedWatches = new CopyOnWriteArrayList<>();
+  private final AtomicInteger openedWatches = new AtomicInteger();
+  private final AtomicLong bytesWritten = new AtomicLong();
+  private volatile byte[] snapshot;
   private volatile long version;
   private volatile boolean silent;
   private volatile boolean failing;
 
-  /** Listens at a port of its own with that whole list. */
-  public DiscoveryAgent(String whole, long version) throws IOException {
-    become(whole, version);
+  /**
+   * Listens on an ephemeral port.
+   *
+   * @param list snapshot that each new watch receives first
+   * @param version version of that snapshot
+   */
+  public DiscoveryAgent(String list, long version) throws IOException {
+    become(list, version);
     server = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
-    daemon(this::accept).start();
-    byte[] empty = {'\n'};
+    daemonThread(this::acceptConnections).start();
+    byte[] heartbeat = {'\n'};
     heartbeats.scheduleAtFixedRate(
-        () -> watches.forEach(w -> w.write(empty, 1)),
-        HEARTBEAT_MS,
-        HEARTBEAT_MS,
+        () -> watches.forEach(watch -> watch.write(heartbeat, 1)),
+        HEARTBEAT_INTERVAL_MS,
+        HEARTBEAT_INTERVAL_MS,
         TimeUnit.MILLISECONDS);
   }
 
@@ -56,63 +61,69 @@
     return server.getLocalPort();
   }
 
-  /** Watches that were opened, all told. */
+  /** Returns the number of watches requested so far. */
   public int opened() {
-    return opened.get();
+    return openedWatches.get();
   }
 
-  /** Watches that are open and have been told the list. */
+  /** Returns the number of open watches that have received the list or have its version. */
   public int watching() {
     return watches.size();
   }
 
-  /** Bytes of messages written, all told. */
+  /** Returns the number of message bytes written so far, without chunk framing. */
   public long bytes() {
-    return bytes.get();
+    return bytesWritten.get();
   }
 
-  /** Replaces the list that later watches are told first. */
-  public void become(String list, long ofVersion) {
-    whole = list.getBytes(StandardCharsets.UTF_8);
-    version = ofVersion;
+  /** Replaces the snapshot that later watches receive first. */
+  public void become(String list, long newVersion) {
+    snapshot = list.getBytes(StandardCharsets.UTF_8);
+    version = newVersion;
   }
 
-  /** Tells all watches one message. */
+  /** Sends a message to all open watches. */
   public void tell(String message) {
-    byte[] told = message.getBytes(StandardCharsets.UTF_8);
-    watches.forEach(w -> w.write(told, told.length));
+    byte[] encoded = message.getBytes(StandardCharsets.UTF_8);
+    watches.forEach(watch -> watch.write(encoded, encoded.length));
   }
 
-  /** Tells the first bytes of a message and ends the watches. */
-  public void cut(String message, int after) {
-    byte[] told = message.getBytes(StandardCharsets.UTF_8);
+  /** Sends the first {@code length} bytes of a message to all open watches and ends them. */
+  public void cut(String message, int length) {
+    byte[] encoded = message.getBytes(StandardCharsets.UTF_8);
     watches.forEach(
-        w -> {
-          w.write(told, after);
-          w.close();
+        watch -> {
+          watch.write(encoded, length);
+          watch.close();
         });
   }
 
-  /** While silent, nothing is told, no heartbeat either, and new watches get no answer. */
-  public void silence(boolean now) {
-    silent = now;
+  /**
+   * Sets whether the agent is silent. A silent agent sends neither messages nor heartbeats, and does
+   * not respond to new watches.
+   */
+  public void silence(boolean enabled) {
+    silent = enabled;
   }
 
-  /** Ends all watches. */
+  /** Closes the connections of all watches. */
   public void endWatches() {
     watches.forEach(Watch::close);
   }
 
-  /** Leaves all watches open and never tells them anything again. */
+  /** Sends nothing more to the present watches but keeps their connections open. */
   public void abandonWatches() {
-    abandoned.addAll(watches);
+    abandonedWatches.addAll(watches);
     watches.clear();
   }
 
-  /** While failing, watches are ended, and new ones are answered by an error with this list. */
-  public void fail(boolean now) {
-    failing = now;
-    if (now) {
+  /**
+   * Sets whether the agent fails. Failing ends all watches; while the agent fails, each new watch
+   * receives an error response whose body is an empty snapshot with the next version.
+   */
+  public void fail(boolean enabled) {
+    failing = enabled;
+    if (enabled) {
       endWatches();
     }
   }
@@ -122,52 +133,52 @@
     heartbeats.shutdownNow();
     server.close();
     endWatches();
-    abandoned.forEach(Watch::close);
+    abandonedWatches.forEach(Watch::close);
   }
 
-  private static Thread daemon(Runnable work) {
-    Thread thread = new Thread(work, "discovery agent");
+  private static Thread daemonThread(Runnable task) {
+    Thread thread = new Thread(task, "discovery agent");
     thread.setDaemon(true);
     return thread;
   }
 
-  private void accept() {
+  private void acceptConnections() {
     while (!server.isClosed()) {
       try {
         Socket socket = server.accept();
-        daemon(() -> begin(socket)).start();
+        daemonThread(() -> serve(socket)).start();
       } catch (IOException e) {
         return;
       }
     }
   }
 
-  private void begin(Socket socket) {
+  private void serve(Socket socket) {
     try {
       BufferedReader in =
           new BufferedReader(
               new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
       String request = in.readLine();
-      opened.incrementAndGet();
+      openedWatches.incrementAndGet();
       if (request == null || silent) {
         return;
       }
       Watch watch = new Watch(socket, socket.getOutputStream());
       if (failing) {
-        watch.error();
+        watch.writeError();
         return;
       }
-      watch.head();
+      watch.writeHead();
       if (!request.contains("index=" + version + ' ')) {
-        watch.write(whole, whole.length);
+        watch.write(snapshot, snapshot.length);
       }
       watches.add(watch);
     } catch (IOException e) {
-      // The gateway has ended the watch.
+      // The gateway closed the connection.
     }
   }
 
-  /** One watch; it is dropped when its connection ends. */
+  /** One watch on its connection; a failed write closes the connection and removes the watch. */
   private final class Watch {
     private final Socket socket;
     private final OutputStream out;
@@ -177,20 +188,20 @@
       this.out = out;
     }
 
-    void head() throws IOException {
-      out.write(head("200 OK").getBytes(StandardCharsets.US_ASCII));
+    void writeHead() throws IOException {
+      out.write(responseHead("200 OK").getBytes(StandardCharsets.US_ASCII));
       out.flush();
     }
 
-    /** An error whose body is a list without any backend, in one write with its head. */
-    void error() throws IOException {
+    /** Writes an error response whose body is a list without endpoints, head and body in one write. */
+    void writeError() throws IOException {
       String list = EndpointListJson.list((int) version + 1, true) + "\n";
-      String response = head("503 Service Unavailable") + FakeDiscovery.chunk(list) + "0\r\n\r\n";
+      String response = responseHead("503 Service Unavailable") + FakeDiscovery.chunk(list) + "0\r\n\r\n";
       out.write(response.getBytes(StandardCharsets.US_ASCII));
       out.flush();
     }
 
-    private static String head(String status) {
+    private static String responseHead(String status) {
       return "HTTP/1.1 " + status + "\r\nTransfer-Encoding: chunked\r\n\r\n";
     }
 
@@ -199,12 +210,12 @@
         return;
       }
       try {
-        for (int from = 0; from < length; from += CHUNK) {
-          int part = Math.min(CHUNK, length - from);
-          out.write((Integer.toHexString(part) + "\r\n").getBytes(StandardCharsets.US_ASCII));
-          out.write(message, from, part);
+        for (int from = 0; from < length; from += MAX_CHUNK_BYTES) {
+          int chunkLength = Math.min(MAX_CHUNK_BYTES, length - from);
+          out.write((Integer.toHexString(chunkLength) + "\r\n").getBytes(StandardCharsets.US_ASCII));
+          out.write(message, from, chunkLength);
           out.write("\r\n".getBytes(StandardCharsets.US_ASCII));
-          bytes.addAndGet(part);
+          bytesWritten.addAndGet(chunkLength);
         }
         out.flush();
       } catch (IOException e) {
@@ -217,7 +228,7 @@
       try {
         socket.close();
       } catch (IOException e) {
-        // It is gone either way.
+        // The connection is unusable either way.
       }
     }
   }
--- a/src/test/java/quotagateway/testing/EndpointListJson.java
+++ b/src/test/java/quotagateway/testing/EndpointListJson.java
@@ -1,11 +1,11 @@
 package quotagateway.testing;
 
-/** Messages of discovery in their wire form. */
+/** Builds discovery messages in their JSON wire format. */
 public final class EndpointListJson {
 
   private EndpointListJson() {}
 
-  /** One endpoint on loopback. */
+  /** Returns the JSON entry of an endpoint on loopback. */
   public static String entry(String id, int port, String state) {
     return "{\"id\":\""
         + id
@@ -17,7 +17,7 @@
         + "\",\"weight\":1.0,\"started_ms\":0}";
   }
 
-  /** A message; full is whether it is a snapshot. */
+  /** Returns a message: a snapshot if {@code full}, otherwise a delta. */
   public static String list(int version, boolean full, String... entries) {
     return "{\"version\":"
         + version
--- a/src/test/java/quotagateway/testing/FakeBackend.java
+++ b/src/test/java/quotagateway/testing/FakeBackend.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** Stands for a backend: keeps the requests that arrive, and responds as the test has it. */
+/** A fake backend that records the requests it receives and responds as the test specifies. */
 public final class FakeBackend implements Closeable {
 
   public static final String OK_RESPONSE =
@@ -16,7 +16,7 @@
   public static final String NOT_STARTED_RESPONSE =
       "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n";
 
-  /** Responds to a request; true keeps the connection. */
+  /** Responds to a request and returns whether to keep the connection open. */
   public interface Responder {
     boolean respond(HttpMessage request, OutputStream out) throws IOException;
   }
@@ -40,7 +40,7 @@
     return server.port();
   }
 
-  /** Refuses new connections from now on; those that it has stay open. */
+  /** Stops accepting connections; established connections stay open. */
   public void stopListening() throws IOException {
     server.stopListening();
   }
--- a/src/test/java/quotagateway/testing/FakeCounter.java
+++ b/src/test/java/quotagateway/testing/FakeCounter.java
@@ -12,22 +12,22 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.UnaryOperator;
 
-/** Stands for the shared counter: counts, or replies as the test has it. */
+/** A fake shared counter that counts, or replies as the test specifies. */
 public final class FakeCounter implements Closeable {
 
-  /** The calls that arrived, as lines; pings are left out. */
+  /** The lines of the calls received, without pings. */
   public final BlockingQueue<String> calls = new LinkedBlockingQueue<>();
 
-  /** The connections on which a call waits for the test's own reply. */
+  /** The output streams of calls left unanswered, to which the test writes its own replies. */
   public final BlockingQueue<OutputStream> unanswered = new LinkedBlockingQueue<>();
 
-  /** Gives the reply to a call, without its line end; null for none. */
+  /** Returns the reply to a call without its line terminator, or null to leave it unanswered. */
   public volatile UnaryOperator<String> replies = this::count;
 
   private final Map<String, Double> counts = new ConcurrentHashMap<>();
   private final ScriptedServer server = new ScriptedServer(50, this::serve);
 
-  /** Serves one connection until it ends. */
+  /** Replies to the calls of one connection until it is closed. */
   public void serve(InputStream in, OutputStream out, Socket socket) throws IOException {
     while (true) {
       String line = TextStreams.readLine(in);
@@ -45,7 +45,7 @@
     }
   }
 
-  /** Adds as a call says, and gives the reply with the total. */
+  /** Applies the increment of a call and returns the reply with the new total. */
   public String count(String line) {
     String[] parts = line.split(" ", -1);
     return "ok " + counts.merge(parts[1], Double.valueOf(parts[2]), Double::sum);
--- a/src/test/java/quotagateway/testing/FakeDiscovery.java
+++ b/src/test/java/quotagateway/testing/FakeDiscovery.java
@@ -12,20 +12,20 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** Stands for discovery: accepts watches, and sends what the test has it send. */
+/** A fake discovery server that accepts watches and sends the messages of the test. */
 public final class FakeDiscovery implements Closeable {
 
-  /** Begins a response to a watch. */
+  /** The head of the response to a watch. */
   public static final String RESPONSE_HEAD =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-  /** The request lines of the watches, once their responses have begun. */
+  /** The request lines of the watches whose response heads have been sent. */
   public final BlockingQueue<String> watches = new LinkedBlockingQueue<>();
 
-  /** The connections of all watches whose responses have begun, the newest last. */
-  private final List<Watch> open = new CopyOnWriteArrayList<>();
+  /** The watches whose response heads have been sent, the newest last; closed ones included. */
+  private final List<Watch> startedWatches = new CopyOnWriteArrayList<>();
 
-  /** Runs when the request of a watch has come; its response waits until this returns. */
+  /** Runs after the request of a watch is read and before its response head is sent. */
   public volatile Runnable beforeResponse = () -> {};
 
   private final ScriptedServer server = new ScriptedServer(50, this::serve);
@@ -39,20 +39,20 @@
       this.socket = socket;
     }
 
-    /** Sends each text as a chunk of its own, all in one write: the gateway sees no pause. */
+    /** Sends each text as a separate chunk, in one write, so that the gateway sees no pause. */
     public void send(String... chunks) throws IOException {
-      StringBuilder bytes = new StringBuilder();
-      for (String chunk : chunks) {
-        bytes.append(chunk(chunk));
+      StringBuilder message = new StringBuilder();
+      for (String text : chunks) {
+        message.append(chunk(text));
       }
-      TextStreams.write(out(), bytes.toString());
+      TextStreams.write(out(), message.toString());
     }
 
     public OutputStream out() throws IOException {
       return socket.getOutputStream();
     }
 
-    /** Whether the gateway has neither closed nor reset the connection by now. */
+    /** Returns whether the gateway has neither closed nor reset the connection so far. */
     public boolean isOpen() throws IOException {
       socket.setSoTimeout(1);
       try {
@@ -69,21 +69,21 @@
     HttpMessage request = HttpMessage.read(in);
     beforeResponse.run();
     TextStreams.write(out, RESPONSE_HEAD);
-    open.add(new Watch(socket));
+    startedWatches.add(new Watch(socket));
     watches.add(request.firstLine());
   }
 
-  /** The watch whose response was the last to begin. */
+  /** Returns the watch whose response head was sent last. */
   public Watch newestWatch() {
-    return open.get(open.size() - 1);
+    return startedWatches.get(startedWatches.size() - 1);
   }
 
-  /** Sends text as one chunk to the newest watch. */
+  /** Sends the text as one chunk to the newest watch. */
   public void send(String text) throws IOException {
     newestWatch().send(text);
   }
 
-  /** Text as a chunk of a response. */
+  /** Returns the text framed as one chunk of a chunked response. */
   public static String chunk(String text) {
     return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
   }
--- a/src/test/java/quotagateway/testing/GatewayFixture.java
+++ b/src/test/java/quotagateway/testing/GatewayFixture.java
@@ -17,25 +17,26 @@
 import quotagateway.server.GatewayServer;
 
 /**
- * A gateway on loopback between stand-ins of its peers: a backend, the counter, discovery, clients
- * and operators. It opens them, starts the gateway where the test says so, and closes all of them.
+ * A gateway on loopback with fakes of its peers: a backend, the counter, discovery, clients and
+ * operators. The fixture opens the peers at creation or on request, starts the gateway when the test
+ * asks for it, and closes all of them.
  */
 public final class GatewayFixture implements Closeable {
 
-  /** The descriptors of {@link #smallConfig}, which leave few connections. */
+  /** The descriptor limit of {@link #smallConfig}, which allows only a few connections. */
   public static final int FEW_DESCRIPTORS = 160;
 
   public final FakeBackend backend = new FakeBackend();
   public final FakeCounter counter = new FakeCounter();
   public final FakeDiscovery discovery = new FakeDiscovery();
 
-  /** What else is to be closed with the fixture. */
-  private final List<Closeable> open = new CopyOnWriteArrayList<>();
+  /** Further resources that the fixture closes. */
+  private final List<Closeable> resources = new CopyOnWriteArrayList<>();
 
-  private final Path sharedFolder = temporaryFolder();
+  private final Path sharedFolder = createTemporaryFolder();
   private GatewayServer gateway;
 
-  private static Path temporaryFolder() {
+  private static Path createTemporaryFolder() {
     try {
       Path folder = Files.createTempDirectory("gateway");
       folder.toFile().deleteOnExit();
@@ -45,14 +46,14 @@
     }
   }
 
-  /** Opens one more peer, which is closed with the fixture. */
+  /** Opens another peer; the fixture closes it. */
   public ScriptedServer listen(int backlog, ScriptedServer.Script script) {
     ScriptedServer server = new ScriptedServer(backlog, script);
-    open.add(server);
+    resources.add(server);
     return server;
   }
 
-  /** A configuration whose endpoint list has these entries. */
+  /** Returns a configuration whose endpoint list has the given entries. */
   public String config(String... entries) {
     return """
         {"name":"n0","listen":"127.0.0.1:0","mgmt":"127.0.0.1:0",
@@ -71,14 +72,14 @@
         .formatted(discovery.port(), counter.port(), EndpointListJson.list(7, true, entries));
   }
 
-  /** A configuration with the fixture's one backend. */
-  private String ownBackendConfig() {
+  /** Returns a configuration whose only endpoint is the fixture's backend. */
+  private String singleBackendConfig() {
     return config(EndpointListJson.entry("s-1", backend.port(), "active"));
   }
 
-  /** A configuration with the fixture's one backend and limits that leave few connections. */
+  /** Returns a configuration with the fixture's backend and limits for few connections. */
   public String smallConfig() {
-    return ownBackendConfig()
+    return singleBackendConfig()
         .replace(
             "\"seed\"",
             "\"limits\":{\"cores\":1,\"memory_mb\":128,\"sockets\":"
@@ -86,7 +87,7 @@
                 + "},\"seed\"");
   }
 
-  /** Reads a configuration as from its file. */
+  /** Parses a configuration as the gateway parses its configuration file. */
   public static GatewayConfig parse(String json) throws IOException, InvalidConfigurationException {
     try (JsonParser in = new JsonFactory().createParser(json)) {
       in.nextToken();
@@ -94,51 +95,51 @@
     }
   }
 
-  /** Starts the gateway with the fixture's one backend. */
+  /** Starts a gateway with the fixture's backend. */
   public GatewayServer start() throws Exception {
-    return start(ownBackendConfig());
+    return start(singleBackendConfig());
   }
 
-  /** Starts a gateway, which the other methods are about from now on. */
+  /** Starts a gateway, to which the other methods refer from then on. */
   public GatewayServer start(String config) throws Exception {
-    GatewayServer before = gateway;
+    GatewayServer previous = gateway;
     gateway = GatewayServer.start(parse(config), sharedFolder);
-    if (before != null) {
-      open.add(before::stop);
+    if (previous != null) {
+      resources.add(previous::stop);
     }
     return gateway;
   }
 
-  /** Starts a gateway beside the first, at the same address, as a second process would. */
+  /** Starts a second gateway on the address of the first, as an upgrade by a new process does. */
   public GatewayServer startBeside() throws Exception {
     return start(
-        ownBackendConfig()
+        singleBackendConfig()
             .replace(
                 "\"listen\":\"127.0.0.1:0\"",
-                "\"listen\":\"127.0.0.1:" + port(gateway.address()) + "\""));
+                "\"listen\":\"127.0.0.1:" + portOf(gateway.address()) + "\""));
   }
 
-  private static int port(SocketAddress address) {
+  private static int portOf(SocketAddress address) {
     return ((InetSocketAddress) address).getPort();
   }
 
-  /** A client that has connected. */
+  /** Opens a client connection to the gateway. */
   public TestClient client() throws IOException {
     return connect(gateway.address());
   }
 
-  /** An operator that has connected. */
+  /** Opens an operator's connection to the admin server. */
   public TestClient operator() throws IOException {
     return connect(gateway.adminAddress());
   }
 
   private TestClient connect(SocketAddress address) throws IOException {
     TestClient client = new TestClient((InetSocketAddress) address);
-    open.add(client);
+    resources.add(client);
     return client;
   }
 
-  /** An operator's one request, such as {@code GET /ready}: the status of its response. */
+  /** Sends an operator's request, such as {@code GET /ready}, and returns the response status. */
   public int operator(String request) throws IOException {
     try (TestClient operator = new TestClient((InetSocketAddress) gateway.adminAddress())) {
       return operator.ask(request + " HTTP/1.1\r\nHost: x\r\n\r\n").status();
@@ -153,8 +154,8 @@
     backend.close();
     counter.close();
     discovery.close();
-    for (Closeable peer : open) {
-      peer.close();
+    for (Closeable resource : resources) {
+      resource.close();
     }
   }
 }
--- a/src/test/java/quotagateway/testing/GatewayProcess.java
+++ b/src/test/java/quotagateway/testing/GatewayProcess.java
@@ -13,26 +13,26 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** The real gateway as a process of its own, and what the system tells of it. */
+/** The gateway in a separate process, with the resource usage that /proc reports for it. */
 public final class GatewayProcess implements Closeable {
 
   private static final String DEPLOY_FILE = "deploy/balancer.toml";
 
-  /** The kernel's clock ticks in /proc/PID/stat. */
+  /** Length of a clock tick, the unit of processor time in /proc/PID/stat. */
   private static final double MS_PER_TICK = 10;
 
-  private static final int USER_TICKS = 13;
-  private static final int SYSTEM_TICKS = 14;
+  private static final int USER_TIME_FIELD = 13;
+  private static final int SYSTEM_TIME_FIELD = 14;
   private static final int KIB_PER_MIB = 1024;
 
   private final Process process;
 
   /**
-   * Starts it.
+   * Starts the process.
    *
-   * @param command by which; see {@link #commandOf} and {@link #deployedCommand}
-   * @param environment in addition to this process's own
-   * @param log what it writes, appended
+   * @param command command line; see {@link #commandOf} and {@link #deployedCommand}
+   * @param environment variables in addition to those of this process
+   * @param log file to which standard output and standard error are appended
    */
   public GatewayProcess(List<String> command, Map<String, String> environment, Path log)
       throws IOException {
@@ -45,24 +45,27 @@
     process = builder.start();
   }
 
-  /** Runs those classes, with this process's libraries and the options of the run line. */
+  /**
+   * Returns a command that runs the given classes with this process's libraries and the Java options
+   * of the deploy file's run line.
+   */
   public static List<String> commandOf(String programClasses, Path temporaryFolder)
       throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    command.addAll(options());
+    command.addAll(javaOptions());
     command.add("-Djava.io.tmpdir=" + temporaryFolder);
     command.add("-cp");
-    command.add(programClasses + File.pathSeparator + libraries());
+    command.add(programClasses + File.pathSeparator + libraryClassPath());
     command.addAll(List.of("quotagateway.Main", "serve"));
     return command;
   }
 
-  /** Runs the built jar by the deploy file's run line, whose folder is TMPDIR. */
+  /** Returns the run line of the deploy file, which runs the built jar from the folder TMPDIR. */
   public static List<String> deployedCommand() throws IOException {
     String line = runLine();
-    String quoted = line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'));
-    return List.of("sh", "-c", quoted.replace("\\\"", "\""));
+    String command = line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'));
+    return List.of("sh", "-c", command.replace("\\\"", "\""));
   }
 
   private static String runLine() throws IOException {
@@ -72,15 +75,15 @@
         .orElseThrow(() -> new IOException(DEPLOY_FILE + " has no run line"));
   }
 
-  /** The options of the run line, but for those that name files of a deployed copy. */
-  private static List<String> options() throws IOException {
+  /** Returns the Java options of the run line, except those that name files of a deployment. */
+  private static List<String> javaOptions() throws IOException {
     return Arrays.stream(runLine().split(" "))
         .filter(word -> word.startsWith("-X") || word.startsWith("-D"))
         .filter(word -> !word.contains("SharedArchiveFile") && !word.contains("tmpdir"))
         .toList();
   }
 
-  private static String libraries() {
+  private static String libraryClassPath() {
     return Arrays.stream(System.getProperty("java.class.path").split(File.pathSeparator))
         .filter(path -> path.endsWith(".jar"))
         .collect(Collectors.joining(File.pathSeparator));
@@ -90,17 +93,17 @@
     return process.isAlive();
   }
 
-  /** The exit status of a process that has ended; 128 and the number for one that was killed. */
+  /** Returns the exit status of the ended process: 128 plus the signal number if a signal ended it. */
   public int exitStatus() {
     return process.exitValue();
   }
 
-  /** Waits for its end; false where it has not ended by then. */
+  /** Waits for the process to end and returns whether it ended within the timeout. */
   public boolean awaitEnd(long timeoutMs) throws InterruptedException {
     return process.waitFor(timeoutMs, TimeUnit.MILLISECONDS);
   }
 
-  /** Sends a signal, such as TERM; one that has ended gets none. */
+  /** Sends a signal, such as TERM; does nothing if the process has ended. */
   public void signal(String name) throws IOException, InterruptedException {
     new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid())
         .redirectErrorStream(true)
@@ -109,45 +112,45 @@
         .waitFor();
   }
 
-  /** Processor time of the process until now, in milliseconds, to a hundredth of a second. */
+  /** Returns the processor time used so far in milliseconds, with a resolution of 10 ms. */
   public double cpuMs() throws IOException {
-    String stat = Files.readString(proc("stat"));
+    String stat = Files.readString(procFile("stat"));
     String[] fields = stat.substring(stat.lastIndexOf(')')).split(" ", -1);
-    // The name, which may hold spaces, and the number before it are cut off.
+    // Starts at the end of the command name: the name may contain spaces, which would shift fields.
     return MS_PER_TICK
-        * (Long.parseLong(fields[USER_TICKS - 1]) + Long.parseLong(fields[SYSTEM_TICKS - 1]));
+        * (Long.parseLong(fields[USER_TIME_FIELD - 1]) + Long.parseLong(fields[SYSTEM_TIME_FIELD - 1]));
   }
 
-  /** The most memory that it had at a time, in MiB. */
+  /** Returns the peak resident memory in MiB. */
   public double peakMemoryMb() throws IOException {
-    return statusFigure("VmHWM") / KIB_PER_MIB;
+    return statusValue("VmHWM") / KIB_PER_MIB;
   }
 
-  /** Threads that it has. */
+  /** Returns the number of threads. */
   public int threads() throws IOException {
-    return (int) statusFigure("Threads");
+    return (int) statusValue("Threads");
   }
 
-  /** Descriptors that it has open. */
+  /** Returns the number of open descriptors. */
   public int descriptors() throws IOException {
-    try (Stream<Path> open = Files.list(proc("fd"))) {
+    try (Stream<Path> open = Files.list(procFile("fd"))) {
       return (int) open.count();
     }
   }
 
-  private double statusFigure(String name) throws IOException {
-    return Files.readAllLines(proc("status")).stream()
+  private double statusValue(String name) throws IOException {
+    return Files.readAllLines(procFile("status")).stream()
         .filter(line -> line.startsWith(name + ":"))
         .mapToDouble(line -> Double.parseDouble(line.replaceAll("[^0-9]", "")))
         .findFirst()
         .orElse(Double.NaN);
   }
 
-  private Path proc(String file) {
+  private Path procFile(String file) {
     return Path.of("/proc", Long.toString(process.pid()), file);
   }
 
-  /** Kills it, and waits until it is gone. */
+  /** Kills the process and waits up to 10 s for its end. */
   @Override
   public void close() {
     process.destroyForcibly();
--- a/src/test/java/quotagateway/testing/HttpMessage.java
+++ b/src/test/java/quotagateway/testing/HttpMessage.java
@@ -8,10 +8,11 @@
 import java.util.Locale;
 
 /**
- * A request or response as it came over the wire.
+ * An HTTP request or response as received from the connection.
  *
- * @param head the first line and the headers, each with its line end
- * @param body the body, without chunks; messages are not compared, so an array does
+ * @param head the first line and the headers, each with its line terminator
+ * @param body the body without chunk framing; an array is acceptable because messages are never
+ *     compared
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record HttpMessage(String head, byte[] body) {
@@ -21,7 +22,7 @@
   /**
    * Reads one message.
    *
-   * @throws EOFException where the connection ends before the message is complete
+   * @throws EOFException if the connection ends before the message is complete
    */
   public static HttpMessage read(InputStream in) throws IOException {
     HttpMessage headOnly = new HttpMessage(readHead(in), NO_BODY);
@@ -48,7 +49,7 @@
   private static byte[] readBody(InputStream in, int length) throws IOException {
     byte[] body = in.readNBytes(length);
     if (body.length < length) {
-      throw new EOFException("body was cut");
+      throw new EOFException("body is truncated");
     }
     return body;
   }
@@ -59,13 +60,13 @@
     while (size > 0) {
       byte[] chunk = in.readNBytes(size);
       if (chunk.length < size || !TextStreams.readLine(in).isEmpty()) {
-        throw new EOFException("chunk was cut");
+        throw new EOFException("chunk is truncated");
       }
       body.write(chunk);
       size = readChunkSize(in);
     }
     while (!TextStreams.readLine(in).isEmpty()) {
-      // A trailer.
+      // Skips a trailer field.
     }
     return body.toByteArray();
   }
@@ -74,27 +75,27 @@
     return Integer.parseInt(TextStreams.readLine(in), 16);
   }
 
-  /** The request line or status line. */
+  /** Returns the request line or status line. */
   public String firstLine() {
     return head.substring(0, head.indexOf("\r\n"));
   }
 
-  /** The status of a response. */
+  /** Returns the status code of a response. */
   public int status() {
     return Integer.parseInt(head.split(" ", 3)[1]);
   }
 
-  /** The value of the first header of a name, or null. */
+  /** Returns the value of the first header with this name, or null if there is none. */
   public String header(String name) {
-    String start = name.toLowerCase(Locale.ROOT) + ":";
+    String prefix = name.toLowerCase(Locale.ROOT) + ":";
     return head.lines()
-        .filter(line -> line.toLowerCase(Locale.ROOT).startsWith(start))
+        .filter(line -> line.toLowerCase(Locale.ROOT).startsWith(prefix))
         .map(line -> line.substring(name.length() + 1).trim())
         .findFirst()
         .orElse(null);
   }
 
-  /** The body, a character for each byte. */
+  /** Returns the body decoded as ISO-8859-1. */
   public String text() {
     return new String(body, StandardCharsets.ISO_8859_1);
   }
--- a/src/test/java/quotagateway/testing/LogCapture.java
+++ b/src/test/java/quotagateway/testing/LogCapture.java
@@ -8,32 +8,32 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Keeps what a class logs, from a level up, from its creation until it is closed. */
+/** Records the messages that a class logs at or above a level until the capture is closed. */
 public final class LogCapture implements AutoCloseable {
 
   private final List<String> messages = new CopyOnWriteArrayList<>();
   private final Logger logger;
-  private final Handler handler = new KeepingHandler();
+  private final Handler handler = new RecordingHandler();
   private volatile Consumer<String> listener = message -> {};
 
-  /** Keeps warnings and errors. */
+  /** Records messages at {@link Level#WARNING} and above. */
   public LogCapture(Class<?> source) {
     this(source, Level.WARNING);
   }
 
-  /** Keeps messages of the lowest level and above. */
-  public LogCapture(Class<?> source, Level lowest) {
-    handler.setLevel(lowest);
+  /** Records messages at the given level and above. */
+  public LogCapture(Class<?> source, Level level) {
+    handler.setLevel(level);
     logger = Logger.getLogger(source.getName());
     logger.addHandler(handler);
   }
 
-  /** What was logged so far. */
+  /** Returns the messages logged so far. */
   public List<String> messages() {
     return List.copyOf(messages);
   }
 
-  /** Has the listener get each message as it is logged, on the thread that logs it. */
+  /** Sets the listener that receives each message on the thread that logs it. */
   public void onMessage(Consumer<String> newListener) {
     listener = newListener;
   }
@@ -43,13 +43,13 @@
     logger.removeHandler(handler);
   }
 
-  private final class KeepingHandler extends Handler {
+  private final class RecordingHandler extends Handler {
 
     @Override
-    public void publish(LogRecord line) {
-      if (isLoggable(line)) {
-        messages.add(line.getMessage());
-        listener.accept(line.getMessage());
+    public void publish(LogRecord logRecord) {
+      if (isLoggable(logRecord)) {
+        messages.add(logRecord.getMessage());
+        listener.accept(logRecord.getMessage());
       }
     }
 
--- a/src/test/java/quotagateway/testing/ScriptedServer.java
+++ b/src/test/java/quotagateway/testing/ScriptedServer.java
@@ -14,50 +14,51 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Listens on a loopback port of its own and runs a script for each connection, on a thread each.
+ * A server on an ephemeral loopback port that runs a script for each connection, each on its own
+ * thread.
  */
 public final class ScriptedServer implements Closeable {
 
-  private final ServerSocket listening;
+  private final ServerSocket serverSocket;
   private final Script script;
-  private final List<Socket> accepted = new CopyOnWriteArrayList<>();
+  private final List<Socket> connections = new CopyOnWriteArrayList<>();
 
-  /** What the server does with a connection, which stays open when the script returns. */
+  /** Handles a connection, which stays open when the script returns. */
   public interface Script {
     void run(InputStream in, OutputStream out, Socket socket) throws IOException;
   }
 
-  private interface Work {
+  private interface IoTask {
     void run() throws IOException;
   }
 
   /**
-   * Begins to listen.
+   * Starts listening.
    *
-   * @param backlog how many connections the kernel holds that are not accepted yet
+   * @param backlog maximum number of connections that the kernel queues before they are accepted
    */
   public ScriptedServer(int backlog, Script script) {
     this.script = script;
     try {
-      listening = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
+      serverSocket = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    startThread(this::accept);
+    startThread(this::acceptConnections);
   }
 
   public int port() {
-    return listening.getLocalPort();
+    return serverSocket.getLocalPort();
   }
 
   public InetSocketAddress address() {
-    return (InetSocketAddress) listening.getLocalSocketAddress();
+    return (InetSocketAddress) serverSocket.getLocalSocketAddress();
   }
 
-  private void accept() throws IOException {
+  private void acceptConnections() throws IOException {
     while (true) {
-      Socket socket = listening.accept();
-      accepted.add(socket);
+      Socket socket = serverSocket.accept();
+      connections.add(socket);
       startThread(() -> serve(socket));
     }
   }
@@ -66,29 +67,29 @@
     script.run(new BufferedInputStream(socket.getInputStream()), socket.getOutputStream(), socket);
   }
 
-  private static void startThread(Work work) {
+  private static void startThread(IoTask task) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                work.run();
+                task.run();
               } catch (IOException e) {
-                // The other side, or the end of the test, closed the socket.
+                // The peer or the end of the test closed the socket.
               }
             });
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Refuses new connections from now on; those that it has stay open. */
+  /** Stops accepting connections; established connections stay open. */
   public void stopListening() throws IOException {
-    listening.close();
+    serverSocket.close();
   }
 
   @Override
   public void close() throws IOException {
-    listening.close();
-    for (Socket socket : accepted) {
+    serverSocket.close();
+    for (Socket socket : connections) {
       socket.close();
     }
   }
--- a/src/test/java/quotagateway/testing/TestClient.java
+++ b/src/test/java/quotagateway/testing/TestClient.java
@@ -8,7 +8,7 @@
 import java.net.Socket;
 import java.net.SocketException;
 
-/** Stands for a client, on one connection. */
+/** An HTTP client on a single connection. */
 public final class TestClient implements Closeable {
 
   private static final int READ_TIMEOUT_MS = 10_000;
@@ -36,12 +36,12 @@
     return receive();
   }
 
-  /** Reads all that follows up to the end of the connection; gives how many bytes it was. */
+  /** Reads until the connection ends and returns the number of bytes read. */
   public int rest() throws IOException {
     return in.readAllBytes().length;
   }
 
-  /** True when nothing more comes and the connection ends. */
+  /** Waits for input and returns whether the connection ended without further bytes. */
   public boolean ended() throws IOException {
     try {
       return in.read() < 0;
--- a/src/test/java/quotagateway/testing/TestLatches.java
+++ b/src/test/java/quotagateway/testing/TestLatches.java
@@ -3,14 +3,14 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** Holds a stand-in back until the test lets it go on. */
+/** Blocks a fake peer until the test releases it. */
 public final class TestLatches {
 
   private static final int TIMEOUT_S = 20;
 
   private TestLatches() {}
 
-  /** Waits for the latch, for 20 s at most. */
+  /** Waits for the latch for up to 20 s. */
   public static void await(CountDownLatch latch) {
     try {
       latch.await(TIMEOUT_S, TimeUnit.SECONDS);
--- a/src/test/java/quotagateway/testing/TestRequests.java
+++ b/src/test/java/quotagateway/testing/TestRequests.java
@@ -1,11 +1,11 @@
 package quotagateway.testing;
 
-/** Requests of one customer in their wire form. */
+/** Builds requests of one customer in their wire format. */
 public final class TestRequests {
 
   private TestRequests() {}
 
-  /** An idempotent request, without a body. */
+  /** Returns an idempotent request without a body. */
   public static String get(String id, int timeoutMs) {
     return "GET /quote/17?a=%20b&c HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: "
         + id
@@ -14,7 +14,7 @@
         + "\r\nX-Quota: units=2,spread=2,first=1\r\n\r\n";
   }
 
-  /** A request that is idempotent by its key, with a timeout of 3 s. */
+  /** Returns a request with an idempotency key, a body and a timeout of 3 s. */
   public static String post(String id, String body) {
     return "POST /buy/9 HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: "
         + id
--- a/src/test/java/quotagateway/testing/TextStreams.java
+++ b/src/test/java/quotagateway/testing/TextStreams.java
@@ -7,15 +7,16 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Text on the streams of a socket, a byte for each character. */
+/** Reads and writes text on socket streams in ISO-8859-1. */
 public final class TextStreams {
 
   private TextStreams() {}
 
   /**
-   * Writes text and flushes it.
+   * Writes text and flushes the stream.
    *
-   * @return true, for a {@link FakeBackend.Responder} that keeps its connection
+   * @return true, so that a {@link FakeBackend.Responder} can return the result to keep its
+   *     connection open
    */
   public static boolean write(OutputStream out, String text) throws IOException {
     out.write(text.getBytes(StandardCharsets.ISO_8859_1));
@@ -23,7 +24,7 @@
     return true;
   }
 
-  /** Reads up to the next line feed; gives the line without its end. */
+  /** Reads a line and returns it without its line terminator. */
   static String readLine(InputStream in) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     int next = in.read();
--- a/src/test/java/quotagateway/testing/WireFormats.java
+++ b/src/test/java/quotagateway/testing/WireFormats.java
@@ -13,31 +13,31 @@
 import quotagateway.policy.event.EndpointsUpdated;
 
 /**
- * The program's own reading of discovery's messages and writing of the counter's calls, opened for
- * the scale tests, which have no sockets. Nothing else of this package is used there.
+ * Exposes the gateway's decoder for discovery messages and its encoder for counter calls to the
+ * scale tests, most of which run without sockets.
  */
 public final class WireFormats {
 
   private WireFormats() {}
 
   /**
-   * Reads one message of discovery, as a watch does.
+   * Decodes one discovery message as a watch does.
    *
    * @param message one JSON object in UTF-8
-   * @throws IOException where a watch would end: malformed, without a list, or beyond a limit of
-   *     the reader
+   * @throws IOException if the message would end a watch: it is malformed, contains no list or
+   *     exceeds a limit of the reader
    */
   public static EndpointsUpdated readEndpointList(byte[] message) throws IOException {
-    List<EndpointUpdate> received = new ArrayList<>();
-    new EndpointListReader(Integer.MAX_VALUE, received::add).read(message);
-    if (received.size() != 1) {
-      throw new IOException("not one complete message");
+    List<EndpointUpdate> updates = new ArrayList<>();
+    new EndpointListReader(Integer.MAX_VALUE, updates::add).read(message);
+    if (updates.size() != 1) {
+      throw new IOException("expected exactly one complete message");
     }
-    return new EndpointsUpdated(received.get(0).form(), received.get(0).endpoints());
+    return new EndpointsUpdated(updates.get(0).form(), updates.get(0).endpoints());
   }
 
   /**
-   * Parts a message into the fragments in which the program applies it, each in a task of its own.
+   * Splits a message into the fragments that the gateway applies in separate event-loop tasks.
    */
   public static List<EndpointsUpdated> fragments(EndpointsUpdated message) {
     Queue<Runnable> tasks = new ArrayDeque<>();
@@ -52,7 +52,7 @@
     return fragments;
   }
 
-  /** The line of one call to the counter, with its line end. */
+  /** Encodes a counter call as a line with its line terminator. */
   public static String encodeIncrement(IncrementCounter call) {
     return CounterLineCodec.encodeIncrement(call.counterName(), call.amount(), call.ttlMs());
   }
