--- a/src/test/java/quotagateway/scale/BackendModel.java
+++ b/src/test/java/quotagateway/scale/BackendModel.java
@@ -3,85 +3,98 @@
 import java.util.SplittableRandom;
 import quotagateway.policy.event.Status;
 
-/** A stand-in for one backend: one core, a queue of bounded length, exponential service times. */
+/** A model of one backend: one core, a bounded queue and exponential service times. */
 final class BackendModel {
 
-  /** DIED: its process is gone and connections are refused. VANISHED: nothing is said any more. */
+  /**
+   * State of the backend. CRASHED: the process has ended and connections are refused. UNRESPONSIVE:
+   * connection attempts time out and no response arrives.
+   */
   enum Health {
     UP,
-    DIED,
-    VANISHED
+    CRASHED,
+    UNRESPONSIVE
   }
 
-  /** How an attempt ends, and when, counted from its start. */
-  record Ending(Status status, double afterMs) {}
+  /** The result of an attempt and the time from its start to its end. */
+  record Outcome(Status status, double afterMs) {}
 
-  private static final double DIAL_LIMIT_MS = 250;
+  private static final double CONNECT_TIMEOUT_MS = 250;
   private static final double ROUND_TRIP_MS = 0.6;
   private static final double MAX_QUEUED_MS = 1_000;
 
-  /** Capacity at the start, as a part of that of a warm one, and the time until it is warm. */
-  private static final double COLD_FROM = 0.25;
+  /** Capacity right after the start, as a fraction of the capacity when warm. */
+  private static final double COLD_CAPACITY = 0.25;
 
-  private static final double COLD_MS = 10_000;
+  private static final double WARM_UP_MS = 10_000;
 
   private final double serviceMs;
   private final SplittableRandom random;
   private final double startedMs;
   private Health health = Health.UP;
   private double freeAtMs;
-  private double diesAtMs = Double.POSITIVE_INFINITY;
+  private double failedAtMs = Double.POSITIVE_INFINITY;
 
-  /** One that started at that time, 0 for long ago. */
+  /**
+   * Creates a backend.
+   *
+   * @param serviceMs mean service time when warm
+   * @param startedMs start time, or 0 for a backend that is already warm
+   * @param random source of the service times
+   */
   BackendModel(double serviceMs, double startedMs, SplittableRandom random) {
     this.serviceMs = serviceMs;
     this.startedMs = startedMs;
     this.random = random;
   }
 
-  void fail(Health how, double nowMs) {
-    health = how;
-    diesAtMs = nowMs;
+  void fail(Health newHealth, double nowMs) {
+    health = newHealth;
+    failedAtMs = nowMs;
   }
 
-  /** Comes back as it was, from a cut. */
-  void heal() {
+  /** Makes the backend reachable again, with its queue unchanged. */
+  void recover() {
     health = Health.UP;
-    diesAtMs = Double.POSITIVE_INFINITY;
+    failedAtMs = Double.POSITIVE_INFINITY;
   }
 
   boolean up() {
     return health == Health.UP;
   }
 
-  /** Takes an attempt that lasts no longer than its limit. */
-  Ending attempt(double nowMs, double limitMs) {
+  /** Starts an attempt that ends within its timeout, and returns its planned outcome. */
+  Outcome attempt(double nowMs, double timeoutMs) {
     if (health != Health.UP) {
-      double after = health == Health.DIED ? ROUND_TRIP_MS : DIAL_LIMIT_MS;
-      return new Ending(Status.CONNECT_FAILED, Math.min(after, limitMs));
+      double latencyMs = health == Health.CRASHED ? ROUND_TRIP_MS : CONNECT_TIMEOUT_MS;
+      return new Outcome(Status.CONNECT_FAILED, Math.min(latencyMs, timeoutMs));
     }
     double queuedMs = Math.max(0, freeAtMs - nowMs);
     if (queuedMs > MAX_QUEUED_MS) {
-      return new Ending(Status.REJECTED, ROUND_TRIP_MS);
+      return new Outcome(Status.REJECTED, ROUND_TRIP_MS);
     }
-    double warm =
+    double capacity =
         startedMs <= 0
             ? 1
-            : Math.min(1, COLD_FROM + (1 - COLD_FROM) * (nowMs - startedMs) / COLD_MS);
-    double work = -Math.log(1 - random.nextDouble()) * serviceMs / warm;
-    freeAtMs = nowMs + queuedMs + work;
-    double after = queuedMs + work + ROUND_TRIP_MS;
-    return after > limitMs ? new Ending(Status.TIMED_OUT, limitMs) : new Ending(Status.OK, after);
+            : Math.min(1, COLD_CAPACITY + (1 - COLD_CAPACITY) * (nowMs - startedMs) / WARM_UP_MS);
+    double serviceTimeMs = -Math.log(1 - random.nextDouble()) * serviceMs / capacity;
+    freeAtMs = nowMs + queuedMs + serviceTimeMs;
+    double latencyMs = queuedMs + serviceTimeMs + ROUND_TRIP_MS;
+    return latencyMs > timeoutMs
+        ? new Outcome(Status.TIMED_OUT, timeoutMs)
+        : new Outcome(Status.OK, latencyMs);
   }
 
   /**
-   * What an ending comes to when its moment has come: nothing answers out of a backend that went.
+   * Returns the outcome of an attempt at its planned end: a planned success becomes a failure if
+   * the backend failed in between.
    */
-  Ending revised(Ending planned, double begunMs) {
-    boolean diedMeanwhile = diesAtMs >= begunMs && diesAtMs < begunMs + planned.afterMs();
-    if (planned.status() != Status.OK || !diedMeanwhile) {
+  Outcome actualOutcome(Outcome planned, double startMs) {
+    boolean failedMeanwhile = failedAtMs >= startMs && failedAtMs < startMs + planned.afterMs();
+    if (planned.status() != Status.OK || !failedMeanwhile) {
       return planned;
     }
-    return new Ending(health == Health.DIED ? Status.RESET : Status.TIMED_OUT, planned.afterMs());
+    return new Outcome(
+        health == Health.CRASHED ? Status.RESET : Status.TIMED_OUT, planned.afterMs());
   }
 }
--- a/src/test/java/quotagateway/scale/BackendSweep.java
+++ b/src/test/java/quotagateway/scale/BackendSweep.java
@@ -18,12 +18,12 @@
 import quotagateway.testing.WireFormats;
 
 /**
- * What the decision module pays for the length of its list: for a change, a lost zone, and to hold
- * it.
+ * Measures how the cost of the policy grows with the length of its endpoint list: memory, and the
+ * time to process a change, the loss of a zone and a request.
  */
 final class BackendSweep implements Sweep {
 
-  /** Gateways of the target, by which the module sizes its subset. */
+  /** Number of gateways in the target; the policy sizes its subset of backends by it. */
   private static final int GATEWAYS = 2_000;
 
   private static final int MAX_CHANGES = 300;
@@ -32,16 +32,19 @@
   private static final int MAX_REQUESTS = 20_000;
   private static final int CUSTOMERS = 500;
 
-  /** Backends held together when their heap is measured: enough that nothing else matters. */
-  private static final int MIN_HELD = 100_000;
+  /**
+   * Minimum number of endpoints held for the heap measurement, so that other memory is negligible.
+   */
+  private static final int MIN_ENDPOINTS_HELD = 100_000;
 
   /**
-   * The module asks by this timer for a further turn, in which it removes more of those that left.
+   * Timer with which the policy requests another turn of the event loop to remove more endpoints
+   * that are no longer listed.
    */
-  private static final Timer SWEEP = Timer.ENDPOINT_SWEEP;
+  private static final Timer SWEEP_TIMER = Timer.ENDPOINT_SWEEP;
 
-  /** Entries of one message: less than the reader takes at once. */
-  private static final int MESSAGE = 5_000;
+  /** Entries per message, below the reader's limit. */
+  private static final int MAX_ENTRIES_PER_MESSAGE = 5_000;
 
   @Override
   public String name() {
@@ -66,66 +69,74 @@
   private void measure(Measurement.Subject subject, int size, Plan plan, Report report)
       throws IOException {
     EndpointListModel model = new EndpointListModel(size, 7070, plan.seed());
-    GatewayPolicy[] copies =
-        new GatewayPolicy[Math.max(1, (plan.quick() ? MIN_HELD / 10 : MIN_HELD) / size)];
-    double[] firstMs = new double[copies.length];
-    long before = Stopwatch.liveHeap();
-    for (int i = 0; i < copies.length; i++) {
-      copies[i] = new GatewayPolicy(ScaleSettings.of(GATEWAYS, i), plan.seed());
-      copies[i].start(0);
-      firstMs[i] = fill(copies[i], model);
+    GatewayPolicy[] policies =
+        new GatewayPolicy
+            [Math.max(1, (plan.quick() ? MIN_ENDPOINTS_HELD / 10 : MIN_ENDPOINTS_HELD) / size)];
+    double[] firstListMs = new double[policies.length];
+    long initialHeap = Stopwatch.liveHeap();
+    for (int i = 0; i < policies.length; i++) {
+      policies[i] = new GatewayPolicy(ScaleSettings.of(GATEWAYS, i), plan.seed());
+      policies[i].start(0);
+      firstListMs[i] = loadList(policies[i], model);
     }
-    double heapEach = (Stopwatch.liveHeap() - before) / (double) copies.length / size;
-    report.add(Measurement.of(subject, size, "first_list_ms", firstMs));
+    double heapEach = (Stopwatch.liveHeap() - initialHeap) / (double) policies.length / size;
+    report.add(Measurement.of(subject, size, "first_list_ms", firstListMs));
     report.add(Measurement.of(subject, size, "heap_bytes_each", heapEach));
-    GatewayPolicy policy = copies[0];
-    copies = null;
-    double third = plan.secondsEach() / 3;
-    double[] changeMs = changes(policy, model, plan.quick() ? QUICK_CHANGES : MAX_CHANGES, third);
+    GatewayPolicy policy = policies[0];
+    policies = null;
+    double secondsPerMetric = plan.secondsEach() / 3;
+    double[] changeMs =
+        measureChanges(policy, model, plan.quick() ? QUICK_CHANGES : MAX_CHANGES, secondsPerMetric);
     report.add(Measurement.of(subject, size, "change_ms", changeMs));
-    report.add(Measurement.of(subject, size, "zone_hold_ms", zones(policy, model, third)));
-    report.add(Measurement.of(subject, size, "request_us", requests(policy, third)));
+    report.add(
+        Measurement.of(
+            subject, size, "zone_hold_ms", measureZoneLosses(policy, model, secondsPerMetric)));
+    report.add(
+        Measurement.of(subject, size, "request_us", measureRequests(policy, secondsPerMetric)));
   }
 
-  /** Reads the list in messages and hands it on; gives the processor time of both. */
-  private static double fill(GatewayPolicy policy, EndpointListModel model) throws IOException {
-    double spent = 0;
-    List<EndpointListModel.Change> all =
+  /** Decodes the list and passes it to the policy; returns the processor time of both. */
+  private static double loadList(GatewayPolicy policy, EndpointListModel model) throws IOException {
+    double spentMs = 0;
+    List<EndpointListModel.Change> changes =
         model.backends().stream()
-            .map(c -> new EndpointListModel.Change(c, EndpointState.SERVING))
+            .map(backend -> new EndpointListModel.Change(backend, EndpointState.SERVING))
             .toList();
     List<Endpoint> entries = new ArrayList<>();
-    for (int from = 0; from < all.size(); from += MESSAGE) {
-      List<EndpointListModel.Change> part = all.subList(from, Math.min(all.size(), from + MESSAGE));
-      byte[] message = model.changeMessage(part).getBytes(StandardCharsets.UTF_8);
-      double cpu = Stopwatch.cpuMs();
+    for (int from = 0; from < changes.size(); from += MAX_ENTRIES_PER_MESSAGE) {
+      List<EndpointListModel.Change> batch =
+          changes.subList(from, Math.min(changes.size(), from + MAX_ENTRIES_PER_MESSAGE));
+      byte[] message = model.deltaMessage(batch).getBytes(StandardCharsets.UTF_8);
+      double startCpuMs = Stopwatch.cpuMs();
       entries.addAll(WireFormats.readEndpointList(message).endpoints());
-      spent += Stopwatch.cpuMs() - cpu;
+      spentMs += Stopwatch.cpuMs() - startCpuMs;
     }
-    double cpu = Stopwatch.cpuMs();
+    double startCpuMs = Stopwatch.cpuMs();
     policy.on(1, new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, entries));
-    return spent + Stopwatch.cpuMs() - cpu;
+    return spentMs + Stopwatch.cpuMs() - startCpuMs;
   }
 
-  private double[] changes(GatewayPolicy policy, EndpointListModel model, int most, double seconds)
+  private double[] measureChanges(
+      GatewayPolicy policy, EndpointListModel model, int maxChanges, double seconds)
       throws IOException {
-    List<EndpointsUpdated> news = new ArrayList<>();
-    for (int i = 0; i < most / 3; i++) {
-      for (EndpointListModel.Change change : model.replaceOne(1 + i)) {
-        news.add(endpointList(model, List.of(change)));
+    List<EndpointsUpdated> updates = new ArrayList<>();
+    for (int i = 0; i < maxChanges / 3; i++) {
+      for (EndpointListModel.Change change : model.replaceRandomBackend(1 + i)) {
+        updates.add(deltaOf(model, List.of(change)));
       }
     }
-    int[] next = new int[1];
-    return Stopwatch.repeat(news.size(), seconds, () -> policy.on(2, news.get(next[0]++)));
+    int[] nextIndex = new int[1];
+    return Stopwatch.repeat(
+        updates.size(), seconds, () -> policy.on(2, updates.get(nextIndex[0]++)));
   }
 
-  private static EndpointsUpdated endpointList(
+  private static EndpointsUpdated deltaOf(
       EndpointListModel model, List<EndpointListModel.Change> changes) throws IOException {
     List<Endpoint> entries = new ArrayList<>();
-    for (int from = 0; from < changes.size(); from += MESSAGE) {
-      List<EndpointListModel.Change> part =
-          changes.subList(from, Math.min(changes.size(), from + MESSAGE));
-      String message = model.changeMessage(part);
+    for (int from = 0; from < changes.size(); from += MAX_ENTRIES_PER_MESSAGE) {
+      List<EndpointListModel.Change> batch =
+          changes.subList(from, Math.min(changes.size(), from + MAX_ENTRIES_PER_MESSAGE));
+      String message = model.deltaMessage(batch);
       entries.addAll(
           WireFormats.readEndpointList(message.getBytes(StandardCharsets.UTF_8)).endpoints());
     }
@@ -133,46 +144,51 @@
   }
 
   /**
-   * Zones go one after the other, each coming back before the next; the longest turn of the loop
-   * each.
+   * Removes and restores one zone after another, and returns for each zone the longest turn of the
+   * event loop during its removal.
    */
-  private static double[] zones(GatewayPolicy policy, EndpointListModel model, double seconds)
-      throws IOException {
-    double until = Stopwatch.wallMs() + 1000 * seconds;
+  private static double[] measureZoneLosses(
+      GatewayPolicy policy, EndpointListModel model, double seconds) throws IOException {
+    double endMs = Stopwatch.wallMs() + 1000 * seconds;
     double[] times = new double[MAX_ZONES];
     int done = 0;
     do {
-      EndpointsUpdated gone = endpointList(model, model.zone(done, EndpointState.REMOVED));
-      EndpointsUpdated back = endpointList(model, model.zone(done, EndpointState.SERVING));
-      times[done++] = longestTurn(policy, gone);
-      longestTurn(policy, back);
-    } while (done < MAX_ZONES && Stopwatch.wallMs() < until);
+      EndpointsUpdated removal = deltaOf(model, model.zoneChanges(done, EndpointState.REMOVED));
+      EndpointsUpdated restoration = deltaOf(model, model.zoneChanges(done, EndpointState.SERVING));
+      times[done++] = longestTurn(policy, removal);
+      longestTurn(policy, restoration);
+    } while (done < MAX_ZONES && Stopwatch.wallMs() < endMs);
     return Arrays.copyOf(times, done);
   }
 
-  /** Applies a message as the program does; gives the processor time of the longest turn. */
+  /** Applies a message as the gateway does; returns the processor time of the longest turn. */
   private static double longestTurn(GatewayPolicy policy, EndpointsUpdated message) {
     double longest = 0;
     List<Action> actions = new ArrayList<>();
-    for (EndpointsUpdated piece : WireFormats.fragments(message)) {
+    for (EndpointsUpdated fragment : WireFormats.fragments(message)) {
       longest =
-          Math.max(longest, Stopwatch.repeat(1, 0, () -> actions.addAll(policy.on(3, piece)))[0]);
+          Math.max(
+              longest, Stopwatch.repeat(1, 0, () -> actions.addAll(policy.on(3, fragment)))[0]);
     }
     while (actions.stream()
-        .anyMatch(action -> action instanceof ScheduleTimer wake && wake.timer().equals(SWEEP))) {
+        .anyMatch(
+            action ->
+                action instanceof ScheduleTimer schedule && schedule.timer().equals(SWEEP_TIMER))) {
       actions.clear();
       longest =
           Math.max(
               longest,
-              Stopwatch.repeat(1, 0, () -> actions.addAll(policy.on(4, new TimerFired(SWEEP))))[0]);
+              Stopwatch.repeat(
+                  1, 0, () -> actions.addAll(policy.on(4, new TimerFired(SWEEP_TIMER))))[0]);
     }
     return longest;
   }
 
   /**
-   * Whole requests: the call to the counter, the answer to it, the attempt, and the end of that.
+   * Measures complete requests: the counter call, its reply, the attempt and the end of the
+   * attempt.
    */
-  private static double[] requests(GatewayPolicy policy, double seconds) {
+  private static double[] measureRequests(GatewayPolicy policy, double seconds) {
     RequestCycle cycle = new RequestCycle(policy, 1_000, CUSTOMERS);
     int batch = MAX_REQUESTS / 40;
     double[] times =
@@ -184,8 +200,9 @@
                 cycle.serve(i % CUSTOMERS, 1);
               }
             });
-    if (cycle.refused() > cycle.served() / 10) {
-      throw new IllegalStateException(cycle.refused() + " refused, " + cycle.served() + " served");
+    if (cycle.rejected() > cycle.served() / 10) {
+      throw new IllegalStateException(
+          cycle.rejected() + " requests rejected, " + cycle.served() + " served");
     }
     return Arrays.stream(times).map(ms -> ms * 1000 / batch).toArray();
   }
--- a/src/test/java/quotagateway/scale/CounterCall.java
+++ b/src/test/java/quotagateway/scale/CounterCall.java
@@ -5,45 +5,51 @@
 import quotagateway.policy.event.Status;
 
 /**
- * One call of a hollow gateway, to its shard and back; it ends once, at its limit at the latest.
+ * One call of a simulated gateway to its counter shard. The call ends exactly once, no later than
+ * its timeout.
  */
-final class CounterCall implements CounterShard.Answer {
+final class CounterCall implements CounterShard.ReplyHandler {
 
   private static final double ONE_WAY_MS = 0.25;
 
-  private final HollowFleet fleet;
-  private final HollowGateway gateway;
-  private final IncrementCounter add;
-  private final double begunMs;
-  private boolean done;
+  private final SimulatedFleet fleet;
+  private final SimulatedGateway gateway;
+  private final IncrementCounter increment;
+  private final double startMs;
+  private boolean ended;
 
-  CounterCall(HollowFleet fleet, HollowGateway gateway, IncrementCounter add) {
+  CounterCall(SimulatedFleet fleet, SimulatedGateway gateway, IncrementCounter increment) {
     this.fleet = fleet;
     this.gateway = gateway;
-    this.add = add;
-    begunMs = fleet.now();
+    this.increment = increment;
+    startMs = fleet.now();
   }
 
-  void write(String line) {
-    FleetFigures figures = fleet.figures(HollowFleet.customer(add.counterName()));
+  void send(String line) {
+    FleetStatistics figures = fleet.figures(SimulatedFleet.customerOf(increment.counterName()));
     figures.counterCalls++;
     figures.counterBytes += line.length();
-    String call = line.stripTrailing();
-    fleet.time().at(begunMs + ScaleSettings.COUNT_LIMIT_MS, () -> end(Status.TIMED_OUT, 0));
-    if (fleet.reachesShard(gateway, add.counterName())) {
-      fleet.time().after(ONE_WAY_MS, () -> fleet.shard(add.counterName()).call(call, this));
+    String request = line.stripTrailing();
+    fleet
+        .time()
+        .scheduleAt(startMs + ScaleSettings.COUNTER_TIMEOUT_MS, () -> end(Status.TIMED_OUT, 0));
+    if (fleet.reachesShard(gateway, increment.counterName())) {
+      fleet
+          .time()
+          .scheduleAfter(
+              ONE_WAY_MS, () -> fleet.shard(increment.counterName()).call(request, this));
     }
   }
 
   @Override
-  public void line(String text) {
+  public void onReply(String text) {
     fleet
         .time()
-        .after(
+        .scheduleAfter(
             ONE_WAY_MS,
             () -> {
-              fleet.figures(HollowFleet.customer(add.counterName())).counterBytes +=
-                  done ? 0 : text.length() + 2;
+              fleet.figures(SimulatedFleet.customerOf(increment.counterName())).counterBytes +=
+                  ended ? 0 : text.length() + 2;
               if (text.startsWith("ok ")) {
                 end(Status.OK, Double.parseDouble(text.substring(3)));
               } else {
@@ -53,19 +59,20 @@
   }
 
   @Override
-  public void refused() {
+  public void onConnectionRefused() {
     end(Status.CONNECT_FAILED, 0);
   }
 
   @Override
-  public void cut() {
+  public void onReset() {
     end(Status.RESET, 0);
   }
 
   private void end(Status status, double total) {
-    if (!done) {
-      done = true;
-      gateway.counted(new CounterReplied(add.counterName(), status, total, fleet.now() - begunMs));
+    if (!ended) {
+      ended = true;
+      gateway.deliverReply(
+          new CounterReplied(increment.counterName(), status, total, fleet.now() - startMs));
     }
   }
 }
--- a/src/test/java/quotagateway/scale/CounterShard.java
+++ b/src/test/java/quotagateway/scale/CounterShard.java
@@ -5,92 +5,92 @@
 import java.util.Map;
 
 /**
- * A stand-in for one shard of the counter, by the published protocol: calls have their turn one
- * after the other, each costs the same time, and a queue that is too long turns calls away.
+ * A model of one shard of the counter that speaks the published protocol. The shard processes calls
+ * one at a time, each in the same time, and rejects calls when its queue is too long.
  */
 final class CounterShard {
 
-  /**
-   * How a shard may fail. SILENT: calls are lost and nothing is said. DOWN: connections are
-   * refused.
-   */
+  /** State of the shard. SILENT: calls are lost without a reply. DOWN: connections are refused. */
   enum Health {
     UP,
     SILENT,
     DOWN
   }
 
-  /** What becomes of a call; nothing of it is told while the shard is silent. */
-  interface Answer {
-    /** The answer's line, without its end. */
-    void line(String text);
+  /** Receives the outcome of a call; not invoked while the shard is silent. */
+  interface ReplyHandler {
+    /** Handles the line of the reply, without its line terminator. */
+    void onReply(String text);
 
-    /** The connection was refused, so nothing was added. */
-    void refused();
+    /** Handles a refused connection: the increment was not applied. */
+    void onConnectionRefused();
 
-    /** The connection ended after the call was written: it may have been added. */
-    void cut();
+    /** Handles a connection reset after the call was sent: the increment may have been applied. */
+    void onReset();
   }
 
-  private static final double LONGEST_LIFE_MS = 60_000;
+  private static final double MAX_TTL_MS = 60_000;
   private static final int MAX_NAME_BYTES = 64;
   private static final double MAX_AMOUNT = 1e9;
 
-  private record Count(double total, double untilMs) {}
+  private record Count(double total, double expiresMs) {}
 
   private final VirtualTime time;
   private final double callMs;
-  private final double longestQueueMs;
+  private final double maxQueuedMs;
   private final Map<String, Count> counts = new HashMap<>();
   private Health health = Health.UP;
   private double freeAtMs;
-  private int life;
+  private int incarnation;
   private long calls;
   private long bytes;
 
   /**
-   * A shard that takes callMs for each call, and turns away what would wait longer than
-   * longestQueueMs.
+   * Creates a shard.
+   *
+   * @param time virtual time on which the shard runs
+   * @param callMs processing time of each call
+   * @param maxQueuedMs maximum time a call may wait; calls that would wait longer are rejected
    */
-  CounterShard(VirtualTime time, double callMs, double longestQueueMs) {
+  CounterShard(VirtualTime time, double callMs, double maxQueuedMs) {
     this.time = time;
     this.callMs = callMs;
-    this.longestQueueMs = longestQueueMs;
+    this.maxQueuedMs = maxQueuedMs;
   }
 
   long calls() {
     return calls;
   }
 
-  /** Bytes of the calls and of their answers. */
+  /** Returns the bytes of all calls and replies so far. */
   long bytes() {
     return bytes;
   }
 
-  /** Names whose life has not run out. */
+  /** Removes expired names and returns the number of the others. */
   int names() {
-    counts.values().removeIf(count -> count.untilMs <= time.now());
+    counts.values().removeIf(count -> count.expiresMs <= time.now());
     return counts.size();
   }
 
-  void fail(Health how) {
-    health = how;
-    life++;
+  void fail(Health newHealth) {
+    health = newHealth;
+    incarnation++;
   }
 
-  /** Comes back, with the counts that it had or with none. */
-  void restart(boolean keepsCounts) {
+  /** Restarts the shard, with its counts kept or cleared. */
+  void restart(boolean keepCounts) {
     health = Health.UP;
     freeAtMs = time.now();
-    if (!keepsCounts) {
+    if (!keepCounts) {
       counts.clear();
     }
   }
 
-  /** Takes one line, without its end, at the present moment. */
-  void call(String line, Answer answer) {
+  /** Receives one call, a line without its line terminator, at the current virtual time. */
+  void call(String line, ReplyHandler handler) {
     if (health == Health.DOWN) {
-      answer.refused();
+      handler.onConnectionRefused();
       return;
     }
     if (health == Health.SILENT) {
@@ -99,61 +99,61 @@
     calls++;
     bytes += line.length() + 2;
     double waitMs = Math.max(0, freeAtMs - time.now());
-    if (waitMs > longestQueueMs) {
-      reply("busy", answer);
+    if (waitMs > maxQueuedMs) {
+      reply("busy", handler);
       return;
     }
     freeAtMs = time.now() + waitMs + callMs;
-    int begun = life;
-    time.at(
+    int callIncarnation = incarnation;
+    time.scheduleAt(
         freeAtMs,
         () -> {
-          if (life != begun) {
-            lost(answer);
+          if (incarnation != callIncarnation) {
+            handleFailure(handler);
           } else {
-            reply(add(line), answer);
+            reply(increment(line), handler);
           }
         });
   }
 
-  private void lost(Answer answer) {
+  private void handleFailure(ReplyHandler handler) {
     if (health == Health.DOWN) {
-      answer.cut();
+      handler.onReset();
     }
   }
 
-  private void reply(String text, Answer answer) {
+  private void reply(String text, ReplyHandler handler) {
     bytes += text.length() + 2;
-    answer.line(text);
+    handler.onReply(text);
   }
 
-  private String add(String line) {
+  private String increment(String line) {
     String[] words = line.split(" ", -1);
     if (words.length != 4 || !words[0].equals("incr") || words[1].length() > MAX_NAME_BYTES) {
       return "error";
     }
     double amount;
-    double lifeMs;
+    double ttlMs;
     try {
       amount = Double.parseDouble(words[2]);
-      lifeMs = Math.min(LONGEST_LIFE_MS, Double.parseDouble(words[3]));
+      ttlMs = Math.min(MAX_TTL_MS, Double.parseDouble(words[3]));
     } catch (NumberFormatException e) {
       return "error";
     }
-    if (!(Math.abs(amount) <= MAX_AMOUNT) || !(lifeMs >= 1)) {
+    if (!(Math.abs(amount) <= MAX_AMOUNT) || !(ttlMs >= 1)) {
       return "error";
     }
-    Count before = counts.get(words[1]);
-    boolean fresh = before == null || before.untilMs <= time.now();
-    Count after =
-        fresh
-            ? new Count(amount, time.now() + lifeMs)
-            : new Count(before.total + amount, before.untilMs);
-    counts.put(words[1], after);
-    return "ok " + sevenDigits(after.total);
+    Count previous = counts.get(words[1]);
+    boolean isNew = previous == null || previous.expiresMs <= time.now();
+    Count updated =
+        isNew
+            ? new Count(amount, time.now() + ttlMs)
+            : new Count(previous.total + amount, previous.expiresMs);
+    counts.put(words[1], updated);
+    return "ok " + formatTotal(updated.total);
   }
 
-  private static String sevenDigits(double total) {
+  private static String formatTotal(double total) {
     return total == Math.rint(total) && Math.abs(total) < 1e7
         ? Long.toString((long) total)
         : String.format(Locale.ROOT, "%.7g", total);
--- a/src/test/java/quotagateway/scale/CounterShards.java
+++ b/src/test/java/quotagateway/scale/CounterShards.java
@@ -4,26 +4,26 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** The shards of the counter. */
+/** The shards of the counter and the assignment of customers to them. */
 final class CounterShards {
 
   private final List<CounterShard> shards;
 
-  CounterShards(int number, VirtualTime time, double callMs, double longestQueueMs) {
+  CounterShards(int shardCount, VirtualTime time, double callMs, double maxQueuedMs) {
     shards =
-        IntStream.range(0, number)
-            .mapToObj(i -> new CounterShard(time, callMs, longestQueueMs))
+        IntStream.range(0, shardCount)
+            .mapToObj(i -> new CounterShard(time, callMs, maxQueuedMs))
             .toList();
   }
 
   /**
-   * One of so many by the hash of a customer. The window of a count is no part of it, so that all
-   * of a customer's counts are together: while a shard is away, the same customers go without, and
-   * no others.
+   * Returns the index of a customer's shard by a hash of the customer. The window of a count is not
+   * part of the hash, so that one shard holds all counts of a customer and the failure of a shard
+   * always affects the same customers.
    */
-  static int spread(int customer, int among) {
+  static int indexFor(int customer, int shardCount) {
     int hash = customer * 0x9E3779B1;
-    return (int) (((hash & 0xFFFFFFFFL) * among) >>> 32);
+    return (int) (((hash & 0xFFFFFFFFL) * shardCount) >>> 32);
   }
 
   CounterShard get(int shard) {
@@ -42,7 +42,7 @@
     return shards.stream().mapToLong(CounterShard::bytes).sum();
   }
 
-  /** Calls of the busiest shard against the mean of all. */
+  /** Returns the calls of the busiest shard divided by the mean over all shards. */
   double imbalance() {
     long[] calls = shards.stream().mapToLong(CounterShard::calls).toArray();
     double mean = Arrays.stream(calls).average().orElse(0);
--- a/src/test/java/quotagateway/scale/CounterSweep.java
+++ b/src/test/java/quotagateway/scale/CounterSweep.java
@@ -3,30 +3,30 @@
 import java.util.SplittableRandom;
 
 /**
- * One shard's work for its calls, without sockets: reading a line, adding, and writing the answer;
- * and the memory of the names that it holds. The shard is the stand-in, so this is what a plain one
- * would need.
+ * Measures the processor time of a counter shard per call, without sockets (parsing a line,
+ * applying the increment and formatting the reply), and the memory of the names that the shard
+ * holds. The shard is {@link CounterShard}, so the figures are those of a plain implementation.
  */
 final class CounterSweep implements Sweep {
 
   private static final int BATCHES = 20;
-  private static final int BATCH = 50_000;
+  private static final int BATCH_SIZE = 50_000;
   private static final long FIRST_WINDOW = 72_000_000;
 
-  /** Takes answers and forgets them. */
-  private static final class Nobody implements CounterShard.Answer {
+  /** Ignores replies. */
+  private static final class IgnoringHandler implements CounterShard.ReplyHandler {
     @Override
-    public void line(String text) {
-      // Nobody waits for it.
+    public void onReply(String text) {
+      // The reply is not needed.
     }
 
     @Override
-    public void refused() {
+    public void onConnectionRefused() {
       throw new IllegalStateException("the shard is up");
     }
 
     @Override
-    public void cut() {
+    public void onReset() {
       throw new IllegalStateException("the shard is up");
     }
   }
@@ -47,15 +47,15 @@
       for (int i = 0; i < names; i++) {
         lines[i] =
             "incr "
-                + Long.toString(HollowFleet.customerNumber(i), 36)
+                + Long.toString(SimulatedFleet.customerNumber(i), 36)
                 + ':'
                 + (FIRST_WINDOW + i % 3)
                 + " 2 60000";
       }
-      CounterShard.Answer nobody = new Nobody();
-      long before = Stopwatch.liveHeap();
+      CounterShard.ReplyHandler handler = new IgnoringHandler();
+      long initialHeap = Stopwatch.liveHeap();
       for (String line : lines) {
-        shard.call(line, nobody);
+        shard.call(line, handler);
         time.runUntil(0);
       }
       report.add(
@@ -63,29 +63,34 @@
               subject,
               names,
               "heap_bytes_each",
-              Math.max(0, Stopwatch.liveHeap() - before) / (double) names));
+              Math.max(0, Stopwatch.liveHeap() - initialHeap) / (double) names));
       report.add(
-          Measurement.of(subject, names, "call_us", calls(shard, time, lines, nobody, plan)));
+          Measurement.of(
+              subject, names, "call_us", measureCalls(shard, time, lines, handler, plan)));
     }
     report.print(name());
   }
 
-  private static double[] calls(
-      CounterShard shard, VirtualTime time, String[] lines, CounterShard.Answer answer, Plan plan) {
+  private static double[] measureCalls(
+      CounterShard shard,
+      VirtualTime time,
+      String[] lines,
+      CounterShard.ReplyHandler handler,
+      Plan plan) {
     SplittableRandom random = new SplittableRandom(plan.seed());
-    int batch = plan.quick() ? BATCH / 50 : BATCH;
+    int batchSize = plan.quick() ? BATCH_SIZE / 50 : BATCH_SIZE;
     double[] times =
         Stopwatch.repeat(
             BATCHES,
             plan.secondsEach(),
             () -> {
-              for (int i = 0; i < batch; i++) {
-                shard.call(lines[random.nextInt(lines.length)], answer);
+              for (int i = 0; i < batchSize; i++) {
+                shard.call(lines[random.nextInt(lines.length)], handler);
                 time.runUntil(0);
               }
             });
     for (int i = 0; i < times.length; i++) {
-      times[i] *= 1000.0 / batch;
+      times[i] *= 1000.0 / batchSize;
     }
     return times;
   }
--- a/src/test/java/quotagateway/scale/DiscoveryModel.java
+++ b/src/test/java/quotagateway/scale/DiscoveryModel.java
@@ -6,13 +6,17 @@
 import java.util.SplittableRandom;
 
 /**
- * A stand-in for discovery with an agent beside each gateway, on virtual time: changes reach each
- * agent after a delay of its own. It may fall silent, tell late, or tell only a part of a change
- * until the next.
+ * A model of discovery on virtual time, with one agent per gateway. Changes reach each agent after
+ * a random delay. Discovery can fall silent, publish late, or withhold part of the changes until
+ * the next publication.
  */
 final class DiscoveryModel {
 
-  /** SILENT: nothing is told, and all of it at once on the return. */
+  /**
+   * State of discovery. SILENT: nothing is published until recovery, and then all changes at once.
+   * LATE: messages have an additional delay. PARTIAL: only half of the pending changes are
+   * published.
+   */
   enum Health {
     UP,
     SILENT,
@@ -24,57 +28,58 @@
   private static final double MAX_DELAY_MS = 500;
   private static final double LATE_MS = 4_000;
 
-  /** After a silence longer than so many changes the whole list is told. */
-  private static final int MAX_MISSED = 1_000;
+  /** With more pending changes than this at recovery, the complete list is published instead. */
+  private static final int MAX_PENDING_CHANGES = 1_000;
 
-  private final HollowFleet fleet;
+  private final SimulatedFleet fleet;
   private final EndpointListModel endpointList;
   private final SplittableRandom random;
-  private final List<EndpointListModel.Change> missed = new ArrayList<>();
+  private final List<EndpointListModel.Change> pending = new ArrayList<>();
   private Health health = Health.UP;
 
-  DiscoveryModel(HollowFleet fleet, EndpointListModel endpointList, SplittableRandom random) {
+  DiscoveryModel(SimulatedFleet fleet, EndpointListModel endpointList, SplittableRandom random) {
     this.fleet = fleet;
     this.endpointList = endpointList;
     this.random = random;
   }
 
-  /** Tells all gateways, as its health allows. */
-  void tell(List<EndpointListModel.Change> changes) {
-    missed.addAll(changes);
+  /** Publishes changes, and those still pending, to all gateways as the state allows. */
+  void announce(List<EndpointListModel.Change> changes) {
+    pending.addAll(changes);
     if (health == Health.SILENT) {
       return;
     }
-    int told = health == Health.PARTIAL ? (missed.size() + 1) / 2 : missed.size();
-    publish(endpointList.changeMessage(List.copyOf(missed.subList(0, told))));
-    missed.subList(0, told).clear();
+    int publishedCount = health == Health.PARTIAL ? (pending.size() + 1) / 2 : pending.size();
+    publish(endpointList.deltaMessage(List.copyOf(pending.subList(0, publishedCount))));
+    pending.subList(0, publishedCount).clear();
   }
 
-  void become(Health next) {
-    boolean returns = health != Health.UP && next == Health.UP;
-    health = next;
-    if (returns && missed.size() > MAX_MISSED) {
-      missed.clear();
-      publish(endpointList.wholeMessage());
-    } else if (returns && !missed.isEmpty()) {
-      tell(List.of());
+  void setHealth(Health newHealth) {
+    boolean recovers = health != Health.UP && newHealth == Health.UP;
+    health = newHealth;
+    if (recovers && pending.size() > MAX_PENDING_CHANGES) {
+      pending.clear();
+      publish(endpointList.snapshotMessage());
+    } else if (recovers && !pending.isEmpty()) {
+      announce(List.of());
     }
   }
 
   private void publish(String message) {
     byte[] bytes = message.getBytes(StandardCharsets.UTF_8);
-    double more = health == Health.LATE ? LATE_MS : 0;
-    for (HollowGateway gateway : fleet.gateways()) {
-      double delay = more + MIN_DELAY_MS + (MAX_DELAY_MS - MIN_DELAY_MS) * random.nextDouble();
+    double extraDelayMs = health == Health.LATE ? LATE_MS : 0;
+    for (SimulatedGateway gateway : fleet.gateways()) {
+      double delayMs =
+          extraDelayMs + MIN_DELAY_MS + (MAX_DELAY_MS - MIN_DELAY_MS) * random.nextDouble();
       fleet
           .time()
-          .after(
-              delay,
+          .scheduleAfter(
+              delayMs,
               () -> {
-                FleetFigures figures = fleet.figures(0);
+                FleetStatistics figures = fleet.figures(0);
                 figures.endpointListMessages++;
                 figures.endpointListBytes += bytes.length;
-                gateway.endpointList(bytes);
+                gateway.receiveEndpointList(bytes);
               });
     }
   }
--- a/src/test/java/quotagateway/scale/EndpointListModel.java
+++ b/src/test/java/quotagateway/scale/EndpointListModel.java
@@ -10,23 +10,23 @@
 import quotagateway.endpoint.EndpointState;
 import quotagateway.testing.WireFormats;
 
-/** The list of backends as discovery holds it, and the ways in which it changes. */
+/** A model of the endpoint list that discovery holds, with its changes and its messages. */
 final class EndpointListModel {
 
-  /** Zones of the target; backends are spread over them evenly. */
+  /** Number of zones in the target; backends are distributed evenly over them. */
   static final int ZONES = 19;
 
-  /** Backends of one cell, all in one zone: a handful. */
+  /** Backends per cell; all of them are in one zone. */
   private static final int CELL_SIZE = 4;
 
   private final SplittableRandom random;
   private final List<Backend> backends = new ArrayList<>();
   private final int port;
   private long version = 1;
-  private int named;
+  private int nextNumber;
 
-  /** One backend of the list; a restarted or replaced one is another record. */
-  record Backend(String name, int number, int zone, long startedMs, long id, long place) {
+  /** One backend of the list; its replacement is a separate record. */
+  record Backend(String name, int number, int zone, long startedMs, long id, long address) {
     String zoneName() {
       return "z" + zone;
     }
@@ -36,28 +36,28 @@
     }
   }
 
-  /** A list of that size; all backends listen at the port, each on an address of its own. */
+  /** Creates a list of backends that listen on the same port, each on a separate address. */
   EndpointListModel(int size, int port, long seed) {
     this.random = new SplittableRandom(seed);
     this.port = port;
     for (int i = 0; i < size; i++) {
-      int number = named++;
-      backends.add(next(number, number % ZONES, 0));
+      int number = nextNumber++;
+      backends.add(createBackend(number, number % ZONES, 0));
     }
   }
 
-  private Backend next(int number, int zone, long startedMs) {
-    Backend unnumbered =
+  private Backend createBackend(int number, int zone, long startedMs) {
+    Backend unresolved =
         new Backend(String.format("s-%08x", number * 0x9E3779B1), number, zone, startedMs, 0, 0);
-    Endpoint read = read(unnumbered);
-    return new Backend(unnumbered.name, number, zone, startedMs, read.id(), read.address());
+    Endpoint decoded = decode(unresolved);
+    return new Backend(unresolved.name, number, zone, startedMs, decoded.id(), decoded.address());
   }
 
   /**
-   * With the numbers that the program makes of the name and of the address, told by the program
-   * itself.
+   * Decodes the entry of a backend with the gateway's reader, which derives the numeric id and
+   * address.
    */
-  private Endpoint read(Backend backend) {
+  private Endpoint decode(Backend backend) {
     String text = message(false, List.of(new Change(backend, EndpointState.SERVING)));
     try {
       return WireFormats.readEndpointList(text.getBytes(StandardCharsets.UTF_8)).endpoints().get(0);
@@ -78,43 +78,59 @@
     return version;
   }
 
-  /** One change of an entry, in the order in which discovery tells them. */
-  record Change(Backend backend, EndpointState phase) {}
+  /** A change of one entry. */
+  record Change(Backend backend, EndpointState state) {}
 
-  /** One backend drains, leaves, and another takes its place in its zone: three changes. */
-  List<Change> replaceOne(long nowMs) {
-    int place = random.nextInt(backends.size());
-    Backend old = backends.get(place);
-    Backend replacement = next(named++, old.zone(), nowMs);
-    backends.set(place, replacement);
+  /**
+   * Replaces a random backend by another in the same zone. Returns the three changes in order: the
+   * old backend drains, the old backend is removed, the replacement serves.
+   */
+  List<Change> replaceRandomBackend(long nowMs) {
+    int index = random.nextInt(backends.size());
+    Backend old = backends.get(index);
+    Backend replacement = createBackend(nextNumber++, old.zone(), nowMs);
+    backends.set(index, replacement);
     return List.of(
         new Change(old, EndpointState.DRAINING),
         new Change(old, EndpointState.REMOVED),
         new Change(replacement, EndpointState.SERVING));
   }
 
-  /** All entries of a zone, as they are when it goes or returns; the list itself keeps them. */
-  List<Change> zone(int zone, EndpointState phase) {
-    return backends.stream().filter(c -> c.zone() == zone).map(c -> new Change(c, phase)).toList();
+  /** Returns changes of all backends of a zone to a state, without changing the list itself. */
+  List<Change> zoneChanges(int zone, EndpointState state) {
+    return backends.stream()
+        .filter(backend -> backend.zone() == zone)
+        .map(backend -> new Change(backend, state))
+        .toList();
   }
 
   static Endpoint entry(Change change) {
-    Backend c = change.backend();
+    Backend backend = change.backend();
     return new Endpoint(
-        c.id(), c.zoneName(), c.cell(), change.phase(), 1, c.startedMs(), c.place());
+        backend.id(),
+        backend.zoneName(),
+        backend.cell(),
+        change.state(),
+        1,
+        backend.startedMs(),
+        backend.address());
   }
 
   List<Endpoint> entries() {
-    return backends.stream().map(c -> entry(new Change(c, EndpointState.SERVING))).toList();
+    return backends.stream()
+        .map(backend -> entry(new Change(backend, EndpointState.SERVING)))
+        .toList();
   }
 
-  /** The whole list as one message. */
-  String wholeMessage() {
-    return message(true, backends.stream().map(c -> new Change(c, EndpointState.SERVING)).toList());
+  /** Returns the complete list as a snapshot message. */
+  String snapshotMessage() {
+    return message(
+        true,
+        backends.stream().map(backend -> new Change(backend, EndpointState.SERVING)).toList());
   }
 
-  /** Changes as the next message. */
-  String changeMessage(List<Change> changes) {
+  /** Increments the version and returns a delta message with the changes. */
+  String deltaMessage(List<Change> changes) {
     version++;
     return message(false, changes);
   }
@@ -136,31 +152,31 @@
   }
 
   private void append(StringBuilder text, Change change) {
-    Backend c = change.backend();
+    Backend backend = change.backend();
     String state =
-        switch (change.phase()) {
+        switch (change.state()) {
           case SERVING -> "active";
           case DRAINING -> "leaving";
           case REMOVED -> "left";
         };
     text.append("{\"id\":\"")
-        .append(c.name())
+        .append(backend.name())
         .append("\",\"addr\":\"127.")
-        .append(c.number() >> 16 & 255)
+        .append(backend.number() >> 16 & 255)
         .append('.')
-        .append(c.number() >> 8 & 255)
+        .append(backend.number() >> 8 & 255)
         .append('.')
-        .append(1 + c.number() % 254)
+        .append(1 + backend.number() % 254)
         .append(':')
         .append(port)
         .append("\",\"zone\":\"")
-        .append(c.zoneName())
+        .append(backend.zoneName())
         .append("\",\"kind\":\"m2\",\"cell\":")
-        .append(c.cell())
+        .append(backend.cell())
         .append(",\"state\":\"")
         .append(state)
         .append("\",\"weight\":1.0,\"started_ms\":")
-        .append(c.startedMs())
+        .append(backend.startedMs())
         .append('}');
   }
 }
--- a/src/test/java/quotagateway/scale/FleetOptions.java
+++ b/src/test/java/quotagateway/scale/FleetOptions.java
@@ -1,17 +1,17 @@
 package quotagateway.scale;
 
 /**
- * A fleet of hollow gateways and its load.
+ * Options of a simulated fleet and its load.
  *
- * @param gateways gateways
- * @param spread through how many of them a customer's requests come
- * @param customers customers, of which some ask far more than their quota
- * @param backends backends, all in one list
- * @param shards shards of the counter
- * @param shardCallMs time of one call at a shard
- * @param regions regions of gateways, backends and shards
- * @param requestsPerSecond of all customers together
- * @param seed of all random numbers
+ * @param gateways number of gateways
+ * @param spread number of gateways over which the requests of one customer are spread
+ * @param customers number of customers; some demand far more than their quota
+ * @param backends number of backends, all in one endpoint list
+ * @param shards number of counter shards
+ * @param shardCallMs processing time of one call at a shard
+ * @param regions number of regions over which gateways, backends and shards are distributed
+ * @param requestsPerSecond request rate of all customers together
+ * @param seed seed of all random numbers
  */
 record FleetOptions(
     int gateways,
@@ -24,20 +24,23 @@
     double requestsPerSecond,
     long seed) {
 
-  /** Requests a second of one customer on the mean, near the target's 1.5 million for 990,000. */
-  private static final double REQUESTS_EACH = 0.8;
+  /**
+   * Mean requests per second of one customer, roughly half of the target's 1.5 million per second
+   * for 990,000 customers.
+   */
+  private static final double REQUESTS_PER_CUSTOMER = 0.8;
 
-  /** A backend's share of work: well under what it takes. */
+  /** Requests per second of one backend, well below its capacity. */
   private static final double REQUESTS_PER_BACKEND = 15;
 
   private static final double SHARD_CALL_MS = 0.05;
 
-  /** A fleet for that load, with the counter whole and quick. */
+  /** Returns options for a load, with a single fast counter shard and one region. */
   static FleetOptions of(int gateways, int spread, double requestsPerSecond, long seed) {
     return new FleetOptions(
         gateways,
         Math.min(spread, gateways),
-        (int) (requestsPerSecond / REQUESTS_EACH),
+        (int) (requestsPerSecond / REQUESTS_PER_CUSTOMER),
         (int) Math.ceil(requestsPerSecond / REQUESTS_PER_BACKEND),
         1,
         SHARD_CALL_MS,
@@ -46,21 +49,13 @@
         seed);
   }
 
-  FleetOptions withShards(int number, double callMs) {
+  FleetOptions withShards(int count, double callMs) {
     return new FleetOptions(
-        gateways, spread, customers, backends, number, callMs, regions, requestsPerSecond, seed);
+        gateways, spread, customers, backends, count, callMs, regions, requestsPerSecond, seed);
   }
 
-  FleetOptions withRegions(int number) {
+  FleetOptions withRegions(int count) {
     return new FleetOptions(
-        gateways,
-        spread,
-        customers,
-        backends,
-        shards,
-        shardCallMs,
-        number,
-        requestsPerSecond,
-        seed);
+        gateways, spread, customers, backends, shards, shardCallMs, count, requestsPerSecond, seed);
   }
 }
--- a/src/test/java/quotagateway/scale/FleetReport.java
+++ b/src/test/java/quotagateway/scale/FleetReport.java
@@ -1,6 +1,6 @@
 package quotagateway.scale;
 
-/** The figures of a fleet that every sweep over fleets reports. */
+/** Reports the measurements that all sweeps over simulated fleets have in common. */
 final class FleetReport {
 
   private final Measurement.Subject subject;
@@ -11,32 +11,34 @@
     this.report = report;
   }
 
-  void one(double size, String metric, double value) {
+  void add(double size, String metric, double value) {
     report.add(Measurement.of(subject, size, metric, value));
   }
 
-  /** How good the decisions are, and what the counter is asked; names begin with the prefix. */
-  void decisions(double size, String prefix, FleetFigures figures) {
-    one(size, prefix + "served_share", figures.servedShare());
-    one(size, prefix + "served_of_grantable", figures.servedOfGrantable());
-    one(size, prefix + "refused_with_room", figures.refusedWithRoomShare());
-    one(size, prefix + "light_refused", figures.lightRefusedShare());
-    one(size, prefix + "sent_beyond_quota", figures.beyondShare());
-    one(size, prefix + "calls_each", figures.callsEach());
+  /**
+   * Adds the quality of quota decisions and the counter calls; metric names start with the prefix.
+   */
+  void decisions(double size, String prefix, FleetStatistics figures) {
+    add(size, prefix + "served_share", figures.servedShare());
+    add(size, prefix + "served_of_grantable", figures.servedOfGrantable());
+    add(size, prefix + "refused_with_room", figures.rejectedWithinQuotaShare());
+    add(size, prefix + "light_refused", figures.lightRejectedShare());
+    add(size, prefix + "sent_beyond_quota", figures.beyondShare());
+    add(size, prefix + "calls_each", figures.callsEach());
   }
 
-  /** What each role carries, a second. */
-  void roles(double size, HollowFleet.Span span, int gateways) {
-    FleetFigures f = span.others();
-    one(size, "counter_calls_per_s", f.counterCalls / span.seconds());
-    one(size, "counter_bytes_per_s", f.counterBytes / span.seconds());
-    one(size, "gateway_counter_bytes_per_s", f.counterBytes / span.seconds() / gateways);
-    one(size, "gateway_list_bytes_per_s", f.endpointListBytes / span.seconds() / gateways);
-    one(size, "discovery_messages_per_s", f.endpointListMessages / span.seconds());
-    one(size, "discovery_bytes_per_s", f.endpointListBytes / span.seconds());
-    one(size, "attempts_each", f.attempts / (double) Math.max(1, f.asked));
-    one(size, "new_connection_share", f.newConnectionShare());
-    one(size, "added_ms_p50", f.addedMs(50));
-    one(size, "added_ms_p99", f.addedMs(99));
+  /** Adds the traffic of each role per second, the attempts and the added latency. */
+  void roles(double size, SimulatedFleet.Span span, int gateways) {
+    FleetStatistics statistics = span.others();
+    add(size, "counter_calls_per_s", statistics.counterCalls / span.seconds());
+    add(size, "counter_bytes_per_s", statistics.counterBytes / span.seconds());
+    add(size, "gateway_counter_bytes_per_s", statistics.counterBytes / span.seconds() / gateways);
+    add(size, "gateway_list_bytes_per_s", statistics.endpointListBytes / span.seconds() / gateways);
+    add(size, "discovery_messages_per_s", statistics.endpointListMessages / span.seconds());
+    add(size, "discovery_bytes_per_s", statistics.endpointListBytes / span.seconds());
+    add(size, "attempts_each", statistics.attempts / (double) Math.max(1, statistics.received));
+    add(size, "new_connection_share", statistics.newConnectionShare());
+    add(size, "added_ms_p50", statistics.addedMs(50));
+    add(size, "added_ms_p99", statistics.addedMs(99));
   }
 }
--- a/src/test/java/quotagateway/scale/FleetSizeSweep.java
+++ b/src/test/java/quotagateway/scale/FleetSizeSweep.java
@@ -1,8 +1,8 @@
 package quotagateway.scale;
 
 /**
- * Gateways at the same total load: what each role carries, and whether the decisions get worse.
- * Customers come through a set of the gateways, or through all of them.
+ * Measures the traffic of each role and the quality of quota decisions by the number of gateways,
+ * at the same total load. The requests of a customer are spread over three gateways or over all.
  */
 final class FleetSizeSweep implements Sweep {
 
@@ -10,17 +10,17 @@
   private static final double QUICK_REQUESTS_PER_SECOND = 300;
   private static final double SETTLING_MS = 15_000;
   private static final double MEASURED_MS = 20_000;
-  private static final double REPLACEMENT_MS = 1_150;
-  private final boolean throughAll;
+  private static final double REPLACEMENT_INTERVAL_MS = 1_150;
+  private final boolean allGateways;
 
-  /** Through all gateways, or through a set of three. */
-  FleetSizeSweep(boolean throughAll) {
-    this.throughAll = throughAll;
+  /** Creates a sweep that spreads each customer over all gateways, or else over three. */
+  FleetSizeSweep(boolean allGateways) {
+    this.allGateways = allGateways;
   }
 
   @Override
   public String name() {
-    return throughAll ? "gateways-all" : "gateways-set";
+    return allGateways ? "gateways-all" : "gateways-set";
   }
 
   @Override
@@ -29,29 +29,30 @@
     report.budget("added_ms_p99", 2.5);
     double load = plan.quick() ? QUICK_REQUESTS_PER_SECOND : REQUESTS_PER_SECOND;
     for (int gateways : plan.sizes(new int[] {5, 10}, new int[] {10, 30, 100, 300, 1_000, 2_000})) {
-      int spread = throughAll ? gateways : 3;
+      int spread = allGateways ? gateways : 3;
       FleetReport figures = new FleetReport(plan.subject(this, "gateways"), report);
-      double cpu = Stopwatch.cpuMs();
-      HollowFleet fleet = new HollowFleet(FleetOptions.of(gateways, spread, load, plan.seed()));
-      replaceNow(fleet);
+      double startCpuMs = Stopwatch.cpuMs();
+      SimulatedFleet fleet =
+          new SimulatedFleet(FleetOptions.of(gateways, spread, load, plan.seed()));
+      scheduleReplacement(fleet);
       fleet.run(plan.quick() ? SETTLING_MS / 3 : SETTLING_MS);
-      HollowFleet.Span span = fleet.run(plan.quick() ? MEASURED_MS / 4 : MEASURED_MS);
+      SimulatedFleet.Span span = fleet.run(plan.quick() ? MEASURED_MS / 4 : MEASURED_MS);
       figures.decisions(gateways, "", span.others());
       figures.roles(gateways, span, gateways);
-      figures.one(gateways, "harness_cpu_s", (Stopwatch.cpuMs() - cpu) / 1000);
+      figures.add(gateways, "harness_cpu_s", (Stopwatch.cpuMs() - startCpuMs) / 1000);
     }
     report.print(name());
   }
 
-  /** Replacements at the target's mean rate of 75,000 a day. */
-  private static void replaceNow(HollowFleet fleet) {
+  /** Schedules replacements of backends at the target's mean rate of 75,000 per day. */
+  private static void scheduleReplacement(SimulatedFleet fleet) {
     fleet
         .time()
-        .after(
-            REPLACEMENT_MS,
+        .scheduleAfter(
+            REPLACEMENT_INTERVAL_MS,
             () -> {
-              fleet.replaceOne();
-              replaceNow(fleet);
+              fleet.replaceRandomBackend();
+              scheduleReplacement(fleet);
             });
   }
 }
--- a/src/test/java/quotagateway/scale/IncidentSweep.java
+++ b/src/test/java/quotagateway/scale/IncidentSweep.java
@@ -7,7 +7,7 @@
 import quotagateway.endpoint.EndpointState;
 
 /**
- * What a fleet in nine regions does before an incident, while it lasts, and in the minute after it.
+ * Measures a fleet in nine regions before and during an incident, and in the minute after its end.
  */
 final class IncidentSweep implements Sweep {
 
@@ -22,27 +22,32 @@
   private static final double SLICE_MS = 20_000;
   private static final int SLICES_AFTER = 3;
 
-  /** A machine that vanished is noticed and told so much later. */
-  private static final double NOTICE_MS = 10_000;
+  /** Time until discovery notices and publishes that backends are unresponsive. */
+  private static final double DETECTION_MS = 10_000;
 
   private static final double GATEWAY_RESTART_MS = 2_000;
   private static final double CUT_MS = 60_000;
   private static final double DISCOVERY_SILENT_MS = 600_000;
 
   /**
-   * Replacements of backends, while discovery is silent and before: ten times the target's share.
+   * Interval between replacements of backends: ten times the target's rate relative to the fleet.
    */
-  private static final double REPLACEMENT_MS = 110_000;
+  private static final double REPLACEMENT_INTERVAL_MS = 110_000;
 
   /**
-   * One kind of trouble: how it begins, how long it lasts until it is mended, how it ends, whom it
-   * meets.
+   * One kind of incident.
+   *
+   * @param name prefix of the metric names
+   * @param begin starts the incident
+   * @param lastsMs time until the incident is ended, or 0
+   * @param end ends the incident
+   * @param affected customers whose statistics are reported separately
    */
   private record Incident(
       String name,
-      Consumer<HollowFleet> begin,
+      Consumer<SimulatedFleet> begin,
       double lastsMs,
-      Consumer<HollowFleet> end,
+      Consumer<SimulatedFleet> end,
       IntPredicate affected) {}
 
   @Override
@@ -55,7 +60,7 @@
     int gateways = plan.quick() ? 2 * REGIONS : GATEWAYS;
     List<Incident> incidents = incidents(gateways);
     for (Incident incident : plan.quick() ? incidents.subList(1, 4) : incidents) {
-      play(
+      measure(
           incident,
           gateways,
           plan,
@@ -65,117 +70,137 @@
   }
 
   private static List<Incident> incidents(int gateways) {
-    Consumer<HollowFleet> nothing = fleet -> {};
-    IntPredicate nobody = customer -> false;
+    Consumer<SimulatedFleet> nothing = fleet -> {};
+    IntPredicate noCustomers = customer -> false;
     return List.of(
-        new Incident("rack", f -> lose(f, c -> c.number() % 33 == 0), 0, nothing, nobody),
-        new Incident("zone", f -> lose(f, c -> c.zone() == 1), 0, nothing, nobody),
+        new Incident(
+            "rack",
+            fleet -> loseBackends(fleet, backend -> backend.number() % 33 == 0),
+            0,
+            nothing,
+            noCustomers),
+        new Incident(
+            "zone",
+            fleet -> loseBackends(fleet, backend -> backend.zone() == 1),
+            0,
+            nothing,
+            noCustomers),
         new Incident(
             "region_cut",
-            f -> f.cut(IncidentSweep::crosses),
+            fleet -> fleet.setNetwork(IncidentSweep::connectedDuringCut),
             CUT_MS,
-            f -> f.cut((from, to) -> true),
-            customer -> inTwoRegions(customer, gateways)),
+            fleet -> fleet.setNetwork((from, to) -> true),
+            customer -> spansRegionZero(customer, gateways)),
         new Incident(
             "shard_dies",
-            f -> f.shards().get(0).fail(CounterShard.Health.SILENT),
+            fleet -> fleet.shards().get(0).fail(CounterShard.Health.SILENT),
             0,
             nothing,
-            nobody),
+            noCustomers),
         new Incident(
-            "gateways_restart", IncidentSweep::restartRegion, GATEWAY_RESTART_MS, nothing, nobody),
+            "gateways_restart",
+            IncidentSweep::restartRegion,
+            GATEWAY_RESTART_MS,
+            nothing,
+            noCustomers),
         new Incident(
             "discovery_returns",
-            f -> f.discovery().become(DiscoveryModel.Health.SILENT),
+            fleet -> fleet.discovery().setHealth(DiscoveryModel.Health.SILENT),
             DISCOVERY_SILENT_MS,
-            f -> f.discovery().become(DiscoveryModel.Health.UP),
-            nobody));
+            fleet -> fleet.discovery().setHealth(DiscoveryModel.Health.UP),
+            noCustomers));
   }
 
-  private void play(Incident incident, int gateways, Plan plan, FleetReport figures) {
-    double part = plan.quick() ? 0.1 : 1;
+  private void measure(Incident incident, int gateways, Plan plan, FleetReport figures) {
+    double timeScale = plan.quick() ? 0.1 : 1;
     double load = plan.quick() ? QUICK_REQUESTS_PER_SECOND : REQUESTS_PER_SECOND;
-    HollowFleet fleet =
-        new HollowFleet(
+    SimulatedFleet fleet =
+        new SimulatedFleet(
             FleetOptions.of(gateways, SPREAD, load, plan.seed())
                 .withShards(SHARDS, SHARD_CALL_MS)
                 .withRegions(REGIONS));
-    fleet.watch(
+    fleet.setAffected(
         incident.name.equals("shard_dies")
             ? customer -> fleet.shardNumber(customer) == 0
             : incident.affected);
-    replaceNow(fleet);
-    fleet.run(SETTLING_MS * part);
-    report(figures, incident, -1, fleet.run(SLICE_MS * part), gateways);
+    scheduleReplacement(fleet);
+    fleet.run(SETTLING_MS * timeScale);
+    addMetrics(figures, incident, -1, fleet.run(SLICE_MS * timeScale), gateways);
     incident.begin.accept(fleet);
     if (incident.lastsMs > 0) {
-      report(figures, incident, 0, fleet.run(incident.lastsMs * part), gateways);
+      addMetrics(figures, incident, 0, fleet.run(incident.lastsMs * timeScale), gateways);
     }
     incident.end.accept(fleet);
     for (int slice = 1; slice <= SLICES_AFTER; slice++) {
-      double seconds = slice * SLICE_MS * part / 1000;
-      report(figures, incident, seconds, fleet.run(SLICE_MS * part), gateways);
+      double seconds = slice * SLICE_MS * timeScale / 1000;
+      addMetrics(figures, incident, seconds, fleet.run(SLICE_MS * timeScale), gateways);
     }
   }
 
-  private static void report(
-      FleetReport figures, Incident incident, double at, HollowFleet.Span span, int gateways) {
+  private static void addMetrics(
+      FleetReport figures, Incident incident, double at, SimulatedFleet.Span span, int gateways) {
     String prefix = incident.name + "_";
     figures.decisions(at, prefix, span.others());
-    if (span.affected().asked > 0) {
+    if (span.affected().received > 0) {
       figures.decisions(at, prefix + "its_", span.affected());
     }
-    FleetFigures f = span.others();
-    figures.one(at, prefix + "calls_per_s", f.counterCalls / span.seconds());
-    figures.one(
-        at, prefix + "list_bytes_per_s_gateway", f.endpointListBytes / span.seconds() / gateways);
-    figures.one(at, prefix + "attempts_each", f.attempts / (double) Math.max(1, f.asked));
-    figures.one(at, prefix + "added_ms_p99", f.addedMs(99));
+    FleetStatistics statistics = span.others();
+    figures.add(at, prefix + "calls_per_s", statistics.counterCalls / span.seconds());
+    figures.add(
+        at,
+        prefix + "list_bytes_per_s_gateway",
+        statistics.endpointListBytes / span.seconds() / gateways);
+    figures.add(
+        at,
+        prefix + "attempts_each",
+        statistics.attempts / (double) Math.max(1, statistics.received));
+    figures.add(at, prefix + "added_ms_p99", statistics.addedMs(99));
   }
 
-  private static void lose(HollowFleet fleet, Predicate<EndpointListModel.Backend> which) {
-    List<EndpointListModel.Backend> gone =
-        fleet.endpointList().backends().stream().filter(which).toList();
-    fleet.failBackends(gone, BackendModel.Health.VANISHED);
+  private static void loseBackends(
+      SimulatedFleet fleet, Predicate<EndpointListModel.Backend> selection) {
+    List<EndpointListModel.Backend> lost =
+        fleet.endpointList().backends().stream().filter(selection).toList();
+    fleet.failBackends(lost, BackendModel.Health.UNRESPONSIVE);
     List<EndpointListModel.Change> changes =
-        gone.stream().map(c -> new EndpointListModel.Change(c, EndpointState.REMOVED)).toList();
-    fleet.time().after(NOTICE_MS, () -> fleet.discovery().tell(changes));
+        lost.stream()
+            .map(backend -> new EndpointListModel.Change(backend, EndpointState.REMOVED))
+            .toList();
+    fleet.time().scheduleAfter(DETECTION_MS, () -> fleet.discovery().announce(changes));
   }
 
-  /** Region 0 and the others cannot hear each other. */
-  private static boolean crosses(int from, int to) {
+  /** Returns whether two regions can reach each other while region 0 is cut off. */
+  private static boolean connectedDuringCut(int from, int to) {
     return from == to || (from != 0 && to != 0);
   }
 
-  /**
-   * Whether a customer's set of gateways begins in region 0 and ends in the next, or ends in it.
-   */
-  private static boolean inTwoRegions(int customer, int gateways) {
-    int first = HollowFleet.firstGateway(customer, gateways);
-    int from = HollowFleet.gatewayRegion(first, gateways, REGIONS);
-    int to = HollowFleet.gatewayRegion((first + SPREAD - 1) % gateways, gateways, REGIONS);
+  /** Returns whether a customer's gateways are both in region 0 and in a neighboring region. */
+  private static boolean spansRegionZero(int customer, int gateways) {
+    int first = SimulatedFleet.firstGateway(customer, gateways);
+    int from = SimulatedFleet.regionOf(first, gateways, REGIONS);
+    int to = SimulatedFleet.regionOf((first + SPREAD - 1) % gateways, gateways, REGIONS);
     return from != to && (from == 0 || to == 0);
   }
 
-  private static void restartRegion(HollowFleet fleet) {
+  private static void restartRegion(SimulatedFleet fleet) {
     int gateways = fleet.gateways().size();
     for (int i = 0; i < gateways; i++) {
-      if (HollowFleet.gatewayRegion(i, gateways, REGIONS) == 0) {
+      if (SimulatedFleet.regionOf(i, gateways, REGIONS) == 0) {
         int number = i;
         fleet.gateways().get(number).kill();
-        fleet.time().after(GATEWAY_RESTART_MS, () -> fleet.restartGateway(number));
+        fleet.time().scheduleAfter(GATEWAY_RESTART_MS, () -> fleet.restartGateway(number));
       }
     }
   }
 
-  private static void replaceNow(HollowFleet fleet) {
+  private static void scheduleReplacement(SimulatedFleet fleet) {
     fleet
         .time()
-        .after(
-            REPLACEMENT_MS,
+        .scheduleAfter(
+            REPLACEMENT_INTERVAL_MS,
             () -> {
-              fleet.replaceOne();
-              replaceNow(fleet);
+              fleet.replaceRandomBackend();
+              scheduleReplacement(fleet);
             });
   }
 }
--- a/src/test/java/quotagateway/scale/LoopPing.java
+++ b/src/test/java/quotagateway/scale/LoopLatencyProbe.java
@@ -12,37 +12,37 @@
 import org.HdrHistogram.SynchronizedHistogram;
 
 /**
- * Asks a gateway for /up all the time on one connection: how long its loop holds shows in the
- * answers.
+ * Probes a gateway with repeated GET /up requests on one connection; the response times show how
+ * long the event loop stalls.
  */
-final class LoopPing implements Closeable {
+final class LoopLatencyProbe implements Closeable {
 
-  /** Between an answer and the next question: the pings themselves must cost next to nothing. */
-  private static final long PAUSE_NANOS = 1_000_000;
+  /** Pause between a response and the next request, which keeps the cost of probing negligible. */
+  private static final long INTERVAL_NANOS = 1_000_000;
 
   private static final int TIMEOUT_MS = 30_000;
-  private static final long LONGEST_MICROS = 60_000_000;
+  private static final long MAX_MICROS = 60_000_000;
   private static final byte[] REQUEST =
       "GET /up HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
   private final InetSocketAddress address;
-  private final Histogram micros = new SynchronizedHistogram(LONGEST_MICROS, 3);
-  private final AtomicLong yes = new AtomicLong();
+  private final Histogram micros = new SynchronizedHistogram(MAX_MICROS, 3);
+  private final AtomicLong okResponses = new AtomicLong();
   private volatile boolean closed;
 
-  LoopPing(InetSocketAddress address) {
+  LoopLatencyProbe(InetSocketAddress address) {
     this.address = address;
-    Thread thread = new Thread(this::work, "loop ping");
+    Thread thread = new Thread(this::run, "loop latency probe");
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** How often the answer was 200. */
-  long yes() {
-    return yes.get();
+  /** Returns the number of responses with status 200. */
+  long okResponses() {
+    return okResponses.get();
   }
 
-  /** Forgets the times until now. */
+  /** Discards the response times recorded so far. */
   void reset() {
     micros.reset();
   }
@@ -60,33 +60,33 @@
     closed = true;
   }
 
-  private void work() {
+  private void run() {
     while (!closed) {
       try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
         socket.setSoTimeout(TIMEOUT_MS);
         socket.setTcpNoDelay(true);
-        ask(socket);
+        probe(socket);
       } catch (IOException e) {
         Thread.onSpinWait();
       }
     }
   }
 
-  private void ask(Socket socket) throws IOException {
+  private void probe(Socket socket) throws IOException {
     InputStream in = socket.getInputStream();
     byte[] buffer = new byte[4096];
     while (!closed) {
-      long from = System.nanoTime();
+      long startNanos = System.nanoTime();
       socket.getOutputStream().write(REQUEST);
-      int read = in.read(buffer);
-      if (read < 0) {
+      int length = in.read(buffer);
+      if (length < 0) {
         return;
       }
-      micros.recordValue(Math.min(LONGEST_MICROS, (System.nanoTime() - from) / 1000));
-      if (new String(buffer, 0, read, StandardCharsets.US_ASCII).startsWith("HTTP/1.1 200")) {
-        yes.incrementAndGet();
+      micros.recordValue(Math.min(MAX_MICROS, (System.nanoTime() - startNanos) / 1000));
+      if (new String(buffer, 0, length, StandardCharsets.US_ASCII).startsWith("HTTP/1.1 200")) {
+        okResponses.incrementAndGet();
       }
-      LockSupport.parkNanos(PAUSE_NANOS);
+      LockSupport.parkNanos(INTERVAL_NANOS);
     }
   }
 }
--- a/src/test/java/quotagateway/scale/Measurement.java
+++ b/src/test/java/quotagateway/scale/Measurement.java
@@ -3,17 +3,17 @@
 import java.util.Arrays;
 
 /**
- * One figure of one run, written as one JSON line.
+ * The value of one metric in one run, written as one JSON line.
  *
  * @param sweep name of the sweep
- * @param version label of the program's version that was measured
- * @param parameter what was varied
- * @param size its value
- * @param metric what was measured, with its unit at the end
- * @param least smallest of the repetitions
- * @param median middle of the repetitions
- * @param most largest of the repetitions
- * @param repetitions how many there were
+ * @param version label of the measured version of the gateway
+ * @param parameter name of the varied parameter
+ * @param size value of the parameter
+ * @param metric name of the metric, with the unit at the end
+ * @param least smallest value of the repetitions
+ * @param median median of the repetitions
+ * @param most largest value of the repetitions
+ * @param repetitions number of repetitions
  * @param seed seed of the random numbers
  */
 public record Measurement(
@@ -28,7 +28,7 @@
     int repetitions,
     long seed) {
 
-  /** Condenses repetitions, of which there must be one at least. */
+  /** Summarizes the values of at least one repetition. */
   static Measurement of(Subject subject, double size, String metric, double... values) {
     double[] sorted = values.clone();
     Arrays.sort(sorted);
@@ -45,6 +45,6 @@
         subject.seed());
   }
 
-  /** What all measurements of one sweep have in common. */
+  /** The properties that all measurements of one sweep have in common. */
   record Subject(String sweep, String version, String parameter, long seed) {}
 }
--- a/src/test/java/quotagateway/scale/OtherVersion.java
+++ b/src/test/java/quotagateway/scale/OtherVersion.java
@@ -12,8 +12,8 @@
 import quotagateway.policy.GatewayPolicy;
 
 /**
- * Another working copy, built by its own deploy/scale.sh: the same sweep, in a process of its own
- * with that copy's classes in front, and its libraries besides these.
+ * Another working copy, built by its own deploy/scale.sh. A sweep on it runs in a separate process,
+ * whose class path starts with the classes of that copy and ends with its libraries.
  */
 final class OtherVersion {
 
@@ -23,15 +23,15 @@
     this.copy = copy;
   }
 
-  /** Where this process has the program's classes from. */
+  /** Returns the path from which this process loads the gateway's classes. */
   static String programClasses() {
     return GatewayPolicy.class.getProtectionDomain().getCodeSource().getLocation().getPath();
   }
 
   /**
-   * Runs one sweep and waits for its end.
+   * Runs one sweep on the other version and waits for its end.
    *
-   * @throws IOException if the copy is not built or its run fails
+   * @throws IOException if the copy is not built or the sweep fails
    */
   void run(Sweep sweep, List<String> arguments) throws IOException, InterruptedException {
     Path classes = copy.resolve("target/classes");
@@ -49,17 +49,17 @@
             + File.pathSeparator
             + remainingClassPath()
             + File.pathSeparator
-            + libraries());
+            + libraryClassPath());
     command.add(ScaleCommand.class.getName());
     command.addAll(arguments);
     command.add(sweep.name());
-    int code = new ProcessBuilder(command).inheritIO().start().waitFor();
-    if (code != 0) {
-      throw new IOException(sweep.name() + " of " + copy + " ended with " + code);
+    int exitCode = new ProcessBuilder(command).inheritIO().start().waitFor();
+    if (exitCode != 0) {
+      throw new IOException(sweep.name() + " of " + copy + " exited with status " + exitCode);
     }
   }
 
-  private String libraries() throws IOException {
+  private String libraryClassPath() throws IOException {
     Path list = copy.resolve("target/scale.classpath");
     return Files.exists(list) ? Files.readString(list).trim() : "";
   }
--- a/src/test/java/quotagateway/scale/ProgramProcess.java
+++ b/src/test/java/quotagateway/scale/ProgramProcess.java
@@ -10,17 +10,17 @@
 import java.util.Map;
 import quotagateway.testing.GatewayProcess;
 
-/** The real gateway as a process of its own, started with the options of deploy/balancer.toml. */
+/** The gateway in a separate process, started with the Java options of deploy/balancer.toml. */
 final class ProgramProcess implements Closeable {
 
   private final GatewayProcess process;
   private final Path folder;
-  private final InetSocketAddress listen;
+  private final InetSocketAddress address;
 
-  /** Starts it with those classes; its discovery's agent listens on loopback at the port. */
+  /** Starts the gateway from the given classes, with the discovery agent's port on loopback. */
   ProgramProcess(String programClasses, int agentPort) throws IOException {
     folder = Files.createTempDirectory("scale-gateway");
-    listen = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
+    address = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
     Path config = folder.resolve("config.json");
     Files.writeString(config, config(agentPort));
     process =
@@ -49,23 +49,23 @@
            "Group":"all"}],
           "Tariffs":[{"Name":"basic","Refill":400,"PeakUnits":4000,"WorthFactor":1,"OverrunCost":1}]}}
         """
-        .formatted(listen.getPort(), agentPort);
+        .formatted(address.getPort(), agentPort);
   }
 
   InetSocketAddress address() {
-    return listen;
+    return address;
   }
 
-  boolean alive() {
+  boolean isAlive() {
     return process.isAlive();
   }
 
-  /** Processor time of the process until now, in milliseconds. */
+  /** Returns the processor time that the process has used so far, in milliseconds. */
   double cpuMs() throws IOException {
     return process.cpuMs();
   }
 
-  /** The most memory that it had at a time, in MiB. */
+  /** Returns the peak resident memory of the process in MiB. */
   double peakMemoryMb() throws IOException {
     return process.peakMemoryMb();
   }
--- a/src/test/java/quotagateway/scale/ProgramSweep.java
+++ b/src/test/java/quotagateway/scale/ProgramSweep.java
@@ -9,20 +9,20 @@
 import quotagateway.testing.DiscoveryAgent;
 
 /**
- * The real gateway, started with the options of the run line, and an agent with a list of each
- * length: whether it takes the list, at what cost, and how long changes and a lost zone hold its
- * loop.
+ * Measures the gateway in a separate process with a discovery agent, for each length of the
+ * endpoint list: whether the gateway accepts the list, at what cost, and how long changes and the
+ * loss of a zone stall its event loop.
  */
 final class ProgramSweep implements Sweep {
 
-  private static final double READY_SECONDS = 20;
-  private static final double SETTLE_SECONDS = 10;
-  private static final double QUIET_MS = 500;
-  private static final double QUIET_CPU_MS = 100;
+  private static final double MAX_READY_WAIT_SECONDS = 20;
+  private static final double MAX_IDLE_WAIT_SECONDS = 10;
+  private static final double IDLE_CHECK_MS = 500;
+  private static final double MAX_IDLE_CPU_MS = 100;
   private static final int REPLACEMENTS = 10;
   private static final int QUICK_REPLACEMENTS = 2;
   private static final int ZONES = 3;
-  private static final double IDLE_MS = 2_000;
+  private static final double IDLE_MEASUREMENT_MS = 2_000;
 
   @Override
   public String name() {
@@ -44,108 +44,113 @@
   private void measure(Measurement.Subject subject, int size, Plan plan, Report report)
       throws IOException {
     EndpointListModel model = new EndpointListModel(size, 9, plan.seed());
-    model.changeMessage(List.of());
-    String whole = model.wholeMessage();
-    try (DiscoveryAgent agent = new DiscoveryAgent(whole, model.version());
+    model.deltaMessage(List.of());
+    String list = model.snapshotMessage();
+    try (DiscoveryAgent agent = new DiscoveryAgent(list, model.version());
         ProgramProcess program = new ProgramProcess(plan.programClasses(), agent.port());
-        LoopPing ping = new LoopPing(program.address())) {
-      double from = Stopwatch.wallMs();
-      until(READY_SECONDS, () -> ping.yes() > 0 || !program.alive());
-      boolean ready = ping.yes() > 0;
-      report.add(Measurement.of(subject, size, "list_bytes", whole.length()));
+        LoopLatencyProbe probe = new LoopLatencyProbe(program.address())) {
+      double startMs = Stopwatch.wallMs();
+      awaitCondition(MAX_READY_WAIT_SECONDS, () -> probe.okResponses() > 0 || !program.isAlive());
+      boolean ready = probe.okResponses() > 0;
+      report.add(Measurement.of(subject, size, "list_bytes", list.length()));
       report.add(Measurement.of(subject, size, "list_taken", ready ? 1 : 0));
       report.add(Measurement.of(subject, size, "watches_opened", agent.opened()));
       report.add(Measurement.of(subject, size, "bytes_told", (double) agent.bytes()));
       if (!ready) {
         return;
       }
-      report.add(Measurement.of(subject, size, "ready_ms", Stopwatch.wallMs() - from));
-      settle(program);
+      report.add(Measurement.of(subject, size, "ready_ms", Stopwatch.wallMs() - startMs));
+      awaitIdle(program);
       report.add(Measurement.of(subject, size, "start_cpu_ms", program.cpuMs()));
       report.add(Measurement.of(subject, size, "peak_memory_mb", program.peakMemoryMb()));
-      changes(
+      measureChanges(
           subject,
           size,
           plan.quick() ? QUICK_REPLACEMENTS : REPLACEMENTS,
           model,
           agent,
           program,
-          ping,
+          probe,
           report);
       int zones = plan.quick() ? 1 : ZONES;
       report.add(
-          Measurement.of(subject, size, "zone_hold_ms", zones(zones, model, agent, program, ping)));
+          Measurement.of(
+              subject,
+              size,
+              "zone_hold_ms",
+              measureZoneLosses(zones, model, agent, program, probe)));
       report.add(Measurement.of(subject, size, "peak_memory_mb_zone", program.peakMemoryMb()));
     }
   }
 
-  private static void changes(
+  private static void measureChanges(
       Measurement.Subject subject,
       int size,
       int replacements,
       EndpointListModel model,
       DiscoveryAgent agent,
       ProgramProcess program,
-      LoopPing ping,
+      LoopLatencyProbe probe,
       Report report)
       throws IOException {
-    double idle = spent(program, IDLE_MS) / IDLE_MS;
-    ping.reset();
-    double cpu = program.cpuMs();
-    double from = Stopwatch.wallMs();
+    double idleCpuShare = cpuSpentMs(program, IDLE_MEASUREMENT_MS) / IDLE_MEASUREMENT_MS;
+    probe.reset();
+    double startCpuMs = program.cpuMs();
+    double startMs = Stopwatch.wallMs();
     for (int i = 0; i < replacements; i++) {
-      for (EndpointListModel.Change change : model.replaceOne(1)) {
-        agent.tell(model.changeMessage(List.of(change)));
+      for (EndpointListModel.Change change : model.replaceRandomBackend(1)) {
+        agent.tell(model.deltaMessage(List.of(change)));
       }
-      settle(program);
+      awaitIdle(program);
     }
-    double elapsed = Stopwatch.wallMs() - from;
-    double each = Math.max(0, program.cpuMs() - cpu - idle * elapsed) / (3 * replacements);
-    report.add(Measurement.of(subject, size, "change_cpu_ms", each));
-    report.add(Measurement.of(subject, size, "ping_ms_p50", ping.percentileMs(50)));
-    report.add(Measurement.of(subject, size, "changes_longest_ping_ms", ping.longestMs()));
+    double elapsedMs = Stopwatch.wallMs() - startMs;
+    double cpuMsPerChange =
+        Math.max(0, program.cpuMs() - startCpuMs - idleCpuShare * elapsedMs) / (3 * replacements);
+    report.add(Measurement.of(subject, size, "change_cpu_ms", cpuMsPerChange));
+    report.add(Measurement.of(subject, size, "ping_ms_p50", probe.percentileMs(50)));
+    report.add(Measurement.of(subject, size, "changes_longest_ping_ms", probe.longestMs()));
   }
 
-  /** The longest answer to a ping while a zone goes, of each of some zones. */
-  private static double[] zones(
+  /** Returns for each zone the longest response time of the probe while the zone is removed. */
+  private static double[] measureZoneLosses(
       int zones,
       EndpointListModel model,
       DiscoveryAgent agent,
       ProgramProcess program,
-      LoopPing ping)
+      LoopLatencyProbe probe)
       throws IOException {
-    double[] held = new double[zones];
+    double[] longestMs = new double[zones];
     for (int zone = 0; zone < zones; zone++) {
-      List<EndpointListModel.Change> gone =
-          new ArrayList<>(model.zone(zone, EndpointState.REMOVED));
-      ping.reset();
-      agent.tell(model.changeMessage(gone));
-      settle(program);
-      held[zone] = ping.longestMs();
-      agent.tell(model.changeMessage(model.zone(zone, EndpointState.SERVING)));
-      settle(program);
+      List<EndpointListModel.Change> removals =
+          new ArrayList<>(model.zoneChanges(zone, EndpointState.REMOVED));
+      probe.reset();
+      agent.tell(model.deltaMessage(removals));
+      awaitIdle(program);
+      longestMs[zone] = probe.longestMs();
+      agent.tell(model.deltaMessage(model.zoneChanges(zone, EndpointState.SERVING)));
+      awaitIdle(program);
     }
-    return held;
+    return longestMs;
   }
 
-  private static double spent(ProgramProcess program, double ms) throws IOException {
-    double cpu = program.cpuMs();
+  private static double cpuSpentMs(ProgramProcess program, double ms) throws IOException {
+    double startCpuMs = program.cpuMs();
     LockSupport.parkNanos((long) (ms * 1e6));
-    return program.cpuMs() - cpu;
+    return program.cpuMs() - startCpuMs;
   }
 
-  /** Waits until the process does little but answer pings. */
-  private static void settle(ProgramProcess program) throws IOException {
-    double until = Stopwatch.wallMs() + 1000 * SETTLE_SECONDS;
-    LockSupport.parkNanos((long) (QUIET_MS * 1e6 / 2));
-    while (spent(program, QUIET_MS) > QUIET_CPU_MS && Stopwatch.wallMs() < until) {
+  /** Waits up to 10 s until the process does little more than respond to probes. */
+  private static void awaitIdle(ProgramProcess program) throws IOException {
+    double endMs = Stopwatch.wallMs() + 1000 * MAX_IDLE_WAIT_SECONDS;
+    LockSupport.parkNanos((long) (IDLE_CHECK_MS * 1e6 / 2));
+    while (cpuSpentMs(program, IDLE_CHECK_MS) > MAX_IDLE_CPU_MS && Stopwatch.wallMs() < endMs) {
       Thread.onSpinWait();
     }
   }
 
-  private static void until(double seconds, BooleanSupplier done) {
-    double until = Stopwatch.wallMs() + 1000 * seconds;
-    while (!done.getAsBoolean() && Stopwatch.wallMs() < until) {
+  private static void awaitCondition(double seconds, BooleanSupplier condition) {
+    double endMs = Stopwatch.wallMs() + 1000 * seconds;
+    while (!condition.getAsBoolean() && Stopwatch.wallMs() < endMs) {
       LockSupport.parkNanos(1_000_000);
     }
   }
--- a/src/test/java/quotagateway/scale/QuotaLedger.java
+++ b/src/test/java/quotagateway/scale/QuotaLedger.java
@@ -3,38 +3,45 @@
 import java.util.Arrays;
 
 /**
- * The customers' true stores, as the rules count: each starts full, refills at the plan's rate, and
- * a request draws its units when it is first forwarded.
+ * Reference token buckets of the customers. Each bucket starts full and refills at the plan's rate;
+ * the caller decides when a request draws its units.
  */
 final class QuotaLedger {
 
   private final double rate;
   private final double burst;
   private final double[] levels;
-  private final double[] filledAtMs;
+  private final double[] refilledAtMs;
 
-  /** Stores of so many customers, with that many units a second and at most. */
+  /**
+   * Creates full buckets.
+   *
+   * @param customers number of customers
+   * @param rate refill in units per second
+   * @param burst capacity of a bucket in units
+   * @param nowMs current time
+   */
   QuotaLedger(int customers, double rate, double burst, double nowMs) {
     this.rate = rate;
     this.burst = burst;
     levels = new double[customers];
-    filledAtMs = new double[customers];
+    refilledAtMs = new double[customers];
     Arrays.fill(levels, burst);
-    Arrays.fill(filledAtMs, nowMs);
+    Arrays.fill(refilledAtMs, nowMs);
   }
 
-  /** Whether the store holds the units by now. */
+  /** Refills the customer's bucket and returns whether it holds the units. */
   boolean holds(int customer, double units, double nowMs) {
     levels[customer] =
-        Math.min(burst, levels[customer] + rate * (nowMs - filledAtMs[customer]) / 1000);
-    filledAtMs[customer] = nowMs;
+        Math.min(burst, levels[customer] + rate * (nowMs - refilledAtMs[customer]) / 1000);
+    refilledAtMs[customer] = nowMs;
     return levels[customer] >= units;
   }
 
-  /** Draws the units if it holds them; false, and nothing drawn, if it does not. */
+  /** Draws the units if the bucket holds them, and returns whether it does. */
   boolean take(int customer, double units, double nowMs) {
-    boolean held = holds(customer, units, nowMs);
-    levels[customer] -= held ? units : 0;
-    return held;
+    boolean sufficient = holds(customer, units, nowMs);
+    levels[customer] -= sufficient ? units : 0;
+    return sufficient;
   }
 }
--- a/src/test/java/quotagateway/scale/Report.java
+++ b/src/test/java/quotagateway/scale/Report.java
@@ -13,8 +13,8 @@
 import java.util.TreeMap;
 
 /**
- * Collects measurements: each goes out at once as a JSON line, and all of a sweep in the end as a
- * table.
+ * Collects measurements. Each is written immediately as a JSON line, and the measurements of a
+ * sweep are printed as a table at its end.
  */
 final class Report {
 
@@ -22,17 +22,22 @@
 
   private final Writer lines;
   private final PrintStream tables;
-  private final List<Measurement> all = new ArrayList<>();
+  private final List<Measurement> measurements = new ArrayList<>();
   private final Map<String, Double> budgets = new LinkedHashMap<>();
 
-  /** Lines go to the writer, which stays the caller's to close, and tables to the stream. */
+  /**
+   * Creates a report.
+   *
+   * @param lines receives the JSON lines; the caller closes the writer
+   * @param tables receives the tables
+   */
   Report(Writer lines, PrintStream tables) {
     this.lines = lines;
     this.tables = tables;
   }
 
   void add(Measurement measurement) {
-    all.add(measurement);
+    measurements.add(measurement);
     try {
       lines.write(JSON.writeValueAsString(measurement));
       lines.write('\n');
@@ -42,36 +47,37 @@
     }
   }
 
-  /** States the most that the target allows of a metric. */
-  void budget(String metric, double most) {
-    budgets.put(metric, most);
+  /** Sets the maximum value that the target allows for a metric. */
+  void budget(String metric, double maximum) {
+    budgets.put(metric, maximum);
   }
 
   List<Measurement> all() {
-    return List.copyOf(all);
+    return List.copyOf(measurements);
   }
 
   /**
-   * Prints a table of the sweep's medians, then the growth of each metric and where it passes its
-   * budget.
+   * Prints a table of the sweep's medians, with the growth of each metric and the size at which the
+   * metric exceeds its budget.
    */
   void print(String sweep) {
     TreeMap<Double, Map<String, Measurement>> rows = new TreeMap<>();
     Map<String, List<Growth.Point>> columns = new LinkedHashMap<>();
     String parameter = "";
     String version = "";
-    for (Measurement m : all) {
-      if (m.sweep().equals(sweep)) {
-        parameter = m.parameter();
-        version = m.version();
-        rows.computeIfAbsent(m.size(), s -> new LinkedHashMap<>()).put(m.metric(), m);
+    for (Measurement measurement : measurements) {
+      if (measurement.sweep().equals(sweep)) {
+        parameter = measurement.parameter();
+        version = measurement.version();
+        rows.computeIfAbsent(measurement.size(), s -> new LinkedHashMap<>())
+            .put(measurement.metric(), measurement);
         columns
-            .computeIfAbsent(m.metric(), c -> new ArrayList<>())
-            .add(new Growth.Point(m.size(), m.median()));
+            .computeIfAbsent(measurement.metric(), c -> new ArrayList<>())
+            .add(new Growth.Point(measurement.size(), measurement.median()));
       }
     }
     tables.printf(Locale.ROOT, "%n== %s, version %s, medians ==%n%-32s", sweep, version, parameter);
-    rows.keySet().forEach(size -> tables.printf(Locale.ROOT, " %11s", number(size)));
+    rows.keySet().forEach(size -> tables.printf(Locale.ROOT, " %11s", formatNumber(size)));
     tables.printf(Locale.ROOT, " %10s %8s %s%n", "slope", "exponent", "budget");
     columns.forEach(
         (metric, points) -> {
@@ -82,12 +88,12 @@
                       tables.printf(
                           Locale.ROOT,
                           " %11s",
-                          row.containsKey(metric) ? number(row.get(metric).median()) : "-"));
-          tables.println(points.size() < 2 ? "" : growth(metric, points));
+                          row.containsKey(metric) ? formatNumber(row.get(metric).median()) : "-"));
+          tables.println(points.size() < 2 ? "" : formatGrowth(metric, points));
         });
   }
 
-  private String growth(String metric, List<Growth.Point> points) {
+  private String formatGrowth(String metric, List<Growth.Point> points) {
     Growth growth = Growth.fit(points);
     String text = String.format(Locale.ROOT, " %10.3g %8.2f", growth.slope(), growth.exponent());
     Double budget = budgets.get(metric);
@@ -97,11 +103,11 @@
     double crossing = Growth.crossing(points, budget);
     return text
         + " "
-        + number(budget)
-        + (Double.isNaN(crossing) ? " kept" : " passed at " + number(crossing));
+        + formatNumber(budget)
+        + (Double.isNaN(crossing) ? " met" : " exceeded at " + formatNumber(crossing));
   }
 
-  private static String number(double value) {
+  private static String formatNumber(double value) {
     return value == Math.rint(value) && Math.abs(value) < 1e10
         ? Long.toString((long) value)
         : String.format(Locale.ROOT, "%.4g", value);
--- a/src/test/java/quotagateway/scale/RequestCycle.java
+++ b/src/test/java/quotagateway/scale/RequestCycle.java
@@ -14,27 +14,31 @@
 import quotagateway.policy.event.Status;
 import quotagateway.policy.event.TimerFired;
 
-/** Takes requests through one module at once: the counter grants each, and a backend answers it. */
+/**
+ * Runs requests through one policy from start to end: the counter accepts each request, and a
+ * backend responds to it.
+ */
 final class RequestCycle {
 
-  private static final double COUNTER_MS = 1;
-  private static final double BACKEND_MS = 20;
+  private static final double COUNTER_LATENCY_MS = 1;
+  private static final double BACKEND_LATENCY_MS = 20;
 
   private final GatewayPolicy policy;
-  private final double apartMs;
+  private final double intervalMs;
   private double nowMs;
-  private double wakeAtMs;
+  private double nextTimerMs;
   private long served;
-  private long refused;
-  private int number;
+  private long rejected;
+  private int nextRequest;
 
   /**
-   * Requests that come so far apart, so that of customers drawn evenly each asks for one unit a
-   * second, which is half of what the plan gives.
+   * Creates a cycle whose interval between requests is such that each customer, if customers are
+   * drawn evenly and each request costs one unit, uses one unit per second. This is half of the
+   * plan's rate.
    */
   RequestCycle(GatewayPolicy policy, double nowMs, int customers) {
     this.policy = policy;
-    apartMs = 1000.0 / customers;
+    intervalMs = 1000.0 / customers;
     this.nowMs = nowMs;
   }
 
@@ -42,17 +46,17 @@
     return served;
   }
 
-  long refused() {
-    return refused;
+  long rejected() {
+    return rejected;
   }
 
-  /** One request of that customer, to its final answer. */
+  /** Runs one request of a customer up to its final response. */
   void serve(long customer, double units) {
-    nowMs += apartMs;
-    if (nowMs >= wakeAtMs) {
-      policy.on(nowMs, new TimerFired(Timer.REQUEST_CHECK)).forEach(this::follow);
+    nowMs += intervalMs;
+    if (nowMs >= nextTimerMs) {
+      policy.on(nowMs, new TimerFired(Timer.REQUEST_CHECK)).forEach(this::execute);
     }
-    String id = Integer.toString(number++, 36);
+    String id = Integer.toString(nextRequest++, 36);
     List<Action> actions =
         policy.on(
             nowMs,
@@ -65,27 +69,37 @@
                 units,
                 nowMs + ScaleSettings.CLASS.deadlineMs()));
     for (Action action : actions) {
-      follow(action);
+      execute(action);
     }
   }
 
-  private void follow(Action action) {
-    if (action instanceof IncrementCounter add) {
+  private void execute(Action action) {
+    if (action instanceof IncrementCounter increment) {
       policy
-          .on(nowMs, new CounterReplied(add.counterName(), Status.OK, add.amount(), COUNTER_MS))
-          .forEach(this::follow);
-    } else if (action instanceof StartAttempt send) {
+          .on(
+              nowMs,
+              new CounterReplied(
+                  increment.counterName(), Status.OK, increment.amount(), COUNTER_LATENCY_MS))
+          .forEach(this::execute);
+    } else if (action instanceof StartAttempt start) {
       served++;
       policy
           .on(
               nowMs,
               new AttemptEnded(
-                  send.requestId(), 0, send.endpointId(), Status.OK, BACKEND_MS, true, 0, null))
-          .forEach(this::follow);
+                  start.requestId(),
+                  0,
+                  start.endpointId(),
+                  Status.OK,
+                  BACKEND_LATENCY_MS,
+                  true,
+                  0,
+                  null))
+          .forEach(this::execute);
     } else if (action instanceof RejectRequest) {
-      refused++;
-    } else if (action instanceof ScheduleTimer wake) {
-      wakeAtMs = wake.atMs();
+      rejected++;
+    } else if (action instanceof ScheduleTimer schedule) {
+      nextTimerMs = schedule.atMs();
     }
   }
 }
--- a/src/test/java/quotagateway/scale/ScaleCommand.java
+++ b/src/test/java/quotagateway/scale/ScaleCommand.java
@@ -14,13 +14,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command of the scale tests; deploy/scale.sh builds and starts it. */
+/** Command line of the scale tests; deploy/scale.sh builds and starts it. */
 @Command(
     name = "scale",
     mixinStandardHelpOptions = true,
     sortOptions = false,
     description =
-        "Measures how the gateway, the counter and discovery grow with the size of the fleet.")
+        "Measures how the costs of the gateway, the counter and discovery grow with the fleet.")
 public final class ScaleCommand implements Callable<Integer> {
 
   private static final List<Sweep> SWEEPS =
@@ -36,41 +36,42 @@
           new ShardSweep(),
           new IncidentSweep());
 
-  @Parameters(
-      paramLabel = "SWEEP",
-      description = "Sweeps to run; all in their order if none is named.")
+  @Parameters(paramLabel = "SWEEP", description = "Sweeps to run; all sweeps if none is named.")
   private List<String> names = new ArrayList<>();
 
   @Option(
       names = "--quick",
-      description = "Small sizes, under a minute in all: shows that the tests work.")
+      description = "Small sizes, less than a minute in total: checks that the sweeps work.")
   private boolean quick;
 
   @Option(
       names = "--seed",
       defaultValue = "1",
-      description = "Seed of random numbers (${DEFAULT-VALUE}).")
+      description = "Seed of the random numbers (default: ${DEFAULT-VALUE}).")
   private long seed;
 
   @Option(
       names = "--seconds",
       defaultValue = "20",
-      description = "Bound on the measuring at each size, in seconds (${DEFAULT-VALUE}).")
+      description = "Maximum measuring time at each size, in seconds (default: ${DEFAULT-VALUE}).")
   private double seconds;
 
   @Option(
       names = "--out",
-      description = "File to which the JSON lines are added; else standard output.")
+      description = "File to which the JSON lines are appended (default: standard output).")
   private Path out;
 
-  @Option(names = "--label", defaultValue = "here", description = "Name of the version measured.")
+  @Option(
+      names = "--label",
+      defaultValue = "here",
+      description = "Label of the measured version (default: ${DEFAULT-VALUE}).")
   private String label;
 
   @Option(
       names = "--against",
       description =
-          "Another built working copy of the program, to be measured "
-              + "beside this one, sweep by sweep, with its own test classes where it has them.")
+          "Another built working copy of the gateway, measured after this one, "
+              + "sweep by sweep, with its own test classes if it has them.")
   private Path against;
 
   public static void main(String[] arguments) {
@@ -79,10 +80,11 @@
 
   @Override
   public Integer call() throws Exception {
-    List<Sweep> chosen =
+    List<Sweep> selected =
         SWEEPS.stream().filter(s -> names.isEmpty() || names.contains(s.name())).toList();
-    if (chosen.size() < Math.max(1, names.size())) {
-      System.err.println("sweeps are " + SWEEPS.stream().map(Sweep::name).toList());
+    if (selected.size() < Math.max(1, names.size())) {
+      System.err.println(
+          "unknown sweep; available sweeps: " + SWEEPS.stream().map(Sweep::name).toList());
       return CommandLine.ExitCode.USAGE;
     }
     Sweep.Plan plan =
@@ -93,38 +95,38 @@
             label,
             OtherVersion.programClasses());
     if (out == null) {
-      // Standard output stays open: the tables go there too.
-      play(chosen, plan, new PrintWriter(System.out, true, StandardCharsets.UTF_8));
+      // Standard output must stay open because the tables are printed there too.
+      runSweeps(selected, plan, new PrintWriter(System.out, true, StandardCharsets.UTF_8));
     } else {
       try (Writer lines =
           Files.newBufferedWriter(
               out, StandardCharsets.UTF_8, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
-        play(chosen, plan, lines);
+        runSweeps(selected, plan, lines);
       }
     }
     return CommandLine.ExitCode.OK;
   }
 
-  /** Plays the sweeps one by one, each on the other version too where one is named. */
-  private void play(List<Sweep> chosen, Sweep.Plan plan, Writer lines) throws Exception {
-    for (Sweep sweep : chosen) {
+  /** Runs the sweeps in order, each also on the other version if one is given. */
+  private void runSweeps(List<Sweep> selected, Sweep.Plan plan, Writer lines) throws Exception {
+    for (Sweep sweep : selected) {
       sweep.run(plan, new Report(lines, System.out));
       if (against != null) {
-        new OtherVersion(against).run(sweep, arguments());
+        new OtherVersion(against).run(sweep, sharedArguments());
       }
     }
   }
 
-  /** The options that a run of the other version shares with this one. */
-  private List<String> arguments() {
-    List<String> shared =
+  /** Returns the options for a run of the other version. */
+  private List<String> sharedArguments() {
+    List<String> options =
         new ArrayList<>(List.of("--seed=" + seed, "--seconds=" + seconds, "--label=other"));
     if (quick) {
-      shared.add("--quick");
+      options.add("--quick");
     }
     if (out != null) {
-      shared.add("--out=" + out.toAbsolutePath());
+      options.add("--out=" + out.toAbsolutePath());
     }
-    return shared;
+    return options;
   }
 }
--- a/src/test/java/quotagateway/scale/ScaleTest.java
+++ b/src/test/java/quotagateway/scale/ScaleTest.java
@@ -33,7 +33,8 @@
 import quotagateway.testing.WireFormats;
 
 /**
- * The scale tests themselves: stand-ins, figures, and the quick form of each sweep; never a time.
+ * Tests the scale tests themselves: the models, the statistics and the quick form of each sweep. No
+ * test asserts a measured time.
  */
 @Timeout(180)
 class ScaleTest {
@@ -41,23 +42,23 @@
   private final VirtualTime time = new VirtualTime(0);
 
   @Test
-  void virtualTimeRunsTasksInOrderAndNoneTwice() {
-    List<String> done = new ArrayList<>();
-    time.at(20, () -> done.add("c"));
-    time.at(
+  void virtualTimeRunsDueTasksOnceInOrder() {
+    List<String> completed = new ArrayList<>();
+    time.scheduleAt(20, () -> completed.add("c"));
+    time.scheduleAt(
         10,
         () -> {
-          done.add("a");
-          time.after(0, () -> done.add("b"));
+          completed.add("a");
+          time.scheduleAfter(0, () -> completed.add("b"));
         });
-    time.at(31, () -> done.add("late"));
+    time.scheduleAt(31, () -> completed.add("late"));
     time.runUntil(30);
-    assertEquals(List.of("a", "b", "c"), done);
+    assertEquals(List.of("a", "b", "c"), completed);
     assertEquals(30, time.now());
   }
 
   @Test
-  void growthIsFittedAndTheBudgetsCrossingFound() {
+  void growthFitsLinearPointsAndFindsBudgetCrossing() {
     List<Growth.Point> linear =
         List.of(new Growth.Point(10, 30), new Growth.Point(100, 300), new Growth.Point(1000, 3000));
     Growth growth = Growth.fit(linear);
@@ -68,108 +69,108 @@
     assertEquals(10, Growth.crossing(linear, 1));
   }
 
-  /** Answers of a counter shard, with the ends of connections beside its lines. */
-  private static final class Answers implements CounterShard.Answer {
+  /** Records the replies of a counter shard and the failures of its connections. */
+  private static final class RecordedReplies implements CounterShard.ReplyHandler {
     final List<String> seen = new ArrayList<>();
 
     @Override
-    public void line(String text) {
+    public void onReply(String text) {
       seen.add(text);
     }
 
     @Override
-    public void refused() {
+    public void onConnectionRefused() {
       seen.add("refused");
     }
 
     @Override
-    public void cut() {
+    public void onReset() {
       seen.add("cut");
     }
   }
 
   @Test
-  void aCounterShardKeepsToThePublishedProtocol() {
+  void counterShardFollowsPublishedProtocol() {
     CounterShard shard = new CounterShard(time, 1, 10);
-    Answers answers = new Answers();
-    shard.call("incr a 2.5 100", answers);
-    shard.call("incr a -1 100000", answers);
-    shard.call("incr a", answers);
-    shard.call("incr b 1e10 100", answers);
-    shard.call("decr b 1 100", answers);
-    shard.call("incr c 1234567.89 100", answers);
+    RecordedReplies replies = new RecordedReplies();
+    shard.call("incr a 2.5 100", replies);
+    shard.call("incr a -1 100000", replies);
+    shard.call("incr a", replies);
+    shard.call("incr b 1e10 100", replies);
+    shard.call("decr b 1 100", replies);
+    shard.call("incr c 1234567.89 100", replies);
     time.runUntil(50);
     assertEquals(
         List.of("ok 2.500000", "ok 1.500000", "error", "error", "error", "ok 1234568"),
-        answers.seen);
-    answers.seen.clear();
+        replies.seen);
+    replies.seen.clear();
     time.runUntil(200);
-    shard.call("incr a 1 100", answers);
+    shard.call("incr a 1 100", replies);
     time.runUntil(300);
-    assertEquals(List.of("ok 1"), answers.seen, "a name lives as long as it was told first");
+    assertEquals(List.of("ok 1"), replies.seen, "the TTL of a name is that of its first call");
   }
 
   @Test
-  void aCounterShardTurnsAwayWhatWouldWaitTooLong() {
+  void counterShardRejectsCallsWhenQueueIsTooLong() {
     CounterShard shard = new CounterShard(time, 5, 10);
-    Answers answers = new Answers();
+    RecordedReplies replies = new RecordedReplies();
     for (int i = 0; i < 4; i++) {
-      shard.call("incr a 1 1000", answers);
+      shard.call("incr a 1 1000", replies);
     }
     time.runUntil(100);
-    assertEquals(List.of("busy", "ok 1", "ok 2", "ok 3"), answers.seen);
+    assertEquals(List.of("busy", "ok 1", "ok 2", "ok 3"), replies.seen);
   }
 
   @Test
-  void aCounterShardFailsAsARealOneDoes() {
+  void counterShardModelsDownSilentAndRestart() {
     CounterShard shard = new CounterShard(time, 1, 10);
-    Answers answers = new Answers();
-    shard.call("incr a 1 60000", answers);
+    RecordedReplies replies = new RecordedReplies();
+    shard.call("incr a 1 60000", replies);
     time.runUntil(5);
-    shard.call("incr a 1 60000", answers);
+    shard.call("incr a 1 60000", replies);
     shard.fail(CounterShard.Health.DOWN);
-    shard.call("incr a 1 60000", answers);
+    shard.call("incr a 1 60000", replies);
     time.runUntil(10);
-    assertEquals(List.of("ok 1", "refused", "cut"), answers.seen);
+    assertEquals(List.of("ok 1", "refused", "cut"), replies.seen);
     shard.restart(true);
-    shard.call("incr a 1 60000", answers);
+    shard.call("incr a 1 60000", replies);
     time.runUntil(20);
     shard.fail(CounterShard.Health.SILENT);
-    shard.call("incr a 1 60000", answers);
+    shard.call("incr a 1 60000", replies);
     time.runUntil(30);
     shard.restart(false);
-    shard.call("incr a 1 60000", answers);
+    shard.call("incr a 1 60000", replies);
     time.runUntil(40);
-    assertEquals(List.of("ok 1", "refused", "cut", "ok 2", "ok 1"), answers.seen);
+    assertEquals(List.of("ok 1", "refused", "cut", "ok 2", "ok 1"), replies.seen);
   }
 
   @Test
-  void aBackendAnswersQueuesAndFails() {
+  void backendModelServesQueuesRejectsAndFails() {
     BackendModel backend = new BackendModel(10, 0, new SplittableRandom(1));
-    BackendModel.Ending ending = backend.attempt(0, 4_000);
-    assertEquals(Status.OK, ending.status());
+    BackendModel.Outcome outcome = backend.attempt(0, 4_000);
+    assertEquals(Status.OK, outcome.status());
     for (int i = 0; i < 500; i++) {
-      ending = backend.attempt(0, 4_000);
+      outcome = backend.attempt(0, 4_000);
     }
-    assertEquals(Status.REJECTED, ending.status());
+    assertEquals(Status.REJECTED, outcome.status());
     assertEquals(Status.TIMED_OUT, backend.attempt(100_000, 0.01).status());
-    BackendModel.Ending planned = backend.attempt(200_000, 4_000);
-    backend.fail(BackendModel.Health.DIED, 200_000.1);
-    assertEquals(Status.RESET, backend.revised(planned, 200_000).status());
+    BackendModel.Outcome planned = backend.attempt(200_000, 4_000);
+    backend.fail(BackendModel.Health.CRASHED, 200_000.1);
+    assertEquals(Status.RESET, backend.actualOutcome(planned, 200_000).status());
     assertEquals(Status.CONNECT_FAILED, backend.attempt(200_001, 4_000).status());
   }
 
   @Test
-  void theListIsReadByTheProgramAndItsChangesNameTheSameBackends() throws IOException {
+  void gatewayDecodesSnapshotsAndDeltasOfListModel() throws IOException {
     EndpointListModel model = new EndpointListModel(57, 7070, 3);
-    EndpointsUpdated whole = WireFormats.readEndpointList(bytes(model.wholeMessage()));
-    assertEquals(EndpointListForm.SNAPSHOT, whole.form());
-    assertEquals(model.entries(), whole.endpoints());
-    List<EndpointListModel.Change> changes = model.replaceOne(5);
-    EndpointsUpdated told = WireFormats.readEndpointList(bytes(model.changeMessage(changes)));
-    assertEquals(EndpointListForm.DELTA, told.form());
-    assertEquals(changes.stream().map(EndpointListModel::entry).toList(), told.endpoints());
-    assertEquals(3, model.zone(1, EndpointState.REMOVED).size());
+    EndpointsUpdated snapshot = WireFormats.readEndpointList(bytes(model.snapshotMessage()));
+    assertEquals(EndpointListForm.SNAPSHOT, snapshot.form());
+    assertEquals(model.entries(), snapshot.endpoints());
+    List<EndpointListModel.Change> changes = model.replaceRandomBackend(5);
+    EndpointsUpdated delta = WireFormats.readEndpointList(bytes(model.deltaMessage(changes)));
+    assertEquals(EndpointListForm.DELTA, delta.form());
+    assertEquals(changes.stream().map(EndpointListModel::entry).toList(), delta.endpoints());
+    assertEquals(3, model.zoneChanges(1, EndpointState.REMOVED).size());
     assertEquals(57, model.size());
   }
 
@@ -178,59 +179,59 @@
   }
 
   @Test
-  void everyRequestOfAHollowFleetEndsOnceAndASeedRepeatsItself() {
-    FleetFigures first = play(3, 5);
-    FleetFigures again = play(3, 5);
-    FleetFigures other = play(3, 6);
-    long ended = first.served + first.refused + first.failed;
+  void simulatedFleetEndsRequestsAndIsReproducibleBySeed() {
+    FleetStatistics first = runFleet(3, 5);
+    FleetStatistics again = runFleet(3, 5);
+    FleetStatistics other = runFleet(3, 6);
+    long ended = first.served + first.rejected + first.failed;
     assertTrue(
-        Math.abs(first.asked - ended) < first.asked / 20,
-        first.asked + " asked, " + ended + " ended");
+        Math.abs(first.received - ended) < first.received / 20,
+        first.received + " received, " + ended + " ended");
     assertEquals(first.served, again.served);
     assertEquals(first.counterBytes, again.counterBytes);
     assertEquals(first.addedMicros, again.addedMicros);
     assertFalse(first.served == other.served && first.counterBytes == other.counterBytes);
   }
 
-  private static FleetFigures play(int spread, long seed) {
-    HollowFleet fleet = new HollowFleet(FleetOptions.of(6, spread, 200, seed));
+  private static FleetStatistics runFleet(int spread, long seed) {
+    SimulatedFleet fleet = new SimulatedFleet(FleetOptions.of(6, spread, 200, seed));
     fleet.run(4_000);
     return fleet.run(4_000).others();
   }
 
-  /** With one entry point nothing is shared, so the true stores and the module must agree. */
+  /** With one gateway per customer no quota is shared, so the ledger and the policy must agree. */
   @Test
-  void throughOneGatewayTheStandInsAndTheModuleAgreeOnTheQuota() {
-    FleetFigures figures = play(1, 1);
-    assertTrue(figures.refused > 0 && figures.served > 0);
+  void policyAndLedgerAgreeOnQuotaWithOneGatewayPerCustomer() {
+    FleetStatistics figures = runFleet(1, 1);
+    assertTrue(figures.rejected > 0 && figures.served > 0);
     assertTrue(
-        figures.refusedWithRoomShare() < 0.01,
-        figures.refusedWithRoomShare() + " refused with room");
-    assertTrue(figures.beyondShare() < 0.01, figures.beyondShare() + " sent beyond");
+        figures.rejectedWithinQuotaShare() < 0.01,
+        figures.rejectedWithinQuotaShare() + " rejected within quota");
+    assertTrue(figures.beyondShare() < 0.01, figures.beyondShare() + " sent beyond quota");
   }
 
   @Test
-  void discoveryFallsSilentTellsLateOrInPartAndMakesUpForIt() {
-    HollowFleet fleet = new HollowFleet(FleetOptions.of(4, 2, 100, 1));
-    fleet.discovery().become(DiscoveryModel.Health.SILENT);
-    fleet.replaceOne();
+  void discoveryModelPublishesPendingChangesAfterFailures() {
+    SimulatedFleet fleet = new SimulatedFleet(FleetOptions.of(4, 2, 100, 1));
+    fleet.discovery().setHealth(DiscoveryModel.Health.SILENT);
+    fleet.replaceRandomBackend();
     assertEquals(0, fleet.run(3_000).others().endpointListMessages);
-    fleet.discovery().become(DiscoveryModel.Health.LATE);
-    fleet.replaceOne();
+    fleet.discovery().setHealth(DiscoveryModel.Health.LATE);
+    fleet.replaceRandomBackend();
     assertEquals(0, fleet.run(3_000).others().endpointListMessages);
     assertEquals(4, fleet.run(3_000).others().endpointListMessages);
-    fleet.discovery().become(DiscoveryModel.Health.PARTIAL);
-    fleet.replaceOne();
+    fleet.discovery().setHealth(DiscoveryModel.Health.PARTIAL);
+    fleet.replaceRandomBackend();
     assertEquals(4, fleet.run(3_000).others().endpointListMessages);
-    fleet.discovery().become(DiscoveryModel.Health.UP);
+    fleet.discovery().setHealth(DiscoveryModel.Health.UP);
     assertEquals(4, fleet.run(3_000).others().endpointListMessages);
   }
 
   @Test
-  void theAgentTellsTheListFirstThenChangesAndCutsOrFallsSilent() throws IOException {
+  void discoveryAgentSendsListThenChangesAndTruncatesMessages() throws IOException {
     EndpointListModel model = new EndpointListModel(20, 7070, 1);
-    model.changeMessage(List.of());
-    try (DiscoveryAgent agent = new DiscoveryAgent(model.wholeMessage(), model.version());
+    model.deltaMessage(List.of());
+    try (DiscoveryAgent agent = new DiscoveryAgent(model.snapshotMessage(), model.version());
         Socket watch = new Socket(InetAddress.getLoopbackAddress(), agent.port())) {
       watch.setSoTimeout(20_000);
       watch
@@ -238,22 +239,22 @@
           .write(bytes("GET /discovery/hosts?stream=1&index=0 HTTP/1.1\r\n\r\n"));
       BufferedReader in =
           new BufferedReader(new InputStreamReader(watch.getInputStream(), StandardCharsets.UTF_8));
-      assertTrue(message(in).contains("\"full\":true"));
-      // The list is told before the watch is among those that hear of changes.
-      String change = model.changeMessage(model.replaceOne(1));
+      assertTrue(readMessage(in).contains("\"full\":true"));
+      // The agent sends the list before it registers the watch for changes.
+      String change = model.deltaMessage(model.replaceRandomBackend(1));
       while (agent.watching() == 0) {
         Thread.onSpinWait();
       }
       agent.tell(change);
-      assertTrue(message(in).contains("\"leaving\""));
+      assertTrue(readMessage(in).contains("\"leaving\""));
       agent.cut(change, 40);
       String rest = in.lines().reduce("", String::concat);
-      assertFalse(rest.contains("]}"), "the message was cut: " + rest);
+      assertFalse(rest.contains("]}"), "the message must be truncated: " + rest);
       assertEquals(1, agent.opened());
     }
   }
 
-  private static String message(BufferedReader in) throws IOException {
+  private static String readMessage(BufferedReader in) throws IOException {
     String line = in.readLine();
     while (!line.startsWith("{")) {
       line = in.readLine();
@@ -262,29 +263,33 @@
   }
 
   /**
-   * The quick form as a whole: each sweep gives every figure at every size, and each figure makes
-   * sense.
+   * Runs all sweeps in their quick form: each reports all of its metrics at every size, with
+   * plausible values. The shards and incidents sweeps are exempt from the check that sizes have the
+   * same metrics.
    */
   @Test
-  void theQuickFormOfEverySweepGivesAllItsFigures(@TempDir Path folder) throws IOException {
+  void quickSweepsReportAllMetrics(@TempDir Path folder) throws IOException {
     Path out = folder.resolve("out.jsonl");
-    int code =
+    int exitCode =
         new CommandLine(new ScaleCommand())
             .execute("--quick", "--seconds=0.3", "--seed=2", "--out=" + out);
-    assertEquals(0, code);
+    assertEquals(0, exitCode);
     Map<String, Map<Double, Set<String>>> metrics = new TreeMap<>();
     ObjectMapper json = new ObjectMapper();
     for (String line : Files.readAllLines(out)) {
-      JsonNode m = json.readTree(line);
-      double median = m.get("median").asDouble();
-      String metric = m.get("metric").asText();
+      JsonNode measurement = json.readTree(line);
+      double median = measurement.get("median").asDouble();
+      String metric = measurement.get("metric").asText();
       assertTrue(Double.isFinite(median), line);
-      assertTrue(m.get("least").asDouble() <= median && median <= m.get("most").asDouble(), line);
+      assertTrue(
+          measurement.get("least").asDouble() <= median
+              && median <= measurement.get("most").asDouble(),
+          line);
       assertTrue(!metric.endsWith("_share") || (median >= 0 && median <= 1), line);
-      assertEquals(2, m.get("seed").asInt());
+      assertEquals(2, measurement.get("seed").asInt());
       metrics
-          .computeIfAbsent(m.get("sweep").asText(), s -> new TreeMap<>())
-          .computeIfAbsent(m.get("size").asDouble(), s -> new TreeSet<>())
+          .computeIfAbsent(measurement.get("sweep").asText(), s -> new TreeMap<>())
+          .computeIfAbsent(measurement.get("size").asDouble(), s -> new TreeSet<>())
           .add(metric);
     }
     assertEquals(
@@ -301,20 +306,21 @@
             "incidents"),
         metrics.keySet());
     assertTrue(
-        metrics.get("program").get(1_000.0).contains("zone_hold_ms"), "the program took no list");
+        metrics.get("program").get(1_000.0).contains("zone_hold_ms"),
+        "the gateway accepted no list");
     metrics.forEach(
         (sweep, sizes) -> {
           if (!sweep.equals("shards") && !sweep.equals("incidents")) {
             assertEquals(
                 1,
                 Set.copyOf(sizes.values()).size(),
-                sweep + " lacks figures at some size: " + sizes);
+                sweep + " lacks metrics at some size: " + sizes);
           }
         });
   }
 
   @Test
-  void anUnknownSweepIsAnErrorOfUse() {
+  void unknownSweepIsUsageError() {
     assertEquals(
         CommandLine.ExitCode.USAGE, new CommandLine(new ScaleCommand()).execute("nothing"));
   }
--- a/src/test/java/quotagateway/scale/SpreadSweep.java
+++ b/src/test/java/quotagateway/scale/SpreadSweep.java
@@ -1,6 +1,9 @@
 package quotagateway.scale;
 
-/** Through how many gateways a customer comes, at the same number of gateways and the same load. */
+/**
+ * Measures a fleet by the number of gateways over which each customer's requests are spread, with
+ * the same gateways and load.
+ */
 final class SpreadSweep implements Sweep {
 
   private static final int GATEWAYS = 200;
@@ -21,9 +24,9 @@
           plan.quick()
               ? FleetOptions.of(10, spread, 300, plan.seed())
               : FleetOptions.of(GATEWAYS, spread, REQUESTS_PER_SECOND, plan.seed());
-      HollowFleet fleet = new HollowFleet(options);
+      SimulatedFleet fleet = new SimulatedFleet(options);
       fleet.run(plan.quick() ? SETTLING_MS / 3 : SETTLING_MS);
-      HollowFleet.Span span = fleet.run(plan.quick() ? MEASURED_MS / 4 : MEASURED_MS);
+      SimulatedFleet.Span span = fleet.run(plan.quick() ? MEASURED_MS / 4 : MEASURED_MS);
       figures.decisions(spread, "", span.others());
       figures.roles(spread, span, options.gateways());
     }
--- a/src/test/java/quotagateway/scale/Stopwatch.java
+++ b/src/test/java/quotagateway/scale/Stopwatch.java
@@ -5,8 +5,8 @@
 import java.util.Arrays;
 
 /**
- * Processor time of the calling thread, which other programs on the machine disturb less than the
- * clock.
+ * Measures processor time of the calling thread, which other processes on the machine affect less
+ * than elapsed time.
  */
 final class Stopwatch {
 
@@ -15,30 +15,35 @@
 
   private Stopwatch() {}
 
-  /** Processor time of this thread since its start, in milliseconds. */
+  /** Returns the processor time of this thread since its start, in milliseconds. */
   static double cpuMs() {
     return THREADS.getCurrentThreadCpuTime() / NANOS_PER_MS;
   }
 
-  /** Time of the monotonic clock, in milliseconds. */
+  /** Returns the time of the monotonic clock in milliseconds. */
   static double wallMs() {
     return System.nanoTime() / NANOS_PER_MS;
   }
 
-  /** Processor times of a task in milliseconds, repeated for so long or so often, once at least. */
-  static double[] repeat(int most, double seconds, Runnable task) {
-    double until = wallMs() + 1000 * seconds;
-    double[] times = new double[most];
-    int done = 0;
+  /**
+   * Runs a task repeatedly and returns the processor time of each run in milliseconds.
+   *
+   * @param maxRuns maximum number of runs
+   * @param seconds elapsed time after which no further run starts; the first run always does
+   */
+  static double[] repeat(int maxRuns, double seconds, Runnable task) {
+    double endMs = wallMs() + 1000 * seconds;
+    double[] times = new double[maxRuns];
+    int runs = 0;
     do {
-      double from = cpuMs();
+      double startMs = cpuMs();
       task.run();
-      times[done++] = cpuMs() - from;
-    } while (done < most && wallMs() < until);
-    return Arrays.copyOf(times, done);
+      times[runs++] = cpuMs() - startMs;
+    } while (runs < maxRuns && wallMs() < endMs);
+    return Arrays.copyOf(times, runs);
   }
 
-  /** Bytes of the heap in use after collections. */
+  /** Returns the heap bytes in use after garbage collections. */
   static long liveHeap() {
     for (int i = 0; i < 2; i++) {
       System.gc();
--- a/src/test/java/quotagateway/scale/Sweep.java
+++ b/src/test/java/quotagateway/scale/Sweep.java
@@ -2,36 +2,37 @@
 
 import java.io.IOException;
 
-/** One scale test: measures the program at several values of one size. */
+/** A scale test that measures the gateway or its models at several values of one parameter. */
 interface Sweep {
 
   String name();
 
   /**
-   * Measures each size until the time given is used up; a size that was not reached is left out.
+   * Measures the sizes of the plan and adds the measurements to the report.
    *
-   * @throws IOException if a stand-in cannot listen or a measured process cannot start
-   * @throws InterruptedException if the thread is told to end
+   * @throws IOException if a fake cannot listen or a measured process cannot start
+   * @throws InterruptedException if the thread is interrupted
    */
   void run(Plan plan, Report report) throws IOException, InterruptedException;
 
   /**
-   * What a run may take.
+   * The options of a run.
    *
-   * @param quick small sizes only: shows that the test works, its figures mean little
-   * @param seed of all random numbers
-   * @param secondsEach bound on the time of each size
-   * @param version label of the program's version that is measured
-   * @param programClasses folder or jar of the program's classes, for tests that start it as a
-   *     process
+   * @param quick whether to use small sizes only, which checks that the sweep works but gives no
+   *     meaningful figures
+   * @param seed seed of all random numbers
+   * @param secondsEach maximum measuring time of each size
+   * @param version label of the measured version of the gateway
+   * @param programClasses folder or jar of the gateway's classes, for sweeps that start the gateway
+   *     as a process
    */
   record Plan(boolean quick, long seed, double secondsEach, String version, String programClasses) {
     Measurement.Subject subject(Sweep sweep, String parameter) {
       return new Measurement.Subject(sweep.name(), version, parameter, seed);
     }
 
-    int[] sizes(int[] quickly, int[] fully) {
-      return quick ? quickly : fully;
+    int[] sizes(int[] quickSizes, int[] fullSizes) {
+      return quick ? quickSizes : fullSizes;
     }
   }
 }
--- a/src/test/java/quotagateway/scale/TenantSweep.java
+++ b/src/test/java/quotagateway/scale/TenantSweep.java
@@ -8,18 +8,20 @@
 import quotagateway.policy.event.EndpointsUpdated;
 
 /**
- * Customers that one gateway has met within a minute: memory of their accounts, and cost of a
- * request.
+ * Measures the memory of customer accounts and the cost of a request by the number of customers
+ * that one gateway serves.
  */
 final class TenantSweep implements Sweep {
 
   private static final int BACKENDS = 200;
   private static final int BATCHES = 20;
 
-  /** Accounts held together when their heap is measured: enough that nothing else matters. */
-  private static final int MIN_HELD = 100_000;
+  /**
+   * Minimum number of accounts held for the heap measurement, so that other memory is negligible.
+   */
+  private static final int MIN_ACCOUNTS_HELD = 100_000;
 
-  private static final int MAX_BATCH = 10_000;
+  private static final int BATCH_SIZE = 10_000;
 
   @Override
   public String name() {
@@ -41,49 +43,52 @@
   }
 
   private static void measure(Measurement.Subject subject, int size, Plan plan, Report report) {
-    int held = plan.quick() ? MIN_HELD / 10 : MIN_HELD;
-    RequestCycle[] copies = new RequestCycle[Math.max(1, held / size)];
+    int accounts = plan.quick() ? MIN_ACCOUNTS_HELD / 10 : MIN_ACCOUNTS_HELD;
+    RequestCycle[] cycles = new RequestCycle[Math.max(1, accounts / size)];
     EndpointsUpdated endpointList =
         new EndpointsUpdated(
             EndpointListForm.CACHED_SNAPSHOT,
             new EndpointListModel(BACKENDS, 7070, plan.seed()).entries());
-    for (int i = 0; i < copies.length; i++) {
+    for (int i = 0; i < cycles.length; i++) {
       GatewayPolicy policy = new GatewayPolicy(ScaleSettings.of(2_000, i), plan.seed());
       policy.start(0);
       policy.on(1, endpointList);
-      copies[i] = new RequestCycle(policy, 1_000, size);
-      RequestCycle cycle = copies[i];
+      cycles[i] = new RequestCycle(policy, 1_000, size);
+      RequestCycle cycle = cycles[i];
       IntStream.range(0, BACKENDS).forEach(n -> cycle.serve(-1 - n, 1));
     }
-    long before = Stopwatch.liveHeap();
-    for (RequestCycle cycle : copies) {
+    long initialHeap = Stopwatch.liveHeap();
+    for (RequestCycle cycle : cycles) {
       IntStream.range(0, size).forEach(customer -> cycle.serve(customer, 1));
     }
-    double heap = (Stopwatch.liveHeap() - before) / (double) copies.length;
-    RequestCycle cycle = copies[0];
+    double heap = (Stopwatch.liveHeap() - initialHeap) / (double) cycles.length;
+    RequestCycle cycle = cycles[0];
     report.add(Measurement.of(subject, size, "heap_bytes_each", heap / size));
     report.add(Measurement.of(subject, size, "heap_mb", heap / 1048576.0));
-    report.add(Measurement.of(subject, size, "request_us", requests(cycle, size, plan)));
+    report.add(Measurement.of(subject, size, "request_us", measureRequests(cycle, size, plan)));
   }
 
-  /** Requests of customers drawn evenly, so that the accounts are read from all over the memory. */
-  private static double[] requests(RequestCycle cycle, int size, Plan plan) {
+  /**
+   * Measures requests of evenly drawn customers, so that accounts are read from scattered memory.
+   */
+  private static double[] measureRequests(RequestCycle cycle, int size, Plan plan) {
     SplittableRandom random = new SplittableRandom(plan.seed());
-    int batch = plan.quick() ? MAX_BATCH / 10 : MAX_BATCH;
+    int batchSize = plan.quick() ? BATCH_SIZE / 10 : BATCH_SIZE;
     double[] times =
         Stopwatch.repeat(
             BATCHES,
             plan.secondsEach(),
             () -> {
-              for (int i = 0; i < batch; i++) {
+              for (int i = 0; i < batchSize; i++) {
                 cycle.serve(random.nextInt(size), 1);
               }
             });
-    if (cycle.refused() > cycle.served() / 10) {
-      throw new IllegalStateException(cycle.refused() + " refused, " + cycle.served() + " served");
+    if (cycle.rejected() > cycle.served() / 10) {
+      throw new IllegalStateException(
+          cycle.rejected() + " requests rejected, " + cycle.served() + " served");
     }
     for (int i = 0; i < times.length; i++) {
-      times[i] *= 1000.0 / batch;
+      times[i] *= 1000.0 / batchSize;
     }
     return times;
   }
--- a/src/test/java/quotagateway/scale/VirtualTime.java
+++ b/src/test/java/quotagateway/scale/VirtualTime.java
@@ -4,17 +4,17 @@
 import java.util.PriorityQueue;
 
 /**
- * A clock that jumps from task to task, in milliseconds; tasks of one moment run in the order they
- * came.
+ * A virtual clock in milliseconds that advances from task to task. Tasks scheduled for the same
+ * time run in the order in which they were scheduled.
  */
 final class VirtualTime {
 
-  private record Task(double atMs, long order, Runnable work) {}
+  private record Task(double atMs, long order, Runnable action) {}
 
   private final PriorityQueue<Task> tasks =
       new PriorityQueue<>(Comparator.comparingDouble(Task::atMs).thenComparingLong(Task::order));
   private double nowMs;
-  private long scheduled;
+  private long nextOrder;
 
   VirtualTime(double startMs) {
     nowMs = startMs;
@@ -24,21 +24,21 @@
     return nowMs;
   }
 
-  /** Runs the work then, or next if that moment is past. */
-  void at(double atMs, Runnable work) {
-    tasks.add(new Task(Math.max(atMs, nowMs), scheduled++, work));
+  /** Schedules a task at a time, or at the current time if that time is past. */
+  void scheduleAt(double atMs, Runnable action) {
+    tasks.add(new Task(Math.max(atMs, nowMs), nextOrder++, action));
   }
 
-  void after(double delayMs, Runnable work) {
-    at(nowMs + delayMs, work);
+  void scheduleAfter(double delayMs, Runnable action) {
+    scheduleAt(nowMs + delayMs, action);
   }
 
-  /** Runs all tasks up to that moment, which is the present then. */
+  /** Runs all tasks due up to the given time and advances the clock to it. */
   void runUntil(double untilMs) {
     while (!tasks.isEmpty() && tasks.peek().atMs <= untilMs) {
       Task task = tasks.poll();
       nowMs = task.atMs;
-      task.work.run();
+      task.action.run();
     }
     nowMs = untilMs;
   }
--- a/src/test/java/quotagateway/testing/DiscoveryAgent.java
+++ b/src/test/java/quotagateway/testing/DiscoveryAgent.java
@@ -99,8 +99,8 @@
   }
 
   /**
-   * Sets whether the agent is silent. A silent agent sends neither messages nor heartbeats, and does
-   * not respond to new watches.
+   * Sets whether the agent is silent. A silent agent sends neither messages nor heartbeats, and
+   * does not respond to new watches.
    */
   public void silence(boolean enabled) {
     silent = enabled;
@@ -193,10 +193,13 @@
       out.flush();
     }
 
-    /** Writes an error response whose body is a list without endpoints, head and body in one write. */
+    /**
+     * Writes an error response whose body is a list without endpoints, head and body in one write.
+     */
     void writeError() throws IOException {
       String list = EndpointListJson.list((int) version + 1, true) + "\n";
-      String response = responseHead("503 Service Unavailable") + FakeDiscovery.chunk(list) + "0\r\n\r\n";
+      String response =
+          responseHead("503 Service Unavailable") + FakeDiscovery.chunk(list) + "0\r\n\r\n";
       out.write(response.getBytes(StandardCharsets.US_ASCII));
       out.flush();
     }
@@ -212,7 +215,8 @@
       try {
         for (int from = 0; from < length; from += MAX_CHUNK_BYTES) {
           int chunkLength = Math.min(MAX_CHUNK_BYTES, length - from);
-          out.write((Integer.toHexString(chunkLength) + "\r\n").getBytes(StandardCharsets.US_ASCII));
+          out.write(
+              (Integer.toHexString(chunkLength) + "\r\n").getBytes(StandardCharsets.US_ASCII));
           out.write(message, from, chunkLength);
           out.write("\r\n".getBytes(StandardCharsets.US_ASCII));
           bytesWritten.addAndGet(chunkLength);
--- a/src/test/java/quotagateway/testing/GatewayFixture.java
+++ b/src/test/java/quotagateway/testing/GatewayFixture.java
@@ -18,8 +18,8 @@
 
 /**
  * A gateway on loopback with fakes of its peers: a backend, the counter, discovery, clients and
- * operators. The fixture opens the peers at creation or on request, starts the gateway when the test
- * asks for it, and closes all of them.
+ * operators. The fixture opens the peers at creation or on request, starts the gateway when the
+ * test asks for it, and closes all of them.
  */
 public final class GatewayFixture implements Closeable {
 
--- a/src/test/java/quotagateway/testing/GatewayProcess.java
+++ b/src/test/java/quotagateway/testing/GatewayProcess.java
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Returns a command that runs the given classes with this process's libraries and the Java options
-   * of the deploy file's run line.
+   * Returns a command that runs the given classes with this process's libraries and the Java
+   * options of the deploy file's run line.
    */
   public static List<String> commandOf(String programClasses, Path temporaryFolder)
       throws IOException {
@@ -93,7 +93,9 @@
     return process.isAlive();
   }
 
-  /** Returns the exit status of the ended process: 128 plus the signal number if a signal ended it. */
+  /**
+   * Returns the exit status of the ended process: 128 plus the signal number if a signal ended it.
+   */
   public int exitStatus() {
     return process.exitValue();
   }
@@ -118,7 +120,8 @@
     String[] fields = stat.substring(stat.lastIndexOf(')')).split(" ", -1);
     // Starts at the end of the command name: the name may contain spaces, which would shift fields.
     return MS_PER_TICK
-        * (Long.parseLong(fields[USER_TIME_FIELD - 1]) + Long.parseLong(fields[SYSTEM_TIME_FIELD - 1]));
+        * (Long.parseLong(fields[USER_TIME_FIELD - 1])
+            + Long.parseLong(fields[SYSTEM_TIME_FIELD - 1]));
   }
 
   /** Returns the peak resident memory in MiB. */
--- a/src/test/java/quotagateway/testing/WireFormats.java
+++ b/src/test/java/quotagateway/testing/WireFormats.java
@@ -36,9 +36,7 @@
     return new EndpointsUpdated(updates.get(0).form(), updates.get(0).endpoints());
   }
 
-  /**
-   * Splits a message into the fragments that the gateway applies in separate event-loop tasks.
-   */
+  /** Splits a message into the fragments that the gateway applies in separate event-loop tasks. */
   public static List<EndpointsUpdated> fragments(EndpointsUpdated message) {
     Queue<Runnable> tasks = new ArrayDeque<>();
     List<EndpointsUpdated> fragments = new ArrayList<>();
