--- a/src/test/java/quotagateway/scale/ScaleCommand.java
+++ b/src/test/java/quotagateway/scale/ScaleCommand.java
@@ -112,13 +112,13 @@
     for (Sweep sweep : selected) {
       sweep.run(plan, new Report(lines, System.out));
       if (against != null) {
-        new OtherVersion(against).run(sweep, sharedArguments());
+        new OtherVersion(against).run(sweep, options());
       }
     }
   }
 
   /** Returns the options for a run of the other version. */
-  private List<String> sharedArguments() {
+  private List<String> options() {
     List<String> options =
         new ArrayList<>(List.of("--seed=" + seed, "--seconds=" + seconds, "--label=other"));
     if (quick) {
--- a/src/test/java/quotagateway/scale/ScaleTest.java
+++ b/src/test/java/quotagateway/scale/ScaleTest.java
@@ -71,21 +71,21 @@
 
   /** Records the replies of a counter shard and the failures of its connections. */
   private static final class RecordedReplies implements CounterShard.ReplyHandler {
-    final List<String> seen = new ArrayList<>();
+    final List<String> received = new ArrayList<>();
 
     @Override
     public void onReply(String text) {
-      seen.add(text);
+      received.add(text);
     }
 
     @Override
     public void onConnectionRefused() {
-      seen.add("refused");
+      received.add("refused");
     }
 
     @Override
     public void onReset() {
-      seen.add("cut");
+      received.add("cut");
     }
   }
 
@@ -102,12 +102,12 @@
     time.runUntil(50);
     assertEquals(
         List.of("ok 2.500000", "ok 1.500000", "error", "error", "error", "ok 1234568"),
-        replies.seen);
-    replies.seen.clear();
+        replies.received);
+    replies.received.clear();
     time.runUntil(200);
     shard.call("incr a 1 100", replies);
     time.runUntil(300);
-    assertEquals(List.of("ok 1"), replies.seen, "the TTL of a name is that of its first call");
+    assertEquals(List.of("ok 1"), replies.received, "the TTL of a name is that of its first call");
   }
 
   @Test
@@ -118,7 +118,7 @@
       shard.call("incr a 1 1000", replies);
     }
     time.runUntil(100);
-    assertEquals(List.of("busy", "ok 1", "ok 2", "ok 3"), replies.seen);
+    assertEquals(List.of("busy", "ok 1", "ok 2", "ok 3"), replies.received);
   }
 
   @Test
@@ -131,7 +131,7 @@
     shard.fail(CounterShard.Health.DOWN);
     shard.call("incr a 1 60000", replies);
     time.runUntil(10);
-    assertEquals(List.of("ok 1", "refused", "cut"), replies.seen);
+    assertEquals(List.of("ok 1", "refused", "cut"), replies.received);
     shard.restart(true);
     shard.call("incr a 1 60000", replies);
     time.runUntil(20);
@@ -141,7 +141,7 @@
     shard.restart(false);
     shard.call("incr a 1 60000", replies);
     time.runUntil(40);
-    assertEquals(List.of("ok 1", "refused", "cut", "ok 2", "ok 1"), replies.seen);
+    assertEquals(List.of("ok 1", "refused", "cut", "ok 2", "ok 1"), replies.received);
   }
 
   @Test
--- a/src/test/java/quotagateway/scale/SimulatedFleet.java
+++ b/src/test/java/quotagateway/scale/SimulatedFleet.java
@@ -18,7 +18,8 @@
   private static final double START_MS = 1.8e12;
 
   /**
-   * Customer numbers range up to 2^33; starting at 2^32 gives most counter names the maximum length.
+   * Customer numbers range up to 2^33; starting at 2^32 gives most counter names the maximum
+   * length.
    */
   private static final long FIRST_CUSTOMER = 1L << 32;
 
--- a/src/test/java/quotagateway/scale/TenantSweep.java
+++ b/src/test/java/quotagateway/scale/TenantSweep.java
@@ -9,7 +9,7 @@
 
 /**
  * Measures the memory of customer accounts and the cost of a request by the number of customers
- * that one gateway serves.
+ * that one gateway has served within a minute.
  */
 final class TenantSweep implements Sweep {
 
