--- a/src/main/java/quotagateway/driver/ActionExecutor.java
+++ b/src/main/java/quotagateway/driver/ActionExecutor.java
@@ -18,8 +18,8 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * Executes the policy's actions at clients, backends, the counter and the event loop's timers.
- * Owned by the event loop's thread.
+ * Executes the policy's actions: responds to clients, starts and cancels attempts, increments the
+ * shared counter and schedules timers. Confined to the event loop's thread.
  */
 final class ActionExecutor {
 
@@ -29,11 +29,11 @@
   private final AttemptStarter attempts;
   private final Consumer<Event> events;
 
-  /** Null until the driver's start. */
+  /** Null until the driver is started. */
   private CounterClient counter;
 
   /**
-   * @param events takes what is reported to the policy
+   * @param events receives the events for the policy
    */
   ActionExecutor(
       EventLoop loop,
@@ -48,20 +48,20 @@
     this.events = events;
   }
 
-  void useCounter(CounterClient counter) {
+  void setCounter(CounterClient counter) {
     this.counter = counter;
   }
 
   /**
-   * Executes an action.
+   * Executes one action of the policy.
    *
-   * @param decidedAtMs when the policy decided on it, in milliseconds of the gateway's clock
+   * @param decidedAtMs when the policy returned the action, in milliseconds of the gateway's clock
    */
   void execute(Action action, double decidedAtMs) {
     action.handle(new DecisionHandler(decidedAtMs));
   }
 
-  /** Executes the actions of one decision. */
+  /** Executes actions that the policy returned at one point in time. */
   private final class DecisionHandler implements Action.Handler<RuntimeException> {
     private final double decidedAtMs;
 
@@ -88,7 +88,7 @@
       ActiveRequest request = requests.get(action.requestId());
       if (request != null && request.finish()) {
         request.listener.onRejected(action.retryAfterMs());
-        requests.removeIfOver(request);
+        requests.removeIfComplete(request);
       }
     }
 
@@ -97,7 +97,7 @@
       ActiveRequest request = requests.get(action.requestId());
       if (request != null && request.finish()) {
         request.listener.onFailed();
-        requests.removeIfOver(request);
+        requests.removeIfComplete(request);
       }
     }
 
@@ -106,7 +106,10 @@
       counter.increment(action.counterName(), action.amount(), action.ttlMs());
     }
 
-    /** Never early: the policy ignores a timer before its time, and none would follow. */
+    /**
+     * Schedules a timer so that it never fires early: the policy ignores a timer that fires before
+     * its time, and no other would follow.
+     */
     @Override
     public void onScheduleTimer(ScheduleTimer action) {
       double delayMs = Math.max(0, action.atMs() - clock.now());
@@ -116,7 +119,7 @@
           TimeUnit.MICROSECONDS);
     }
 
-    /** Needs nothing: the endpoint list is watched from the start. */
+    /** Does nothing: the discovery client watches the endpoint list from startup. */
     @Override
     public void onWatchEndpoints(WatchEndpoints action) {}
   }
--- a/src/main/java/quotagateway/driver/ActiveRequest.java
+++ b/src/main/java/quotagateway/driver/ActiveRequest.java
@@ -12,14 +12,16 @@
 import quotagateway.policy.event.RequestReceived;
 
 /**
- * One request, from when it is accepted until it has its final response and none of its attempts is
- * in flight. Owned by the event loop's thread. Times are in milliseconds of the gateway's clock.
+ * State of one request from its acceptance until its final response is decided and none of its
+ * attempts is in flight. Confined to the event loop's thread. Times are in milliseconds of the
+ * gateway's clock.
  */
 final class ActiveRequest {
 
   /**
-   * How long before the client's deadline a request fails that the policy left unanswered: the
-   * response has to reach the client, and every response that the policy decides on comes earlier.
+   * Time before the client's deadline at which a request fails if the policy has left it
+   * unanswered. The error response needs this time to reach the client. Every response that the
+   * policy decides on is sent earlier.
    */
   private static final double DEADLINE_MARGIN_MS = 6;
 
@@ -30,21 +32,22 @@
   private final List<Attempt> attempts = new ArrayList<>(1);
   private int attemptsInFlight;
 
-  /** Infinite while the body is still coming. */
+  /** Infinite until the body is complete. */
   private double deadlineAtMs;
 
-  /** When the last byte of the body came; 0 while it is still coming. */
+  /** When the last byte of the body was received; 0 until then. */
   private double bodyCompleteAtMs;
 
-  /** Null while the body is still coming. */
+  /** Null until the body is complete. */
   private Future<?> deadlineTimer;
 
-  /** Whether the final response is decided on, or the client is gone. */
+  /** Whether the final response is decided or the client has disconnected. */
   private boolean finished;
 
-  /** Whether the final response is streamed to the client, and since when. */
+  /** Whether the final response is, or was, streamed to the client. */
   private boolean streaming;
 
+  /** When the streamed response started; 0 until then. */
   private double streamingSinceMs;
 
   ActiveRequest(
@@ -69,10 +72,13 @@
   }
 
   /**
-   * Has the request fail shortly before its deadline, unless it is finished by then.
+   * Schedules a callback shortly before the request's deadline, unless the request finishes first.
+   * Called when the body is complete.
    *
-   * <p>Prevents a client from waiting in vain where the policy, by a fault of its own, decides on
-   * nothing. Cost: a response in the last 6 ms is given up.
+   * <p>Without this timer, a client would get no response if the policy, because of a defect, never
+   * decided on one. The drawback is that a response in the last 6 ms before the deadline is lost.
+   *
+   * @param onDeadline fails the request
    */
   void startDeadlineTimer(EventLoop loop, double nowMs, double deadlineAtMs, Runnable onDeadline) {
     this.deadlineAtMs = deadlineAtMs;
@@ -85,7 +91,7 @@
     return finished;
   }
 
-  /** Claims the one final response; true for the first caller only. */
+  /** Claims the request's only final response. Returns true for the first call only. */
   boolean finish() {
     if (finished) {
       return false;
@@ -110,51 +116,51 @@
     streamingSinceMs = nowMs;
   }
 
-  /** How many attempts were started; the number of the next one. */
+  /** Returns how many attempts have been started, which is also the number of the next attempt. */
   int attemptCount() {
     return attempts.size();
   }
 
-  /** The attempt of that number, or null where none was started. */
+  /** Returns the attempt with this number, or null if none has been started. */
   Attempt attempt(int number) {
     return number < attempts.size() ? attempts.get(number) : null;
   }
 
-  /** The last attempt if one is in flight, else null. */
+  /** Returns the most recent attempt if any attempt is in flight, else null. */
   Attempt lastAttemptInFlight() {
     return attemptsInFlight > 0 ? attempts.get(attempts.size() - 1) : null;
   }
 
-  void attemptStarted(Attempt attempt) {
+  void onAttemptStarted(Attempt attempt) {
     attempts.add(attempt);
     attemptsInFlight++;
   }
 
-  void attemptEnded() {
+  void onAttemptEnded() {
     attemptsInFlight--;
   }
 
-  /** Cancels all attempts in flight. */
+  /** Cancels all attempts that have not ended. */
   void cancelAttempts() {
     cancelAttempts(attempt -> true);
   }
 
-  /** Cancels the attempts that are not written yet, so that they never are. */
+  /** Cancels the attempts whose last byte is not written yet, so that it is never written. */
   void cancelUnwrittenAttempts() {
     cancelAttempts(attempt -> !attempt.isWritten());
   }
 
-  private void cancelAttempts(Predicate<Attempt> which) {
-    // A copy, as the end of one attempt may have the policy start another.
+  private void cancelAttempts(Predicate<Attempt> condition) {
+    // Iterates over a copy because the policy may start an attempt when another ends.
     for (Attempt attempt : List.copyOf(attempts)) {
-      if (which.test(attempt)) {
+      if (condition.test(attempt)) {
         attempt.abandon(attempt.statusIfCancelled());
       }
     }
   }
 
-  /** Whether it has its final response and the policy has the outcome of each attempt. */
-  boolean isOver() {
+  /** Returns whether the request is finished and none of its attempts is in flight. */
+  boolean isComplete() {
     return finished && attemptsInFlight == 0;
   }
 }
--- a/src/main/java/quotagateway/driver/ActiveRequests.java
+++ b/src/main/java/quotagateway/driver/ActiveRequests.java
@@ -5,7 +5,8 @@
 import java.util.Map;
 
 /**
- * The requests of this gateway that are not over, by their ids. Owned by the event loop's thread.
+ * Registry of this gateway's active requests by id: those that are not finished or have an attempt
+ * in flight. Confined to the event loop's thread.
  */
 final class ActiveRequests {
 
@@ -15,7 +16,7 @@
     byId.put(request.id(), request);
   }
 
-  /** The request of that id, or null. */
+  /** Returns the active request with this id, or null. */
   ActiveRequest get(String id) {
     return byId.get(id);
   }
@@ -33,11 +34,11 @@
   }
 
   /**
-   * Removes the request and releases its body if it is over and has not been removed yet. It stays
-   * while an attempt of it is in flight, whose outcome the policy still gets.
+   * Removes a complete request and releases its body, unless it has been removed before. A request
+   * with an attempt in flight stays, because the attempt's outcome is still reported to the policy.
    */
-  void removeIfOver(ActiveRequest request) {
-    if (request.isOver() && byId.remove(request.id(), request)) {
+  void removeIfComplete(ActiveRequest request) {
+    if (request.isComplete() && byId.remove(request.id(), request)) {
       request.body.release();
     }
   }
--- a/src/main/java/quotagateway/driver/AttemptStarter.java
+++ b/src/main/java/quotagateway/driver/AttemptStarter.java
@@ -16,7 +16,8 @@
 
 /**
  * Starts the attempts that the policy decides on, passes their responses to the clients, and
- * reports each attempt's one outcome to the policy. Owned by the event loop's thread.
+ * reports the outcome of each attempt to the policy exactly once. Confined to the event loop's
+ * thread.
  */
 final class AttemptStarter {
 
@@ -28,8 +29,9 @@
   private int streamingResponses;
 
   /**
-   * @param events takes what is reported to the policy
-   * @param onClientDisconnected takes the id of a request whose client turns out to be gone
+   * @param events receives the events for the policy
+   * @param onClientDisconnected receives the id of a request whose client is found to have
+   *     disconnected
    */
   AttemptStarter(
       MonotonicClock clock,
@@ -44,19 +46,20 @@
     this.onClientDisconnected = onClientDisconnected;
   }
 
-  /** How many responses are being streamed to clients. */
+  /** Returns the number of responses that are being streamed to clients. */
   int streamingResponses() {
     return streamingResponses;
   }
 
   /**
-   * Starts an attempt, or reports it as not sent where its request is finished.
+   * Starts an attempt, or reports it as not sent if its request is finished or no longer active.
    *
-   * <p>Prevents a write after its time: the policy's times count from its decision, while a batch
-   * of actions may take long on a share of a core. So the time that has passed since is subtracted
-   * here. Cost: where the loop is late, attempts get less time.
+   * <p>The policy's time limits count from its decision, but executing a batch of actions can take
+   * long on a share of a core. The time since the decision is therefore subtracted from the limits,
+   * so that no request is written after its limit. The drawback is that attempts get less time when
+   * the event loop is late.
    *
-   * @param decidedAtMs when the policy decided on it
+   * @param decidedAtMs when the policy decided on the attempt
    */
   void start(StartAttempt action, double decidedAtMs) {
     ActiveRequest request = requests.get(action.requestId());
@@ -76,7 +79,7 @@
     Attempt attempt =
         new RequestAttempt(
             request, request.attemptCount(), action.endpointId(), startedAtMs, timeoutMs);
-    request.attemptStarted(attempt);
+    request.onAttemptStarted(attempt);
     backends.start(action.endpointId(), attempt, action.maxStartDelayMs() - latenessMs);
   }
 
@@ -87,7 +90,7 @@
     private final long endpointId;
     private final double startedAtMs;
 
-    /** What a streamed response says that it is charged. */
+    /** Units charged according to the header of a streamed response; 0 if not stated. */
     private double streamedChargedUnits;
 
     RequestAttempt(
@@ -129,7 +132,7 @@
     public void onEnd(Status status, FullHttpResponse response) {
       double chargedUnits = response == null ? streamedChargedUnits : chargedUnits(response);
       double latencyMs = latencyMs();
-      request.attemptEnded();
+      request.onAttemptEnded();
       if (request.isStreaming()) {
         streamingResponses--;
         request.listener.onResponseEnd(status == Status.OK);
@@ -146,10 +149,13 @@
               request.isFinished(),
               chargedUnits,
               null));
-      requests.removeIfOver(request);
+      requests.removeIfComplete(request);
     }
 
-    /** From the request's last byte, or the attempt's start if that is later, to the response. */
+    /**
+     * Returns the time to the response's start if it is streamed, else to the attempt's end. Counts
+     * from the request's last byte or the attempt's start, whichever is later.
+     */
     private double latencyMs() {
       boolean streamed = hasResponseStarted() && request.isStreaming();
       double responseAtMs = streamed ? request.streamingSinceMs() : clock.now();
@@ -157,7 +163,9 @@
     }
   }
 
-  /** 0 where the response does not say, or what it says is not a positive number. */
+  /**
+   * Returns the units charged for a response; 0 if its header is missing or not a positive number.
+   */
   private static double chargedUnits(HttpResponse response) {
     String header = response.headers().get(ProtocolHeaders.UNITS_CHARGED);
     if (header == null) {
--- a/src/main/java/quotagateway/driver/PolicyDriver.java
+++ b/src/main/java/quotagateway/driver/PolicyDriver.java
@@ -29,15 +29,15 @@
 import quotagateway.transport.PeriodicTask;
 
 /**
- * Delivers events to the policy, one at a time, and executes the actions that it returns, in their
- * order; the only caller of the policy. All on the event loop's thread. Times are in milliseconds
- * of the gateway's clock.
+ * Delivers events to the policy one at a time and executes the returned actions in order. The
+ * driver is the only caller of the policy. Confined to the event loop's thread. Times are in
+ * milliseconds of the gateway's clock.
  */
 public final class PolicyDriver {
 
   private static final Logger LOG = Logger.getLogger(PolicyDriver.class.getName());
 
-  /** A timer at which the policy failed fires again after this. */
+  /** Delay after which a timer event is delivered again if the policy failed on it. */
   private static final long FAILED_TIMER_RETRY_MS = 100;
 
   private final EventLoop loop;
@@ -51,12 +51,12 @@
   private boolean delivering;
 
   /**
-   * A driver that has yet to be started.
+   * Creates a driver; {@link #start} starts it.
    *
-   * @param loop of which the thread owns the driver, the policy and the pool
-   * @param clock that the policy decides by
-   * @param policy which nobody else calls
-   * @param backends that attempts are started on
+   * @param loop the event loop whose thread owns the driver, the policy and the pool
+   * @param clock the clock that gives the policy its time
+   * @param policy the policy, which nothing else may call
+   * @param backends the pool on which attempts are started
    */
   public PolicyDriver(
       EventLoop loop, MonotonicClock clock, GatewayPolicy policy, BackendConnectionPool backends) {
@@ -72,39 +72,42 @@
   /**
    * Starts the policy.
    *
-   * @param known the endpoint list as this gateway last had it
+   * @param cachedEndpoints the last endpoint list that this gateway knew
    */
-  public void start(CounterClient counter, EndpointUpdate known) {
-    executor.useCounter(counter);
+  public void start(CounterClient counter, EndpointUpdate cachedEndpoints) {
+    executor.setCounter(counter);
     double decidedAtMs = clock.now();
     for (Action action : policy.start(decidedAtMs)) {
       executor.execute(action, decidedAtMs);
     }
-    deliver(new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, known.endpoints()));
-    backends.onEndpointsUpdated(known);
+    deliver(new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, cachedEndpoints.endpoints()));
+    backends.onEndpointsUpdated(cachedEndpoints);
   }
 
-  /** Requests that are not over: without a final response, or with an attempt in flight. */
+  /**
+   * Returns the number of active requests: those without a final response or with an attempt in
+   * flight.
+   */
   public int activeRequestCount() {
     return requests.size();
   }
 
-  /** Responses that are being streamed to their clients. */
+  /** Returns the number of responses that are being streamed to clients. */
   public int streamingResponseCount() {
     return attempts.streamingResponses();
   }
 
-  /** Whether a request of that id is not over. */
+  /** Returns whether a request with this id is active. */
   public boolean isActive(String id) {
     return requests.contains(id);
   }
 
   /**
-   * Accepts a request, and its body for good. Its deadline is infinite while the body is still
-   * coming.
+   * Accepts a request and takes ownership of its body. The request's deadline is infinite until its
+   * body is complete.
    *
-   * @param head as it is forwarded
-   * @param listener is notified of the final response
+   * @param head the request head to forward
+   * @param listener the listener to notify of the final response
    */
   public void accept(
       RequestReceived received, HttpRequest head, RequestBody body, ResponseListener listener) {
@@ -116,7 +119,7 @@
     deliver(received);
   }
 
-  /** The last byte of a request's body has come, and its deadline is known. */
+  /** Handles the receipt of the last byte of a request's body, which determines the deadline. */
   public void onBodyComplete(String id, double deadlineAtMs) {
     ActiveRequest request = requests.get(id);
     if (request == null || request.isFinished()) {
@@ -134,46 +137,47 @@
     request.startDeadlineTimer(loop, clock.now(), deadlineAtMs, () -> fail(request));
   }
 
-  /** The client of a request has closed its connection. */
+  /** Handles the disconnection of a request's client. */
   public void onClientDisconnected(String id) {
     ActiveRequest request = requests.get(id);
     if (request == null) {
       return;
     }
-    boolean wasOpen = request.finish();
+    boolean wasUnfinished = request.finish();
     if (!request.body.isComplete() || request.isStreaming()) {
-      // There is nobody to send the rest of the body, or to take the rest of the response.
+      // The client can neither send the rest of the body nor receive the rest of the response.
       request.cancelAttempts();
     } else {
-      // What is written may have run: the policy still learns how it ends.
+      // A written attempt may have been executed. It stays in flight, so that its outcome is
+      // reported to the policy.
       request.cancelUnwrittenAttempts();
     }
-    if (wasOpen) {
+    if (wasUnfinished) {
       deliver(new ClientDisconnected(id));
     }
-    requests.removeIfOver(request);
+    requests.removeIfComplete(request);
   }
 
-  /** Other settings hold from now on. */
+  /** Applies changed settings to later decisions. */
   public void onSettingsChanged(PolicySettings settings) {
     deliver(new SettingsChanged(settings));
   }
 
-  /** A call to the counter has ended. */
+  /** Handles the end of a call to the shared counter. */
   public void onCounterReplied(CounterReplied reply) {
     deliver(reply);
   }
 
   /**
-   * Discovery has reported endpoints. The policy gets them before the pool: it chooses other
-   * backends for attempts that the pool gives up because of them.
+   * Handles endpoints reported by discovery. The policy is updated before the pool, because it
+   * chooses other backends for the attempts that the pool abandons on the update.
    */
   public void onEndpointUpdate(EndpointUpdate update) {
     deliver(new EndpointsUpdated(update.form(), update.endpoints()));
     backends.onEndpointsUpdated(update);
   }
 
-  /** Fails all requests without a final response: the process is about to end. */
+  /** Fails all requests without a final response. Called shortly before the process ends. */
   public void failAll() {
     PeriodicTask.forEachIsolated(requests.all(), this::fail);
   }
@@ -183,15 +187,15 @@
       request.listener.onFailed();
       request.cancelUnwrittenAttempts();
       deliver(new ClientDisconnected(request.id()));
-      requests.removeIfOver(request);
+      requests.removeIfComplete(request);
     }
   }
 
   /**
-   * Delivers an event, or has it wait while another is being worked on.
+   * Delivers an event to the policy, or queues it while another event is being processed.
    *
-   * <p>Prevents the policy from being called within a call, as by an attempt that fails at once
-   * while its action is executed; its state would be half changed. Cost: none.
+   * <p>Without the queue, the policy could be called re-entrantly while its state is only partly
+   * updated, for example when an attempt fails immediately while its action is being executed.
    */
   private void deliver(Event event) {
     pendingEvents.add(event);
@@ -201,7 +205,7 @@
     delivering = true;
     try {
       for (Event next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
-        decideOn(next);
+        process(next);
       }
     } finally {
       delivering = false;
@@ -209,19 +213,20 @@
   }
 
   /**
-   * Has the policy decide on an event, and executes its actions.
+   * Passes an event to the policy and executes the returned actions.
    *
-   * <p>Prevents a fault in the policy, or in one action, from ending the process or the work on the
-   * other actions: whatever is thrown is logged, and only the request that it came up with fails.
+   * <p>A runtime exception from the policy or from an action is logged; it neither ends the process
+   * nor prevents the remaining actions. If the policy fails on a received request or an ended
+   * attempt, only that request fails; if it fails on a timer event, the event is delivered again.
    */
-  private void decideOn(Event event) {
+  private void process(Event event) {
     double decidedAtMs = clock.now();
     List<Action> actions;
     try {
       actions = policy.on(decidedAtMs, event);
     } catch (RuntimeException e) {
       LOG.log(Level.SEVERE, "policy failed event=" + event, e);
-      recoverFrom(event);
+      recoverFromFailure(event);
       return;
     }
     for (Action action : actions) {
@@ -233,7 +238,7 @@
     }
   }
 
-  private void recoverFrom(Event event) {
+  private void recoverFromFailure(Event event) {
     if (event instanceof RequestReceived received) {
       failIfActive(received.requestId());
     } else if (event instanceof AttemptEnded ended) {
--- a/src/main/java/quotagateway/driver/ResponseListener.java
+++ b/src/main/java/quotagateway/driver/ResponseListener.java
@@ -6,35 +6,51 @@
 import quotagateway.backend.Attempt;
 
 /**
- * The client's side of one request. It is notified of exactly one final response: whole, streamed,
- * rejected or failed; or of none, where the client has disconnected. All calls are made on the
- * event loop's thread.
+ * Listener for the final response to one client request. The driver notifies it of exactly one
+ * final response, which is complete, streamed, rejected or failed, or of none if the client has
+ * disconnected. All calls are made on the event loop's thread.
  */
 public interface ResponseListener {
 
   /**
-   * Ends the request if the client has closed its connection, as far as this machine can know by
-   * now.
+   * Ends the request if the client has closed its connection, as far as this machine has received
+   * the close.
    *
-   * @return whether it has
+   * @return whether the client has closed its connection
    */
   boolean endIfDisconnected();
 
-  /** A whole response; it is only lent. */
+  /**
+   * Called with a complete response.
+   *
+   * @param response owned by the caller and valid only during the call
+   */
   void onResponse(FullHttpResponse response);
 
-  /** A response begins that is streamed from the attempt. */
-  void onResponseStart(HttpResponse head, Attempt from);
+  /**
+   * Called when a streamed response starts.
+   *
+   * @param attempt the attempt that receives the response
+   */
+  void onResponseStart(HttpResponse head, Attempt attempt);
 
-  /** The next part of a streamed response; true while more can be taken now. */
+  /**
+   * Called with the next part of a streamed response.
+   *
+   * @return whether the client can accept more content now
+   */
   boolean onResponseContent(HttpContent content);
 
-  /** No more of a streamed response comes; one that is not complete must be seen to be so. */
+  /**
+   * Called when a streamed response ends. The client must be able to detect an incomplete response.
+   *
+   * @param complete whether the response was received to its end
+   */
   void onResponseEnd(boolean complete);
 
-  /** Rejected: its client may safely send it again. */
+  /** Called when the request is rejected. The client may safely send it again. */
   void onRejected(double retryAfterMs);
 
-  /** Failed: it may have been executed. */
+  /** Called when the request fails. A backend may have executed it. */
   void onFailed();
 }
--- a/src/main/java/quotagateway/simulator/SimulatorAdapter.java
+++ b/src/main/java/quotagateway/simulator/SimulatorAdapter.java
@@ -16,8 +16,9 @@
 import quotagateway.policy.settings.PolicySettings;
 
 /**
- * Has the simulator play the policies of many gateways: its messages become events of the policies,
- * and their actions become messages to it. One thread; the time is the simulator's.
+ * Connects the simulator to the policies of many gateways. The adapter converts the simulator's
+ * messages into policy events, and the policies' actions into messages to the simulator. It is
+ * single-threaded and takes the time from the simulator.
  */
 public final class SimulatorAdapter {
 
@@ -25,23 +26,25 @@
   private final SimulatorMessageWriter output;
   private final Map<Integer, SimulatedGateway> gateways = new HashMap<>();
 
-  /** Endpoint lists by their numbers; many messages refer to the same one. */
+  /** Endpoint lists by number; many messages refer to the same list. */
   private final Map<Integer, List<Endpoint>> endpointLists = new HashMap<>();
 
-  /** The time of the present batch. */
+  /** Simulated time of the current batch. */
   private double nowMs;
 
   private long batchNumber;
 
-  /** Whether a policy failed in the present batch; the rest of the batch is passed over. */
+  /**
+   * Whether a policy failed in the current batch; its remaining gateway messages are then skipped.
+   */
   private boolean batchFailed;
 
   private record SimulatedGateway(GatewayPolicy policy, PolicySettings settings) {}
 
   /**
-   * An adapter between two streams, which stay the caller's to close.
+   * Creates an adapter between two streams, which the caller closes.
    *
-   * @throws IOException where the input cannot be read at all
+   * @throws IOException if the input cannot be read at all
    */
   public SimulatorAdapter(InputStream input, OutputStream output) throws IOException {
     JsonFactory factory = new JsonFactory();
@@ -50,9 +53,9 @@
   }
 
   /**
-   * Responds to batches of messages until the input ends.
+   * Processes batches of messages until the input ends.
    *
-   * @throws IOException where the input is not made of JSON objects, or the output is closed
+   * @throws IOException if the input is not a sequence of JSON objects, or the output is closed
    */
   public void run() throws IOException {
     while (input.nextToken() != null) {
@@ -80,11 +83,13 @@
   }
 
   /**
-   * A fault of the policy is reported, with the rest of its batch passed over, and ends no play.
+   * Passes a message to its gateway's policy and writes the resulting actions. If the policy fails,
+   * reports the fault and skips the remaining gateway messages of the batch; the simulation
+   * continues.
    */
   private void deliver(SimulatorMessage message) throws IOException {
     try {
-      for (Action action : decideOn(message)) {
+      for (Action action : actionsFor(message)) {
         output.write(message.gatewayNumber(), action);
       }
     } catch (RuntimeException e) {
@@ -93,25 +98,25 @@
     }
   }
 
-  private List<Action> decideOn(SimulatorMessage message) {
+  private List<Action> actionsFor(SimulatorMessage message) {
     return switch (message.kind()) {
-      case GATEWAY_START -> start(message);
+      case GATEWAY_START -> startGateway(message);
       case GATEWAY_STOP -> {
         gateways.remove(message.gatewayNumber());
         yield List.of();
       }
-      default -> decideOnEvent(message);
+      default -> actionsForEvent(message);
     };
   }
 
-  private List<Action> start(SimulatorMessage message) {
+  private List<Action> startGateway(SimulatorMessage message) {
     PolicySettings settings = message.settings();
     GatewayPolicy policy = new GatewayPolicy(settings, message.randomSeed());
     gateways.put(message.gatewayNumber(), new SimulatedGateway(policy, settings));
     return policy.start(nowMs);
   }
 
-  private List<Action> decideOnEvent(SimulatorMessage message) {
+  private List<Action> actionsForEvent(SimulatorMessage message) {
     SimulatedGateway gateway = gateways.get(message.gatewayNumber());
     if (gateway == null) {
       return List.of();
--- a/src/main/java/quotagateway/simulator/SimulatorMessage.java
+++ b/src/main/java/quotagateway/simulator/SimulatorMessage.java
@@ -28,8 +28,8 @@
 import quotagateway.policy.settings.RequestClass;
 
 /**
- * A message of the simulator: the one place that knows the names in what it sends. A field that is
- * missing or of another kind is read as a default.
+ * A message from the simulator. Only this class knows the names of the messages and fields that the
+ * simulator sends. A field that is missing or has an unexpected type is read as a default value.
  */
 final class SimulatorMessage {
 
@@ -53,17 +53,17 @@
           "CANCELLED", Status.CANCELLED,
           "TOO_LATE", Status.NOT_SENT);
 
-  /** What a message is for. */
+  /** Purpose of a message. */
   enum Kind {
-    /** Gives the time and the number of the batch that follows. */
+    /** States the time and the number of the following batch. */
     BATCH_START,
-    /** An endpoint list, which events refer to by its number. */
+    /** Defines an endpoint list, which events refer to by its number. */
     ENDPOINT_LIST,
-    /** Asks for an acknowledgement, behind the actions of the batch. */
+    /** Ends a batch and requests an acknowledgement after the batch's actions. */
     BATCH_END,
     GATEWAY_START,
     GATEWAY_STOP,
-    /** An event at a gateway, or a message that is unknown here. */
+    /** Reports an event at a gateway, or has an unknown name. */
     EVENT
   }
 
@@ -86,12 +86,12 @@
     };
   }
 
-  /** Of {@link Kind#BATCH_START}. */
+  /** Returns the simulated time of a {@link Kind#BATCH_START}. */
   double clockMs() {
     return number(fields, "ClockMs");
   }
 
-  /** Of {@link Kind#BATCH_START}. */
+  /** Returns the number of the batch that a {@link Kind#BATCH_START} starts. */
   long batchNumber() {
     return (long) number(fields, "n");
   }
@@ -104,22 +104,22 @@
     return (int) number(fields, GATEWAY);
   }
 
-  /** Of {@link Kind#GATEWAY_START}. */
+  /** Returns the seed for the policy of a {@link Kind#GATEWAY_START}. */
   long randomSeed() {
     return (long) number(fields, "RandomSeed");
   }
 
-  /** Of {@link Kind#GATEWAY_START}. */
+  /** Returns the settings for the policy of a {@link Kind#GATEWAY_START}. */
   PolicySettings settings() {
     return SettingsParser.parse(child(fields, "Setup"));
   }
 
-  /** Of {@link Kind#ENDPOINT_LIST}, and of an event that refers to one. */
+  /** Returns the number of a {@link Kind#ENDPOINT_LIST}, or of the list that an event refers to. */
   int endpointListNumber() {
     return (int) number(fields, ENDPOINT_LIST);
   }
 
-  /** Of {@link Kind#ENDPOINT_LIST}. */
+  /** Returns the endpoints of a {@link Kind#ENDPOINT_LIST}. */
   List<Endpoint> endpoints() {
     List<Endpoint> endpoints = new ArrayList<>();
     for (Map<String, Object> item : children(fields, "Items")) {
@@ -144,10 +144,10 @@
   }
 
   /**
-   * The event of a message of {@link Kind#EVENT}, or null where it is unknown here.
+   * Returns the event of a {@link Kind#EVENT}, or null if the event or its timer is unknown.
    *
-   * @param settings of the gateway that it is for
-   * @param endpointLists by their numbers
+   * @param settings the settings of the gateway that the event is for
+   * @param endpointLists endpoint lists by number
    */
   Event event(PolicySettings settings, Map<Integer, List<Endpoint>> endpointLists) {
     return switch (name) {
@@ -185,7 +185,7 @@
         number(fields, "GiveUpAtMs"));
   }
 
-  /** Null where the settings name no such class. */
+  /** Returns the request class with this name, or null if the settings define none. */
   private static RequestClass requestClass(PolicySettings settings, String className) {
     for (RequestClass candidate : settings.requestClasses()) {
       if (candidate.name().equals(className)) {
@@ -207,7 +207,7 @@
         loadReport(child(fields, "Load")));
   }
 
-  /** Null where none came. */
+  /** Returns the load report, or null if the message contains none. */
   private static LoadReport loadReport(Map<String, Object> values) {
     if (values.isEmpty()) {
       return null;
@@ -221,7 +221,7 @@
         text(fields, "Book"), status(), number(fields, "Value"), number(fields, LATENCY_MS));
   }
 
-  /** Null for a label that is none of this gateway's timers. */
+  /** Returns the timer event, or null if its label belongs to none of the policy's timers. */
   private TimerFired timerFired() {
     Timer timer = TimerLabels.timer(text(fields, "Label"));
     return timer == null ? null : new TimerFired(timer);
--- a/src/main/java/quotagateway/simulator/SimulatorMessageWriter.java
+++ b/src/main/java/quotagateway/simulator/SimulatorMessageWriter.java
@@ -15,12 +15,12 @@
 import quotagateway.policy.action.WatchEndpoints;
 
 /**
- * Writes messages to the simulator, each on a line of its own: the one place that knows the names
- * in what it gets.
+ * Writes messages to the simulator, one on each line. Only this class knows the names of the
+ * messages and fields that the simulator receives.
  */
 final class SimulatorMessageWriter {
 
-  /** What is kept until the end of a batch at most. */
+  /** Limits the output that is buffered until the end of a batch. */
   private static final int BUFFER_BYTES = 1 << 16;
 
   private static final String REQUEST_ID = "Tid";
@@ -33,12 +33,12 @@
     out.disable(JsonGenerator.Feature.FLUSH_PASSED_TO_STREAM);
   }
 
-  /** An action of a gateway's policy. */
+  /** Writes an action of a gateway's policy. */
   void write(int gatewayNumber, Action action) throws IOException {
     action.handle(new ActionWriter(gatewayNumber));
   }
 
-  /** A fault of a gateway's policy. */
+  /** Reports a fault in a gateway's policy. */
   void writeFault(int gatewayNumber, RuntimeException fault) throws IOException {
     beginMessage("Fault", gatewayNumber);
     String reason = fault.getMessage() == null ? fault.toString() : fault.getMessage();
@@ -46,7 +46,10 @@
     endMessage();
   }
 
-  /** The end of a batch; the simulator waits for it, so all goes out. */
+  /**
+   * Acknowledges the end of a batch. Flushes all output, because the simulator waits for the
+   * acknowledgement.
+   */
   void writeAcknowledgement(long batchNumber) throws IOException {
     out.writeStartObject();
     out.writeStringField("m", "Ack");
@@ -68,7 +71,7 @@
     out.writeRaw('\n');
   }
 
-  /** Writes actions of one gateway. */
+  /** Writes the actions of one gateway's policy. */
   private final class ActionWriter implements Action.Handler<IOException> {
     private final int gatewayNumber;
 
--- a/src/main/java/quotagateway/simulator/TimerLabels.java
+++ b/src/main/java/quotagateway/simulator/TimerLabels.java
@@ -4,7 +4,8 @@
 import quotagateway.policy.action.Timer;
 
 /**
- * How the simulator's messages name the timers of a policy; it returns the labels as it got them.
+ * Labels of the policy's timers in messages to and from the simulator, which returns each label
+ * unchanged.
  */
 final class TimerLabels {
 
@@ -20,7 +21,7 @@
     return LABELS.get(timer);
   }
 
-  /** The timer of a label, or null where it is none of them. */
+  /** Returns the timer with this label, or null if there is none. */
   static Timer timer(String label) {
     for (Map.Entry<Timer, String> entry : LABELS.entrySet()) {
       if (entry.getValue().equals(label)) {
--- a/src/test/java/quotagateway/driver/ActiveRequestTest.java
+++ b/src/test/java/quotagateway/driver/ActiveRequestTest.java
@@ -23,7 +23,7 @@
 import quotagateway.policy.event.RequestReceived;
 import quotagateway.policy.event.Status;
 
-/** One request's state between the policy, its client and its attempts. */
+/** Tests the state and deadline timer of an active request, and its removal. */
 class ActiveRequestTest {
 
   private static final double NOW_MS = 1_000;
@@ -32,9 +32,9 @@
       new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/quote/1");
   private final RequestBody body = RequestBody.of(Unpooled.EMPTY_BUFFER);
   private final EmbeddedChannel channel = new EmbeddedChannel();
-  private final AtomicInteger deadlines = new AtomicInteger();
+  private final AtomicInteger deadlineCount = new AtomicInteger();
 
-  private ActiveRequest request(String id) {
+  private ActiveRequest createRequest(String id) {
     return new ActiveRequest(
         new RequestReceived(id, null, "basic", 1, 1, 1, Double.POSITIVE_INFINITY),
         head,
@@ -42,7 +42,7 @@
         null);
   }
 
-  private Attempt attempt(List<Status> outcomes) {
+  private Attempt createAttempt(List<Status> outcomes) {
     return new Attempt(head, body, 100) {
       @Override
       public void onEnd(Status status, FullHttpResponse response) {
@@ -54,54 +54,58 @@
   private void startDeadlineTimer(ActiveRequest request, double deadlineAtMs) {
     channel.freezeTime();
     request.startDeadlineTimer(
-        channel.eventLoop(), NOW_MS, deadlineAtMs, deadlines::incrementAndGet);
+        channel.eventLoop(), NOW_MS, deadlineAtMs, deadlineCount::incrementAndGet);
   }
 
-  private int deadlinesAfterMs(long ms) {
+  private int deadlineCountAfterMs(long ms) {
     channel.advanceTimeBy(ms, TimeUnit.MILLISECONDS);
     channel.runScheduledPendingTasks();
-    return deadlines.get();
+    return deadlineCount.get();
   }
 
-  /** Two responses to one request would shift all later ones on the client's connection. */
+  /**
+   * A second response to one request would be read as the response to the next request on the
+   * client's connection.
+   */
   @Test
-  void finalResponseIsClaimedOnce() {
-    ActiveRequest request = request("r1");
+  void claimsFinalResponseOnlyOnce() {
+    ActiveRequest request = createRequest("r1");
     assertTrue(request.finish());
     assertFalse(request.finish());
     assertTrue(request.isFinished());
   }
 
   /**
-   * The policy leaves a request unanswered: its client still gets an error, 6 ms before it leaves.
+   * The policy leaves a request unanswered. The timer fires 6 ms before the client's deadline, so
+   * that the client still gets an error response.
    */
   @Test
-  void deadlineTimerFiresShortlyBeforeTheDeadlineOfTheClient() {
-    startDeadlineTimer(request("r1"), NOW_MS + 100);
-    assertEquals(0, deadlinesAfterMs(93));
-    assertEquals(1, deadlinesAfterMs(1));
+  void firesDeadlineTimerSixMsBeforeClientDeadline() {
+    startDeadlineTimer(createRequest("r1"), NOW_MS + 100);
+    assertEquals(0, deadlineCountAfterMs(93));
+    assertEquals(1, deadlineCountAfterMs(1));
   }
 
   @Test
-  void deadlineTimerFiresAtOnceWhereTheDeadlineIsPast() {
-    startDeadlineTimer(request("r1"), NOW_MS - 1);
-    assertEquals(1, deadlinesAfterMs(0));
+  void firesDeadlineTimerImmediatelyIfDeadlineHasPassed() {
+    startDeadlineTimer(createRequest("r1"), NOW_MS - 1);
+    assertEquals(1, deadlineCountAfterMs(0));
   }
 
   @Test
-  void finishedRequestHasNoDeadline() {
-    ActiveRequest request = request("r1");
+  void cancelsDeadlineTimerWhenRequestFinishes() {
+    ActiveRequest request = createRequest("r1");
     startDeadlineTimer(request, NOW_MS + 100);
     request.finish();
-    assertEquals(0, deadlinesAfterMs(1_000));
+    assertEquals(0, deadlineCountAfterMs(1_000));
   }
 
-  /** The policy gets one outcome of an attempt, however often it is cancelled. */
+  /** An attempt that is cancelled twice reports only one outcome to the policy. */
   @Test
-  void cancelledAttemptHasOneOutcome() {
-    ActiveRequest request = request("r1");
+  void reportsOneOutcomeForAttemptCancelledTwice() {
+    ActiveRequest request = createRequest("r1");
     List<Status> outcomes = new ArrayList<>();
-    request.attemptStarted(attempt(outcomes));
+    request.onAttemptStarted(createAttempt(outcomes));
     request.cancelUnwrittenAttempts();
     assertEquals(List.of(Status.NOT_SENT), outcomes);
     request.cancelAttempts();
@@ -109,49 +113,49 @@
   }
 
   @Test
-  void attemptsAreFoundByTheirNumbers() {
-    ActiveRequest request = request("r1");
+  void findsAttemptByNumberAndLastAttemptInFlight() {
+    ActiveRequest request = createRequest("r1");
     assertNull(request.lastAttemptInFlight());
-    Attempt first = attempt(new ArrayList<>());
-    request.attemptStarted(first);
+    Attempt first = createAttempt(new ArrayList<>());
+    request.onAttemptStarted(first);
     assertSame(first, request.attempt(0));
     assertNull(request.attempt(1));
     assertSame(first, request.lastAttemptInFlight());
-    request.attemptEnded();
+    request.onAttemptEnded();
     assertNull(request.lastAttemptInFlight());
     assertEquals(1, request.attemptCount());
   }
 
   /**
-   * A client disconnects while an attempt is in flight. Removed at once, its id could be used
-   * again, and the attempt's outcome would be taken for the new request's.
+   * A client disconnects while an attempt is in flight. If the request were removed immediately, a
+   * new request could reuse its id, and the attempt's outcome would be attributed to that request.
    */
   @Test
-  void requestIsRemovedOnceItIsFinishedAndHasNoAttemptInFlight() {
+  void removesRequestOnlyWhenFinishedWithNoAttemptInFlight() {
     ActiveRequests requests = new ActiveRequests();
-    ActiveRequest request = request("r1");
+    ActiveRequest request = createRequest("r1");
     requests.add(request);
-    request.attemptStarted(attempt(new ArrayList<>()));
-    requests.removeIfOver(request);
-    assertTrue(requests.contains("r1"), "it has no final response");
+    request.onAttemptStarted(createAttempt(new ArrayList<>()));
+    requests.removeIfComplete(request);
+    assertTrue(requests.contains("r1"), "the request has no final response");
     request.finish();
-    requests.removeIfOver(request);
-    assertTrue(requests.contains("r1"), "its attempt is in flight");
-    request.attemptEnded();
-    requests.removeIfOver(request);
+    requests.removeIfComplete(request);
+    assertTrue(requests.contains("r1"), "the attempt is in flight");
+    request.onAttemptEnded();
+    requests.removeIfComplete(request);
     assertEquals(0, requests.size());
   }
 
   @Test
-  void removingARequestTwiceLeavesANewOneOfItsId() {
+  void removingRequestTwiceKeepsNewRequestWithSameId() {
     ActiveRequests requests = new ActiveRequests();
-    ActiveRequest earlier = request("r1");
+    ActiveRequest earlier = createRequest("r1");
     requests.add(earlier);
     earlier.finish();
-    requests.removeIfOver(earlier);
-    ActiveRequest later = request("r1");
+    requests.removeIfComplete(earlier);
+    ActiveRequest later = createRequest("r1");
     requests.add(later);
-    requests.removeIfOver(earlier);
+    requests.removeIfComplete(earlier);
     assertSame(later, requests.get("r1"));
   }
 }
--- a/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
+++ b/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
@@ -55,8 +55,9 @@
 import quotagateway.transport.SocketTransport;
 
 /**
- * Events that cross, in the order that does harm. Where a connection is coming up, both happen in
- * one turn of the event loop: the kernel has the connection by then, and the loop cannot know.
+ * Tests concurrent events in the order that exposes errors. If a backend connection is being
+ * established, both events occur in one turn of the event loop: the kernel has established the
+ * connection by then, but the event loop cannot know it yet.
  */
 @Timeout(30)
 class ConcurrentEventsTest {
@@ -65,22 +66,22 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
   private final EventLoop loop = group.next();
-  private final AtomicLong offsetNanos = new AtomicLong();
+  private final AtomicLong clockOffsetNanos = new AtomicLong();
 
-  /** What each reading of the clock takes, as where a share of a core is used up. */
-  private final AtomicLong nanosForEachReading = new AtomicLong();
+  /** Time added by each clock reading, which simulates an event loop that is short of CPU. */
+  private final AtomicLong nanosPerClockReading = new AtomicLong();
 
   private final MonotonicClock clock =
       new MonotonicClock(
-          () -> System.nanoTime() + offsetNanos.addAndGet(nanosForEachReading.get()));
-  private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
-  private final ServerSocket first = listen();
-  private final ServerSocket second = listen();
+          () -> System.nanoTime() + clockOffsetNanos.addAndGet(nanosPerClockReading.get()));
+  private final BlockingQueue<String> responses = new LinkedBlockingQueue<>();
+  private final ServerSocket firstBackend = listen();
+  private final ServerSocket secondBackend = listen();
   private PolicySettings settings;
   private PolicyDriver driver;
 
-  /** Whether the client has disconnected, of which the driver was not notified. */
-  private volatile boolean disconnected;
+  /** Whether the client has disconnected without the driver having been notified. */
+  private volatile boolean clientDisconnected;
 
   private static ServerSocket listen() {
     try {
@@ -96,25 +97,25 @@
   void close() throws Exception {
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).sync();
     fixture.close();
-    first.close();
-    second.close();
+    firstBackend.close();
+    secondBackend.close();
   }
 
-  private static long address(ServerSocket server) {
+  private static long encodedAddress(ServerSocket server) {
     return BackendAddress.encode((InetSocketAddress) server.getLocalSocketAddress());
   }
 
-  private static EndpointUpdate update(
+  private static EndpointUpdate endpointUpdate(
       boolean full, long id, ServerSocket server, EndpointState state, double startedMs) {
     return new EndpointUpdate(
-        1, full, List.of(new Endpoint(id, "a", 0, state, 1, startedMs, address(server))));
+        1, full, List.of(new Endpoint(id, "a", 0, state, 1, startedMs, encodedAddress(server))));
   }
 
   /**
-   * Starts a driver whose policy has no counter and knows the first backend; to be called on the
-   * loop.
+   * Starts a driver whose policy uses no counter and knows the first backend. Must be called on the
+   * event loop.
    */
-  private void start() throws IOException, InvalidConfigurationException {
+  private void startDriver() throws IOException, InvalidConfigurationException {
     settings =
         GatewayFixture.parse(
                 fixture
@@ -135,129 +136,136 @@
                 10_000,
                 new ConnectionBudget(100),
                 policy.servingEndpoints()));
-    driver.start(null, update(true, 1, first, EndpointState.SERVING, 0));
+    driver.start(null, endpointUpdate(true, 1, firstBackend, EndpointState.SERVING, 0));
   }
 
   private void accept(String id) {
     accept(id, 0, new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/quote/" + id));
   }
 
-  private void accept(String id, int type, HttpRequest head) {
+  private void accept(String id, int classIndex, HttpRequest head) {
     driver.accept(
         new RequestReceived(
-            id, settings.requestClasses().get(type), "basic", 1, 1, 1, clock.now() + 4_000),
+            id, settings.requestClasses().get(classIndex), "basic", 1, 1, 1, clock.now() + 4_000),
         head,
         RequestBody.of(Unpooled.EMPTY_BUFFER),
         new ResponseListener() {
           @Override
           public boolean endIfDisconnected() {
-            return disconnected;
+            return clientDisconnected;
           }
 
           @Override
-          public void onResponse(FullHttpResponse answer) {
-            answers.add("served");
+          public void onResponse(FullHttpResponse response) {
+            responses.add("complete response");
           }
 
           @Override
-          public void onResponseStart(HttpResponse head, Attempt from) {
-            answers.add("begun");
+          public void onResponseStart(HttpResponse responseHead, Attempt attempt) {
+            responses.add("response started");
           }
 
           @Override
-          public boolean onResponseContent(HttpContent piece) {
+          public boolean onResponseContent(HttpContent content) {
             return true;
           }
 
           @Override
-          public void onResponseEnd(boolean whole) {
-            answers.add("ended");
+          public void onResponseEnd(boolean complete) {
+            responses.add("response ended");
           }
 
           @Override
-          public void onRejected(double holdOffMs) {
-            answers.add("refused");
+          public void onRejected(double retryAfterMs) {
+            responses.add("rejected");
           }
 
           @Override
           public void onFailed() {
-            answers.add("failed");
+            responses.add("failed");
           }
         });
   }
 
-  /** What comes on the next connection there: a request's first line, or nothing. */
-  private static String heard(ServerSocket at) throws IOException {
-    try (Socket taken = at.accept()) {
-      taken.setSoTimeout(10_000);
+  /**
+   * Accepts the next connection and returns the first line of its request, or an empty string if
+   * the connection ends without one.
+   */
+  private static String readRequestLine(ServerSocket server) throws IOException {
+    try (Socket connection = server.accept()) {
+      connection.setSoTimeout(10_000);
       StringBuilder line = new StringBuilder();
-      for (int b = taken.getInputStream().read();
+      for (int b = connection.getInputStream().read();
           b >= 0 && b != '\r';
-          b = taken.getInputStream().read()) {
+          b = connection.getInputStream().read()) {
         line.append((char) b);
       }
       return line.toString();
     }
   }
 
-  /** A client disconnects while the connection for its request is coming up: nothing is written. */
+  /**
+   * A client disconnects while the backend connection for its request is being established. The
+   * request must not be written.
+   */
   @Test
-  void requestOfADisconnectedClientIsNotWritten() throws Exception {
+  void doesNotWriteRequestAfterClientDisconnected() throws Exception {
     loop.submit(
             () -> {
-              start();
+              startDriver();
               accept("r1");
               driver.onClientDisconnected("r1");
               return null;
             })
         .sync();
-    assertEquals("", heard(first));
+    assertEquals("", readRequestLine(firstBackend));
   }
 
   /**
-   * A client's close has reached the kernel, and the loop reads it only after the connection for
-   * the request is up. Nothing is written all the same: the close is looked for before the write.
+   * The kernel has received a client's close, but the event loop reads it only after the backend
+   * connection is established. The request must not be written: the gateway checks for a close
+   * before it writes.
    */
   @Test
-  void requestOfAClientWhoseCloseWasNotReadYetIsNotWritten() throws Exception {
+  void doesNotWriteRequestIfClientCloseIsStillUnread() throws Exception {
     loop.submit(
             () -> {
-              start();
+              startDriver();
               accept("r1");
-              disconnected = true;
+              clientDisconnected = true;
               return null;
             })
         .sync();
-    assertEquals("", heard(first));
+    assertEquals("", readRequestLine(firstBackend));
   }
 
   /**
-   * The shutdown fails all open requests while the connection for one is coming up. The client has
-   * its final response by then: nothing is written.
+   * The shutdown fails all requests while the backend connection for one is being established. The
+   * client already has its final response, so the request must not be written.
    */
   @Test
-  void requestThatTheShutdownFailedIsNotWritten() throws Exception {
+  void doesNotWriteRequestFailedByShutdown() throws Exception {
     loop.submit(
             () -> {
-              start();
+              startDriver();
               accept("r1");
               driver.failAll();
               return null;
             })
         .sync();
-    assertEquals("", heard(first));
-    assertEquals("failed", TestQueues.next(answers));
+    assertEquals("", readRequestLine(firstBackend));
+    assertEquals("failed", TestQueues.next(responses));
   }
 
   /**
    * Discovery reports that a backend is draining after the policy chose it and before the
-   * connection to it is up: the request goes to another.
+   * connection to it is established. The request must go to another backend.
    */
   @Test
-  void backendThatDrainsWhileItsConnectionComesUpGetsNoRequest() throws Exception {
+  void sendsNoRequestToBackendThatDrainsDuringConnect() throws Exception {
     loop.submit(
             () -> {
-              start();
+              startDriver();
               accept("r1");
               driver.onEndpointUpdate(
                   new EndpointUpdate(
@@ -265,134 +273,148 @@
                       false,
                       List.of(
                           new Endpoint(1, "a", 0, EndpointState.DRAINING, 1, 0),
-                          new Endpoint(2, "a", 0, EndpointState.SERVING, 1, 0, address(second)))));
+                          new Endpoint(
+                              2,
+                              "a",
+                              0,
+                              EndpointState.SERVING,
+                              1,
+                              0,
+                              encodedAddress(secondBackend)))));
               return null;
             })
         .sync();
-    assertEquals("", heard(first));
-    assertEquals("GET /quote/r1 HTTP/1.1", heard(second));
+    assertEquals("", readRequestLine(firstBackend));
+    assertEquals("GET /quote/r1 HTTP/1.1", readRequestLine(secondBackend));
   }
 
   /**
-   * Discovery reports another address of a backend before the connection to it is up. By then
-   * another backend may live at the old one: the request goes to the new one.
+   * Discovery reports a new address of a backend before the connection to the old address is
+   * established. Another backend may already use the old address, so the request must go to the new
+   * one.
    */
   @Test
-  void backendThatMovesWhileItsConnectionComesUpGetsTheRequestAtItsNewAddress() throws Exception {
+  void sendsRequestToNewAddressOfBackendThatMovesDuringConnect() throws Exception {
     loop.submit(
             () -> {
-              start();
+              startDriver();
               accept("r1");
-              driver.onEndpointUpdate(update(false, 1, second, EndpointState.SERVING, 0));
+              driver.onEndpointUpdate(
+                  endpointUpdate(false, 1, secondBackend, EndpointState.SERVING, 0));
               return null;
             })
         .sync();
-    assertEquals("", heard(first));
-    assertEquals("GET /quote/r1 HTTP/1.1", heard(second));
+    assertEquals("", readRequestLine(firstBackend));
+    assertEquals("GET /quote/r1 HTTP/1.1", readRequestLine(secondBackend));
   }
 
   /**
-   * A backend closes an idle connection; the kernel has seen it, the loop has not, and writes the
-   * next request on it. The request is retried on a new connection, and has one response.
+   * A backend closes an idle connection. The kernel has received the close, but the event loop has
+   * not read it and writes the next request on the connection. The request must be retried on a new
+   * connection and get exactly one response.
    */
   @Test
-  void requestWrittenOnAClosedIdleConnectionIsRetriedOnANewOne() throws Exception {
+  void retriesRequestWrittenToClosedIdleConnectionOnNewConnection() throws Exception {
     loop.submit(
             () -> {
-              start();
+              startDriver();
               accept("r1");
               return null;
             })
         .sync();
-    Socket kept = first.accept();
-    answer(kept, "GET /quote/r1 HTTP/1.1");
+    Socket idleConnection = firstBackend.accept();
+    expectRequestAndRespond(idleConnection, "GET /quote/r1 HTTP/1.1");
     TimeUnit.MILLISECONDS.sleep(30);
     loop.submit(
             () -> {
-              kept.close();
+              idleConnection.close();
               accept("r2");
               return null;
             })
         .sync();
-    try (Socket fresh = first.accept()) {
-      answer(fresh, "GET /quote/r2 HTTP/1.1");
+    try (Socket newConnection = firstBackend.accept()) {
+      expectRequestAndRespond(newConnection, "GET /quote/r2 HTTP/1.1");
     }
-    assertTrue(answers.isEmpty(), "each request has one answer");
+    assertTrue(responses.isEmpty(), "each request must get exactly one response");
   }
 
-  private void answer(Socket backend, String expected) throws Exception {
+  private void expectRequestAndRespond(Socket backend, String expected) throws Exception {
     backend.setSoTimeout(10_000);
     assertEquals(expected, HttpMessage.read(backend.getInputStream()).firstLine());
     TextStreams.write(backend.getOutputStream(), FakeBackend.OK_RESPONSE);
-    assertEquals("served", TestQueues.next(answers));
+    assertEquals("complete response", TestQueues.next(responses));
   }
 
   /**
-   * The loop is short of CPU: each step takes 40 ms, and the deduplication window ends between the
-   * policy's decision to retry and the write. Written then, the request would be executed twice.
+   * The event loop is short of CPU: each clock reading takes 40 ms, and the deduplication window
+   * ends between the policy's decision to retry and the write. If the retry were written then, the
+   * request would be executed twice.
    */
   @Test
-  void retryIsNotWrittenAfterItsDeduplicationWindowWhereTheLoopIsSlow() throws Exception {
+  void doesNotWriteRetryAfterDeduplicationWindowOnSlowEventLoop() throws Exception {
     loop.submit(
             () -> {
-              start();
+              startDriver();
               accept("r1");
               accept("r2");
               return null;
             })
         .sync();
-    Socket one = first.accept();
-    Socket two = first.accept();
-    answerAny(one);
-    answerAny(two);
-    HttpRequest withKey = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/buy/r3");
-    withKey.headers().set(ProtocolHeaders.IDEMPOTENCY_KEY, "key").set("Content-Length", 0);
+    Socket first = firstBackend.accept();
+    Socket second = firstBackend.accept();
+    readRequestAndRespond(first);
+    readRequestAndRespond(second);
+    HttpRequest requestWithKey =
+        new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/buy/r3");
+    requestWithKey.headers().set(ProtocolHeaders.IDEMPOTENCY_KEY, "key").set("Content-Length", 0);
     loop.submit(
             () -> {
-              offsetNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(20));
-              accept("r3", 1, withKey);
+              clockOffsetNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(20));
+              accept("r3", 1, requestWithKey);
             })
         .sync();
-    Socket used = waitForRequest(one, two);
-    assertEquals("POST /buy/r3 HTTP/1.1", HttpMessage.read(used.getInputStream()).firstLine());
-    double window = settings.requestClasses().get(1).deduplicationWindowMs();
+    Socket usedConnection = waitForRequest(first, second);
+    assertEquals(
+        "POST /buy/r3 HTTP/1.1", HttpMessage.read(usedConnection.getInputStream()).firstLine());
+    double windowMs = settings.requestClasses().get(1).deduplicationWindowMs();
     loop.submit(
             () -> {
-              offsetNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos((long) window - 110));
-              nanosForEachReading.set(TimeUnit.MILLISECONDS.toNanos(40));
-              used.setSoLinger(true, 0);
-              used.close();
+              clockOffsetNanos.addAndGet(TimeUnit.MILLISECONDS.toNanos((long) windowMs - 110));
+              nanosPerClockReading.set(TimeUnit.MILLISECONDS.toNanos(40));
+              usedConnection.setSoLinger(true, 0);
+              usedConnection.close();
               return null;
             })
         .sync();
-    assertNotEquals("served", TestQueues.next(answers));
-    assertEquals(0, (used == one ? two : one).getInputStream().available());
+    assertNotEquals("complete response", TestQueues.next(responses));
+    assertEquals(0, (usedConnection == first ? second : first).getInputStream().available());
   }
 
-  private void answerAny(Socket backend) throws Exception {
+  private void readRequestAndRespond(Socket backend) throws Exception {
     backend.setSoTimeout(10_000);
     HttpMessage.read(backend.getInputStream());
     TextStreams.write(backend.getOutputStream(), FakeBackend.OK_RESPONSE);
-    assertEquals("served", TestQueues.next(answers));
+    assertEquals("complete response", TestQueues.next(responses));
   }
 
-  private static Socket waitForRequest(Socket one, Socket two) throws IOException {
+  private static Socket waitForRequest(Socket first, Socket second) throws IOException {
     while (true) {
-      if (one.getInputStream().available() > 0) {
-        return one;
+      if (first.getInputStream().available() > 0) {
+        return first;
       }
-      if (two.getInputStream().available() > 0) {
-        return two;
+      if (second.getInputStream().available() > 0) {
+        return second;
       }
       Thread.onSpinWait();
     }
   }
 
   /**
-   * The shutdown closes what is left while half of a request has come: its client gets an error.
+   * The shutdown closes the remaining connections while a request is only partly received. Its
+   * client must get an error response.
    */
   @Test
-  void halfReadRequestIsRejectedAtTheEndOfTheShutdown() throws Exception {
+  void rejectsPartlyReceivedRequestAtEndOfShutdown() throws Exception {
     fixture.backend.responder = (request, out) -> true;
     GatewayServer gateway =
         fixture.start(
@@ -400,25 +422,26 @@
                 .config(EndpointListJson.entry("s-1", fixture.backend.port(), "active"))
                 .replace("\"DeadlineMs\":4000", "\"DeadlineMs\":1000")
                 .replace("\"AimMs\":1500", "\"AimMs\":500"));
-    TestClient half = fixture.client();
-    half.send(TestRequests.get("h1", 1000).substring(0, 60));
-    TestClient kept = fixture.client();
-    assertEquals(200, kept.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
-    Thread end = new Thread(gateway::shutDownGracefully);
-    end.start();
-    assertTrue(kept.ended());
-    assertEquals(503, half.receive().status());
-    assertTrue(half.ended());
-    end.join(10_000);
-    assertTrue(!end.isAlive());
+    TestClient partialRequestClient = fixture.client();
+    partialRequestClient.send(TestRequests.get("h1", 1000).substring(0, 60));
+    TestClient idleClient = fixture.client();
+    assertEquals(200, idleClient.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
+    Thread shutdownThread = new Thread(gateway::shutDownGracefully);
+    shutdownThread.start();
+    assertTrue(idleClient.ended());
+    assertEquals(503, partialRequestClient.receive().status());
+    assertTrue(partialRequestClient.ended());
+    shutdownThread.join(10_000);
+    assertTrue(!shutdownThread.isAlive());
   }
 
   /**
-   * The shutdown closes what is left while a pipelined request waits behind another. The open one
-   * fails, the waiting one is rejected, and the connection ends.
+   * The shutdown closes the remaining connections while a pipelined request waits for an earlier
+   * one. The earlier request must fail, the waiting one must be rejected, and the connection must
+   * end.
    */
   @Test
-  void pipelinedRequestIsRejectedAtTheEndOfTheShutdown() throws Exception {
+  void rejectsWaitingPipelinedRequestAtEndOfShutdown() throws Exception {
     GatewayServer gateway = fixture.start();
     fixture.backend.responder = (request, out) -> true;
     TestClient client = fixture.client();
--- a/src/test/java/quotagateway/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/quotagateway/simulator/SimulatorAdapterTest.java
@@ -10,10 +10,10 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Plays short scripts of the simulator and checks the exact replies. */
+/** Feeds short simulator scripts to the adapter and checks the exact replies. */
 class SimulatorAdapterTest {
 
-  private static final String ATTACH =
+  private static final String GATEWAY_START_BATCH =
       """
       {"m":"Mark","ClockMs":1000,"n":1}
       {"m":"Attach","DoorId":3,"RandomSeed":5,"Setup":{"Balancers":2,"MyZone":"a","NewKey":[1,{"x":null}],
@@ -25,7 +25,7 @@
       {"m":"Discovery","DoorId":3,"Bank":0,"Form":"remembered","Revision":1}
       {"m":"Go"}
       """;
-  private static final String SERVED =
+  private static final String REQUEST_BATCHES =
       """
       {"m":"Mark","ClockMs":2000.5,"n":2}
       {"m":"Req","DoorId":3,"Tid":"r1","GiveUpAtMs":6000.5,"Package":"p","Kind":"c","EntryPoints":2,\
@@ -42,7 +42,7 @@
       {"m":"Elapsed","DoorId":3,"Label":"tick"}
       {"m":"Go"}
       """;
-  private static final String REPLIES =
+  private static final String EXPECTED_REPLIES =
       """
       {"m":"After","DoorId":3,"InstantMs":1025.0,"Label":"tick"}
       {"m":"Ack","n":1}
@@ -53,7 +53,7 @@
       {"m":"Ack","n":4}
       """;
 
-  private static String play(String input) throws IOException {
+  private static String runAdapter(String input) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out)
         .run();
@@ -61,20 +61,22 @@
   }
 
   @Test
-  void batchesGetExactlyTheseRepliesEachTime() throws IOException {
-    assertEquals(REPLIES, play(ATTACH + SERVED));
-    assertEquals(play(ATTACH + SERVED), play(ATTACH + SERVED));
+  void writesExactRepliesReproducibly() throws IOException {
+    assertEquals(EXPECTED_REPLIES, runAdapter(GATEWAY_START_BATCH + REQUEST_BATCHES));
+    assertEquals(
+        runAdapter(GATEWAY_START_BATCH + REQUEST_BATCHES),
+        runAdapter(GATEWAY_START_BATCH + REQUEST_BATCHES));
   }
 
   @Test
-  void malformedInputIsAnError() {
-    assertThrows(IOException.class, () -> play("{\"m\":\"Mark\",\"ClockMs\":"));
-    assertThrows(IOException.class, () -> play("{\"m\":\"Mark\"]"));
-    assertThrows(IOException.class, () -> play("[1]"));
+  void throwsOnMalformedInput() {
+    assertThrows(IOException.class, () -> runAdapter("{\"m\":\"Mark\",\"ClockMs\":"));
+    assertThrows(IOException.class, () -> runAdapter("{\"m\":\"Mark\"]"));
+    assertThrows(IOException.class, () -> runAdapter("[1]"));
   }
 
   @Test
-  void emptyInputGetsNoReplies() throws IOException {
-    assertTrue(play("").isEmpty());
+  void writesNothingForEmptyInput() throws IOException {
+    assertTrue(runAdapter("").isEmpty());
   }
 }
