--- a/src/test/java/quotagateway/driver/ActiveRequestTest.java
+++ b/src/test/java/quotagateway/driver/ActiveRequestTest.java
@@ -34,7 +34,7 @@
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private final AtomicInteger deadlineCount = new AtomicInteger();
 
-  private ActiveRequest createRequest(String id) {
+  private ActiveRequest request(String id) {
     return new ActiveRequest(
         new RequestReceived(id, null, "basic", 1, 1, 1, Double.POSITIVE_INFINITY),
         head,
@@ -42,7 +42,7 @@
         null);
   }
 
-  private Attempt createAttempt(List<Status> outcomes) {
+  private Attempt attempt(List<Status> outcomes) {
     return new Attempt(head, body, 100) {
       @Override
       public void onEnd(Status status, FullHttpResponse response) {
@@ -69,7 +69,7 @@
    */
   @Test
   void claimsFinalResponseOnlyOnce() {
-    ActiveRequest request = createRequest("r1");
+    ActiveRequest request = request("r1");
     assertTrue(request.finish());
     assertFalse(request.finish());
     assertTrue(request.isFinished());
@@ -81,20 +81,20 @@
    */
   @Test
   void firesDeadlineTimerSixMsBeforeClientDeadline() {
-    startDeadlineTimer(createRequest("r1"), NOW_MS + 100);
+    startDeadlineTimer(request("r1"), NOW_MS + 100);
     assertEquals(0, deadlineCountAfterMs(93));
     assertEquals(1, deadlineCountAfterMs(1));
   }
 
   @Test
   void firesDeadlineTimerImmediatelyIfDeadlineHasPassed() {
-    startDeadlineTimer(createRequest("r1"), NOW_MS - 1);
+    startDeadlineTimer(request("r1"), NOW_MS - 1);
     assertEquals(1, deadlineCountAfterMs(0));
   }
 
   @Test
   void cancelsDeadlineTimerWhenRequestFinishes() {
-    ActiveRequest request = createRequest("r1");
+    ActiveRequest request = request("r1");
     startDeadlineTimer(request, NOW_MS + 100);
     request.finish();
     assertEquals(0, deadlineCountAfterMs(1_000));
@@ -103,9 +103,9 @@
   /** An attempt that is cancelled twice reports only one outcome to the policy. */
   @Test
   void reportsOneOutcomeForAttemptCancelledTwice() {
-    ActiveRequest request = createRequest("r1");
+    ActiveRequest request = request("r1");
     List<Status> outcomes = new ArrayList<>();
-    request.onAttemptStarted(createAttempt(outcomes));
+    request.onAttemptStarted(attempt(outcomes));
     request.cancelUnwrittenAttempts();
     assertEquals(List.of(Status.NOT_SENT), outcomes);
     request.cancelAttempts();
@@ -114,9 +114,9 @@
 
   @Test
   void findsAttemptByNumberAndLastAttemptInFlight() {
-    ActiveRequest request = createRequest("r1");
+    ActiveRequest request = request("r1");
     assertNull(request.lastAttemptInFlight());
-    Attempt first = createAttempt(new ArrayList<>());
+    Attempt first = attempt(new ArrayList<>());
     request.onAttemptStarted(first);
     assertSame(first, request.attempt(0));
     assertNull(request.attempt(1));
@@ -133,9 +133,9 @@
   @Test
   void removesRequestOnlyWhenFinishedWithNoAttemptInFlight() {
     ActiveRequests requests = new ActiveRequests();
-    ActiveRequest request = createRequest("r1");
+    ActiveRequest request = request("r1");
     requests.add(request);
-    request.onAttemptStarted(createAttempt(new ArrayList<>()));
+    request.onAttemptStarted(attempt(new ArrayList<>()));
     requests.removeIfComplete(request);
     assertTrue(requests.contains("r1"), "the request has no final response");
     request.finish();
@@ -149,11 +149,11 @@
   @Test
   void removingRequestTwiceKeepsNewRequestWithSameId() {
     ActiveRequests requests = new ActiveRequests();
-    ActiveRequest earlier = createRequest("r1");
+    ActiveRequest earlier = request("r1");
     requests.add(earlier);
     earlier.finish();
     requests.removeIfComplete(earlier);
-    ActiveRequest later = createRequest("r1");
+    ActiveRequest later = request("r1");
     requests.add(later);
     requests.removeIfComplete(earlier);
     assertSame(later, requests.get("r1"));
--- a/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
+++ b/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
@@ -115,7 +115,7 @@
    * Starts a driver whose policy uses no counter and knows the first backend. Must be called on the
    * event loop.
    */
-  private void startDriver() throws IOException, InvalidConfigurationException {
+  private void start() throws IOException, InvalidConfigurationException {
     settings =
         GatewayFixture.parse(
                 fixture
@@ -191,8 +191,8 @@
    * Accepts the next connection and returns the first line of its request, or an empty string if
    * the connection ends without one.
    */
-  private static String readRequestLine(ServerSocket server) throws IOException {
-    try (Socket connection = server.accept()) {
+  private static String readRequestLine(ServerSocket serverSocket) throws IOException {
+    try (Socket connection = serverSocket.accept()) {
       connection.setSoTimeout(10_000);
       StringBuilder line = new StringBuilder();
       for (int b = connection.getInputStream().read();
@@ -212,7 +212,7 @@
   void doesNotWriteRequestAfterClientDisconnected() throws Exception {
     loop.submit(
             () -> {
-              startDriver();
+              start();
               accept("r1");
               driver.onClientDisconnected("r1");
               return null;
@@ -230,7 +230,7 @@
   void doesNotWriteRequestIfClientCloseIsStillUnread() throws Exception {
     loop.submit(
             () -> {
-              startDriver();
+              start();
               accept("r1");
               clientDisconnected = true;
               return null;
@@ -247,7 +247,7 @@
   void doesNotWriteRequestFailedByShutdown() throws Exception {
     loop.submit(
             () -> {
-              startDriver();
+              start();
               accept("r1");
               driver.failAll();
               return null;
@@ -265,7 +265,7 @@
   void sendsNoRequestToBackendThatDrainsDuringConnect() throws Exception {
     loop.submit(
             () -> {
-              startDriver();
+              start();
               accept("r1");
               driver.onEndpointUpdate(
                   new EndpointUpdate(
@@ -297,7 +297,7 @@
   void sendsRequestToNewAddressOfBackendThatMovesDuringConnect() throws Exception {
     loop.submit(
             () -> {
-              startDriver();
+              start();
               accept("r1");
               driver.onEndpointUpdate(
                   endpointUpdate(false, 1, secondBackend, EndpointState.SERVING, 0));
@@ -317,7 +317,7 @@
   void retriesRequestWrittenToClosedIdleConnectionOnNewConnection() throws Exception {
     loop.submit(
             () -> {
-              startDriver();
+              start();
               accept("r1");
               return null;
             })
@@ -354,7 +354,7 @@
   void doesNotWriteRetryAfterDeduplicationWindowOnSlowEventLoop() throws Exception {
     loop.submit(
             () -> {
-              startDriver();
+              start();
               accept("r1");
               accept("r2");
               return null;
@@ -422,15 +422,15 @@
                 .config(EndpointListJson.entry("s-1", fixture.backend.port(), "active"))
                 .replace("\"DeadlineMs\":4000", "\"DeadlineMs\":1000")
                 .replace("\"AimMs\":1500", "\"AimMs\":500"));
-    TestClient partialRequestClient = fixture.client();
-    partialRequestClient.send(TestRequests.get("h1", 1000).substring(0, 60));
+    TestClient client = fixture.client();
+    client.send(TestRequests.get("h1", 1000).substring(0, 60));
     TestClient idleClient = fixture.client();
     assertEquals(200, idleClient.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
     Thread shutdownThread = new Thread(gateway::shutDownGracefully);
     shutdownThread.start();
     assertTrue(idleClient.ended());
-    assertEquals(503, partialRequestClient.receive().status());
-    assertTrue(partialRequestClient.ended());
+    assertEquals(503, client.receive().status());
+    assertTrue(client.ended());
     shutdownThread.join(10_000);
     assertTrue(!shutdownThread.isAlive());
   }
