--- a/src/main/java/quotagateway/policy/AttemptKey.java
+++ b/src/main/java/quotagateway/policy/AttemptKey.java
@@ -1,11 +1,12 @@
 package quotagateway.policy;
 
 /**
- * Names an attempt in the events of the gateway. The methods are written out, as those that a
- * record has by itself are generated at run time, which slows the start.
+ * Identifies an attempt by its request and its number. {@code equals} and {@code hashCode} are
+ * written out because the implementations that a record inherits are generated at run time, which
+ * slows startup.
  *
- * @param requestId unique among the open requests of this gateway
- * @param number of the attempt, from 0
+ * @param requestId ID of the request, unique among the open requests of this gateway
+ * @param number number of the attempt within its request, from 0
  */
 record AttemptKey(String requestId, int number) {
 
--- a/src/main/java/quotagateway/policy/GatewayPolicy.java
+++ b/src/main/java/quotagateway/policy/GatewayPolicy.java
@@ -40,41 +40,47 @@
 import quotagateway.policy.settings.RequestClass;
 
 /**
- * All decisions of one gateway: takes an event, and gives the actions that follow from it, in the
- * order in which they are to be done.
+ * Makes all decisions of one gateway. The policy maps each event to the actions that follow from
+ * it, in the order in which the gateway executes them.
  *
- * <p>Of each request it asks, in this order: is there time and room for it, and are the backends
- * not overloaded ({@link LoadShedder})? Is it within its customer's quota ({@link QuotaLimiter})?
- * Which backend can serve it ({@link BackendRouter})? After an attempt that failed: may there be
- * another one ({@link RetryPolicy})? Each request gets one final response: that of a backend, a
- * rejection, or a failure.
+ * <p>Each request passes these checks, in this order:
  *
- * <p>Longer than other classes, so that the order of all questions about a request stands on one
- * page; the answers are given elsewhere.
+ * <ol>
+ *   <li>enough time remains, the limit on open requests is not exceeded, and the backends are not
+ *       overloaded ({@link LoadShedder});
+ *   <li>the request is within its customer's quota ({@link QuotaLimiter});
+ *   <li>a backend can serve it ({@link BackendRouter});
+ *   <li>after a failed attempt, another attempt is allowed ({@link RetryPolicy}).
+ * </ol>
  *
- * <p>One instance for each gateway, called by one thread. Time comes with the events, in Unix
- * milliseconds; nothing here blocks.
+ * <p>Each request gets one final response: a backend's response, a rejection, or a failure.
+ *
+ * <p>This class is longer than others so that the order of all checks on a request is visible in
+ * one place; the checks themselves are implemented in other classes.
+ *
+ * <p>Each gateway has one instance, called by a single thread. Events carry the time, in Unix
+ * milliseconds. No method blocks.
  */
 public final class GatewayPolicy {
 
-  /** Between checks of open requests: short against any latency objective. */
+  /** Interval between checks of open requests, which is short relative to any latency objective. */
   private static final double CHECK_INTERVAL_MS = 25;
 
-  /** Between checks without open requests, which only show when this gateway stalled. */
+  /** Interval between checks without open requests, which serve only to detect stalls. */
   private static final double IDLE_CHECK_INTERVAL_MS = 250;
 
-  /** After a stall, until the open requests are checked. */
+  /** Delay from the detection of a stall to the check of open requests. */
   private static final double CHECK_AFTER_STALL_MS = 1;
 
   /**
-   * Of the latency objective, how long after its receipt a request waits for the counter at most;
-   * backends need most of it.
+   * Longest time from receipt that a request waits for the counter, as a fraction of its latency
+   * objective. The backends need most of the objective.
    */
   private static final double MAX_COUNTER_WAIT_PER_OBJECTIVE = 0.06;
 
   /**
-   * Of the latency objective, how long after its receipt a request waits for any backend that can
-   * be used at most.
+   * Longest time from receipt that a request waits for a usable backend, as a fraction of its
+   * latency objective.
    */
   private static final double MAX_BACKEND_WAIT_PER_OBJECTIVE = 0.4;
 
@@ -89,26 +95,27 @@
   private final OpenRequests openRequests;
 
   /**
-   * Requests by their attempts in progress; those whose clients have gone are not open any more.
+   * Requests by their attempts in progress. A request whose client has disconnected stays here
+   * until its attempt ends, although it is no longer open.
    */
   private final Map<AttemptKey, OpenRequest> requestsByAttempt = new HashMap<>();
 
   /**
-   * A policy with an endpoint index of its own.
+   * Creates a policy with its own endpoint index.
    *
-   * @param settings in force at the start
-   * @param seed of all random draws
+   * @param settings the initial settings
+   * @param seed the seed of the random number generator
    */
   public GatewayPolicy(PolicySettings settings, long seed) {
     this(settings, seed, new EndpointIndex(settings.gatewayIndex()));
   }
 
   /**
-   * A policy that keeps its endpoints in the given index, which nobody else changes.
+   * Creates a policy that keeps its endpoints in the given index.
    *
-   * @param settings in force at the start
-   * @param seed of all random draws
-   * @param index empty
+   * @param settings the initial settings
+   * @param seed the seed of the random number generator
+   * @param index an empty index, which only this policy modifies
    */
   public GatewayPolicy(PolicySettings settings, long seed, EndpointIndex index) {
     this.index = index;
@@ -122,17 +129,17 @@
     openRequests = new OpenRequests(context, quotaLimiter, retryPolicy);
   }
 
-  /** What is known of the endpoints, always as of the last event. */
+  /** Returns a live view of the known endpoints, which is current as of the last event. */
   public ServingEndpoints servingEndpoints() {
     return index;
   }
 
-  /** How many backends a full status is kept of. */
+  /** Returns the number of backends for which a full status is kept. */
   public int trackedBackends() {
     return router.statusCount();
   }
 
-  /** Starts the policy; to be called once, before any event. */
+  /** Starts the policy and returns its first actions. Called once, before any event. */
   public List<Action> start(double nowMs) {
     context.start(nowMs);
     scheduleCheck(CHECK_INTERVAL_MS);
@@ -142,7 +149,7 @@
     return context.actions();
   }
 
-  /** Takes one event and gives what to do, in order. */
+  /** Processes one event and returns the actions that follow from it, in execution order. */
   public List<Action> on(double nowMs, Event event) {
     context.begin(nowMs);
     wakeUpTimer.detectStall(nowMs);
@@ -165,8 +172,8 @@
     } else if (event instanceof SettingsChanged changed) {
       onSettingsChanged(changed.settings());
     } else {
-      // Not reached: Event is sealed, and all its kinds are above.
-      throw new IllegalArgumentException("unknown kind of event: " + event);
+      // Unreachable: Event is sealed, and the branches above cover all permitted types.
+      throw new IllegalArgumentException("unsupported event type: " + event);
     }
     return context.actions();
   }
@@ -187,10 +194,10 @@
             quotaLimiter.open(event, requestClass.priorityWeight()),
             context.nowMs());
     openRequests.add(request);
-    loadShedder.recordRequest(request.quota.priorityWeight());
+    loadShedder.recordRequest(request.reservation.priorityWeight());
     admit(request);
-    boolean nextCheckIsFar = wakeUpTimer.dueAtMs() > context.nowMs() + CHECK_INTERVAL_MS;
-    if (nextCheckIsFar && !openRequests.isEmpty()) {
+    boolean nextCheckIsTooLate = wakeUpTimer.dueAtMs() > context.nowMs() + CHECK_INTERVAL_MS;
+    if (nextCheckIsTooLate && !openRequests.isEmpty()) {
       scheduleCheck(CHECK_INTERVAL_MS);
     }
   }
@@ -198,30 +205,31 @@
   private void admit(OpenRequest request) {
     if (openRequests.size() > context.settings().capabilities().maxOpenRequests()
         || isLastCheck(request)
-        || loadShedder.isOverloaded(request.quota.priorityWeight())) {
+        || loadShedder.isOverloaded(request.reservation.priorityWeight())) {
       openRequests.reject(request, 0);
     } else {
-      apply(quotaLimiter.acquire(request.quota), request);
+      applyQuotaDecision(quotaLimiter.acquire(request.reservation), request);
     }
   }
 
   private void onCounterReplied(CounterReplied event) {
-    Optional<CounterReplyDecision> decided = quotaLimiter.onCounterReplied(event, isStalled());
-    if (decided.isPresent()) {
-      OpenRequest request = openRequests.get(decided.get().requestId());
-      apply(decided.get().decision(), request);
+    Optional<CounterReplyDecision> decision = quotaLimiter.onCounterReplied(event, isStalled());
+    if (decision.isPresent()) {
+      OpenRequest request = openRequests.get(decision.get().requestId());
+      applyQuotaDecision(decision.get().decision(), request);
     }
   }
 
   /**
-   * Over quota, a request is forwarded only where its plan earns by it and backends are idle. While
-   * the decision is pending nothing is done: the counter's reply, or the end of the wait, decides.
+   * Acts on a quota decision. A request over quota is forwarded only if its plan earns more than it
+   * costs to exceed the quota and the backends have spare capacity. A pending decision needs no
+   * action: the counter's reply, or the end of the wait for it, decides the request later.
    */
-  private void apply(QuotaDecision decision, OpenRequest request) {
+  private void applyQuotaDecision(QuotaDecision decision, OpenRequest request) {
     if (decision instanceof QuotaDecision.Admitted) {
       forward(request);
     } else if (decision instanceof QuotaDecision.OverQuota overQuota) {
-      if (request.quota.mayExceedQuota() && loadShedder.hasSpareCapacity()) {
+      if (request.reservation.mayExceedQuota() && loadShedder.hasSpareCapacity()) {
         forward(request);
       } else {
         openRequests.reject(request, overQuota.retryAfterMs());
@@ -229,7 +237,7 @@
     }
   }
 
-  /** What quota decisions depend on beside quotas. */
+  /** Provides the backend load that quota decisions depend on. */
   private final class BackendLoadForQuota implements BackendLoad {
     @Override
     public double meanServiceMs() {
@@ -245,7 +253,8 @@
   // ---- Attempts ----
 
   /**
-   * Starts an attempt; without a backend that can be used the request waits while there is time.
+   * Starts an attempt. If no backend is usable, the request waits for one while enough time remains
+   * for another check.
    */
   private void forward(OpenRequest request) {
     BackendStatus backend = router.select(request.routing, request.latencyObjectiveMs());
@@ -253,22 +262,22 @@
     if (backend != null) {
       startAttempt(request, backend);
     } else if (!request.awaitingBackend) {
-      openRequests.giveUp(request);
+      openRequests.rejectOrFail(request);
     }
   }
 
   private void startAttempt(OpenRequest request, BackendStatus backend) {
     if (!retryPolicy.mayStart(request.attempts, request.deadlineAtMs)) {
-      openRequests.giveUp(request);
+      openRequests.rejectOrFail(request);
       return;
     }
     int number = request.attempts.started();
     AttemptRecord attempt = router.startAttempt(request.routing, number, backend);
     retryPolicy.recordStart(request.attempts);
-    request.liveAttempt = attempt;
+    request.currentAttempt = attempt;
     if (!request.receivingBody) {
       router.attemptReachedBackend(attempt);
-      recordInFlight(request);
+      recordAttemptInFlight(request);
     }
     requestsByAttempt.put(new AttemptKey(request.id, number), request);
     context.emit(
@@ -279,7 +288,10 @@
             retryPolicy.maxStartDelayMs(request.attempts)));
   }
 
-  /** Its backend begins only now: neither its time nor the request's has counted until here. */
+  /**
+   * Starts the request's and its attempt's time: a backend starts to work on a request only when the
+   * body is complete, so the time before does not count as latency.
+   */
   private void onRequestBodyComplete(RequestBodyComplete event) {
     OpenRequest request = openRequests.get(event.requestId());
     if (request == null) {
@@ -288,23 +300,26 @@
     request.receivingBody = false;
     request.deadlineAtMs = event.deadlineAtMs();
     request.receivedAtMs = context.nowMs();
-    if (request.liveAttempt != null) {
-      router.requestBodyComplete(request.liveAttempt);
-      recordInFlight(request);
+    if (request.currentAttempt != null) {
+      router.requestBodyComplete(request.currentAttempt);
+      recordAttemptInFlight(request);
     }
   }
 
-  private void recordInFlight(OpenRequest request) {
-    quotaLimiter.attemptStarted(request.quota);
+  private void recordAttemptInFlight(OpenRequest request) {
+    quotaLimiter.attemptStarted(request.reservation);
     loadShedder.attemptStarted();
   }
 
-  /** The backend has done its work: what follows depends on how fast the client reads. */
+  /**
+   * Stops counting an attempt as load once its response starts: the backend's work is done, and the
+   * rest of the transfer depends on how fast the client reads.
+   */
   private void onResponseStarted(ResponseStarted event) {
     OpenRequest request = requestsByAttempt.get(new AttemptKey(event.requestId(), event.attempt()));
     if (request != null && !request.attempts.hasResponseStarted()) {
       request.attempts.recordResponseStart();
-      router.responseStarted(request.liveAttempt);
+      router.responseStarted(request.currentAttempt);
       loadShedder.attemptEnded();
     }
   }
@@ -315,23 +330,24 @@
     if (request == null) {
       return;
     }
-    AttemptRecord attempt = request.liveAttempt;
-    request.liveAttempt = null;
+    AttemptRecord attempt = request.currentAttempt;
+    request.currentAttempt = null;
     recordOutcome(request, attempt, event);
     if (event.requestFinished()) {
       openRequests.finish(request);
     } else if (openRequests.contains(request)) {
-      retryOrGiveUp(request);
+      retryOrEnd(request);
     }
   }
 
   /**
-   * Each class learns from an attempt what it decides by. The load shedder comes before the router,
-   * as it measures by the mean service time that was known while the attempt was in flight.
+   * Reports the outcome of an attempt to the components that base decisions on it. The load shedder
+   * is updated before the router because it uses the mean service time that was known while the
+   * attempt was in flight.
    */
   private void recordOutcome(OpenRequest request, AttemptRecord attempt, AttemptEnded event) {
     if (attempt.reachedBackend()) {
-      quotaLimiter.attemptEnded(request.quota);
+      quotaLimiter.attemptEnded(request.reservation);
       if (!request.attempts.hasResponseStarted()) {
         loadShedder.attemptEnded();
       }
@@ -344,7 +360,7 @@
         router.fleetServiceMs());
     router.attemptEnded(attempt, event, wakeUpTimer.stalledUntilMs());
     if (event.status() == Status.OK) {
-      quotaLimiter.settle(request.quota, event.chargedUnits());
+      quotaLimiter.settle(request.reservation, event.chargedUnits());
     }
     request.attempts.recordEnd(event.status(), attempt.sentAtMs());
     if (request.attempts.needsDeduplication()) {
@@ -352,11 +368,11 @@
     }
   }
 
-  private void retryOrGiveUp(OpenRequest request) {
+  private void retryOrEnd(OpenRequest request) {
     if (retryPolicy.mayRetry(request.attempts, request.deadlineAtMs, router.fleetServiceMs())) {
       forward(request);
     } else {
-      openRequests.giveUp(request);
+      openRequests.rejectOrFail(request);
     }
   }
 
@@ -374,7 +390,11 @@
     }
   }
 
-  /** After a stall, what came meanwhile is read first: it may be what the requests wait for. */
+  /**
+   * Checks all open requests and schedules the next check. After a stall the check is postponed so
+   * that the gateway first reads what arrived during the stall, which may be what the requests are
+   * waiting for.
+   */
   private void checkOpenRequests() {
     if (isStalled()) {
       scheduleCheck(CHECK_AFTER_STALL_MS);
@@ -384,27 +404,30 @@
     scheduleCheck(openRequests.isEmpty() ? IDLE_CHECK_INTERVAL_MS : CHECK_INTERVAL_MS);
   }
 
-  /** Keeps a request moving: no wait for the counter or for a backend outlasts its bound. */
+  /**
+   * Cancels the request's attempt if it looks lost, and ends waits for the counter or for a backend
+   * that exceed their limits.
+   */
   private void check(OpenRequest request) {
-    if (request.liveAttempt != null) {
+    if (request.currentAttempt != null) {
       cancelIfLost(request);
-    } else if (request.quota.isAwaitingCounter()) {
-      if (hasWaited(request, MAX_COUNTER_WAIT_PER_OBJECTIVE)) {
-        apply(quotaLimiter.stopWaiting(request.quota), request);
+    } else if (request.reservation.isAwaitingCounter()) {
+      if (hasWaitedTooLong(request, MAX_COUNTER_WAIT_PER_OBJECTIVE)) {
+        applyQuotaDecision(quotaLimiter.stopWaiting(request.reservation), request);
       }
     } else if (request.awaitingBackend) {
-      if (hasWaited(request, MAX_BACKEND_WAIT_PER_OBJECTIVE)) {
-        openRequests.giveUp(request);
+      if (hasWaitedTooLong(request, MAX_BACKEND_WAIT_PER_OBJECTIVE)) {
+        openRequests.rejectOrFail(request);
       } else {
         forward(request);
       }
     }
   }
 
-  /** Cancels an attempt that looks lost, if another one may follow. */
+  /** Cancels the request's attempt if it looks lost and cancellation is allowed. */
   private void cancelIfLost(OpenRequest request) {
     double lossTimeoutMs = attemptTimeout.lossTimeoutMs(request.latencyObjectiveMs());
-    AttemptRecord attempt = request.liveAttempt;
+    AttemptRecord attempt = request.currentAttempt;
     if (attempt.looksLost(lossTimeoutMs, context.nowMs())
         && attemptTimeout.mayCancel(request.attempts)) {
       request.attempts.recordCancellation();
@@ -412,31 +435,35 @@
     }
   }
 
-  private boolean hasWaited(OpenRequest request, double objectives) {
+  /**
+   * Whether a request has waited longer than the given fraction of its latency objective, or would
+   * be too late at the next check.
+   */
+  private boolean hasWaitedTooLong(OpenRequest request, double maxWaitPerObjective) {
     double waitedMs = context.nowMs() - request.receivedAtMs;
-    return isLastCheck(request) || waitedMs > objectives * request.latencyObjectiveMs();
+    return isLastCheck(request) || waitedMs > maxWaitPerObjective * request.latencyObjectiveMs();
   }
 
-  /** Whether the next check would come too late for a response in time. */
+  /** Whether the next check would be too late to respond before the request's deadline. */
   private boolean isLastCheck(OpenRequest request) {
     double nextCheckAtMs = context.nowMs() + RetryPolicy.RESPONSE_MARGIN_MS + CHECK_INTERVAL_MS;
     return nextCheckAtMs >= request.deadlineAtMs;
   }
 
   private void scheduleCheck(double delayMs) {
-    double atMs = context.nowMs() + delayMs;
-    wakeUpTimer.schedule(atMs);
-    context.emit(new ScheduleTimer(atMs, Timer.REQUEST_CHECK));
+    double checkAtMs = context.nowMs() + delayMs;
+    wakeUpTimer.schedule(checkAtMs);
+    context.emit(new ScheduleTimer(checkAtMs, Timer.REQUEST_CHECK));
   }
 
   private boolean isStalled() {
     return wakeUpTimer.isStalled(context.nowMs());
   }
 
-  /** Counts, what was learned of backends, and open requests live on under new settings. */
-  private void onSettingsChanged(PolicySettings changed) {
-    router.prepareSettings(changed);
-    context.replaceSettings(changed);
+  /** Replaces the settings; quota usage, backend statistics and open requests are kept. */
+  private void onSettingsChanged(PolicySettings newSettings) {
+    router.prepareSettings(newSettings);
+    context.replaceSettings(newSettings);
     quotaLimiter.applySettings();
   }
 }
--- a/src/main/java/quotagateway/policy/OpenRequest.java
+++ b/src/main/java/quotagateway/policy/OpenRequest.java
@@ -11,58 +11,58 @@
 import quotagateway.policy.settings.RequestClass;
 
 /**
- * A request that has come and has no final response yet. Changed by {@link GatewayPolicy} alone, on
- * its thread. Times are those of events, in milliseconds.
+ * A received request that has no final response yet. Only {@link GatewayPolicy} modifies it, on its
+ * own thread. Times are event times, in milliseconds.
  */
 final class OpenRequest {
 
-  /** Shortest latency objective, where a class has none and no time is left. */
+  /** Lower bound of the latency objective that is derived from a request's deadline. */
   private static final double MIN_LATENCY_OBJECTIVE_MS = 1;
 
   final String id;
   final RequestClass requestClass;
 
-  /** By the settings that it was read by. */
+  /** The capabilities from the settings under which the request was read. */
   final Capabilities capabilities;
 
-  final QuotaReservation quota;
+  final QuotaReservation reservation;
   final RequestAttempts attempts;
   final RequestRouting routing;
 
-  /** When it came; if it was taken before its body, when the last byte of that came. */
+  /** Time of receipt. For a request received before its body, the time of the body's last byte. */
   double receivedAtMs;
 
-  /** When its client gives up; infinite while its body is still coming. */
+  /** When the client stops waiting; infinite while the body is incomplete. */
   double deadlineAtMs;
 
-  /** Its body goes to the backend while it comes, and is still coming. */
+  /** Whether the body is still being received, and is forwarded to the backend meanwhile. */
   boolean receivingBody;
 
-  /** The attempt that is in progress, or null. */
-  AttemptRecord liveAttempt;
+  /** The attempt in progress, or null. */
+  AttemptRecord currentAttempt;
 
-  /** It waits, as no backend can be used now. */
+  /** Whether the request is waiting because no backend is usable. */
   boolean awaitingBackend;
 
   /**
-   * A request that has just come.
+   * Creates the state of a request that has just been received.
    *
-   * @param event as it came
-   * @param requestClass that it is served by
-   * @param capabilities that it is served by
-   * @param quota its reservation
-   * @param nowMs the present time
+   * @param event the event that reported the request
+   * @param requestClass the request class that applies to it
+   * @param capabilities the capabilities that apply to it
+   * @param reservation its quota reservation
+   * @param nowMs the current time
    */
   OpenRequest(
       RequestReceived event,
       RequestClass requestClass,
       Capabilities capabilities,
-      QuotaReservation quota,
+      QuotaReservation reservation,
       double nowMs) {
     this.id = event.requestId();
     this.requestClass = requestClass;
     this.capabilities = capabilities;
-    this.quota = quota;
+    this.reservation = reservation;
     receivedAtMs = nowMs;
     deadlineAtMs = event.deadlineAtMs();
     receivingBody = Double.isInfinite(deadlineAtMs);
@@ -70,7 +70,10 @@
     routing = new RequestRouting(requestClass);
   }
 
-  /** Its class; one that the settings do not have is treated as never to be executed twice. */
+  /**
+   * Returns the class of a received request. If the settings define no such class, the request is
+   * treated as not idempotent.
+   */
   static RequestClass classOf(RequestReceived event, double nowMs) {
     if (event.requestClass() != null) {
       return event.requestClass();
@@ -88,7 +91,10 @@
         false);
   }
 
-  /** The objective of its class, or else its deadline, as a time since it was received. */
+  /**
+   * Returns the latency objective of the request's class or, if the class has none, the time from
+   * receipt to the deadline.
+   */
   double latencyObjectiveMs() {
     if (requestClass.latencyObjectiveMs() > 0) {
       return requestClass.latencyObjectiveMs();
--- a/src/main/java/quotagateway/policy/OpenRequests.java
+++ b/src/main/java/quotagateway/policy/OpenRequests.java
@@ -9,11 +9,11 @@
 import quotagateway.policy.retry.RetryPolicy;
 
 /**
- * The requests without a final response, in the order of their arrival, and the ways in which they
- * end. A request ends once: it is taken out here, its concurrency permit is released, and its units
- * are returned if no attempt was started.
+ * The requests without a final response, in order of arrival, and the operations that end them. A
+ * request ends once: it is removed from this collection, its concurrency permit is released, and its
+ * units are refunded if no attempt was started.
  *
- * <p>Owned by the thread of its policy.
+ * <p>Not thread-safe; confined to the policy's thread.
  */
 final class OpenRequests {
 
@@ -32,7 +32,7 @@
     requests.put(request.id, request);
   }
 
-  /** The open request of that id, or null. */
+  /** Returns the open request with the given ID, or null. */
   OpenRequest get(String id) {
     return requests.get(id);
   }
@@ -49,19 +49,22 @@
     return requests.isEmpty();
   }
 
-  /** The requests that are open now; unlike this list, the set changes while they are checked. */
+  /** Returns a copy of the open requests, which callers can iterate while requests end. */
   List<OpenRequest> snapshot() {
     return List.copyOf(requests.values());
   }
 
-  /** Ends a request that has had its final response from a backend. */
+  /**
+   * Ends a request without an action of its own, for example after a backend's final response. Its
+   * concurrency permit is released; its units are not refunded.
+   */
   void finish(OpenRequest request) {
     requests.remove(request.id);
-    quotaLimiter.end(request.quota);
+    quotaLimiter.end(request.reservation);
   }
 
-  /** Ends a request that gets no further attempt: rejects it where that is safe, else fails it. */
-  void giveUp(OpenRequest request) {
+  /** Ends a request that gets no further attempt: rejects it if that is safe, else fails it. */
+  void rejectOrFail(OpenRequest request) {
     if (retryPolicy.mayReject(request.attempts)) {
       reject(request, 0);
     } else {
@@ -71,40 +74,41 @@
   }
 
   /**
-   * Ends a request by a rejection, which promises that its client may safely send it again.
+   * Rejects a request. A rejection promises the client that it may safely send the request again.
    *
-   * @param retryAfterMs when its client had better come back; 0 gives no advice
+   * @param retryAfterMs the delay after which the client is advised to retry; 0 gives no advice
    */
   void reject(OpenRequest request, double retryAfterMs) {
     refundUnlessAttempted(request);
     finish(request);
-    double adviceMs = 0;
+    double cappedRetryAfterMs = 0;
     if (request.capabilities.retryAfter()) {
-      adviceMs = Math.min(retryAfterMs, request.capabilities.maxRetryAfterMs());
+      cappedRetryAfterMs = Math.min(retryAfterMs, request.capabilities.maxRetryAfterMs());
     }
-    context.emit(new RejectRequest(request.id, adviceMs));
+    context.emit(new RejectRequest(request.id, cappedRetryAfterMs));
   }
 
   /**
-   * Ends a request whose client has gone. Its wait for the counter ends, too: a reply that comes
-   * later would have it forwarded to a backend for nobody. Its attempt in progress, if there is
-   * one, ends by itself.
+   * Ends a request whose client has disconnected. Its wait for the counter is cancelled, because a
+   * later reply would otherwise forward the request to a backend although no client awaits the
+   * response. An attempt in progress is reported later by its own end event, and the request keeps
+   * its reservation until then.
    */
   void clientDisconnected(String id) {
     OpenRequest request = requests.remove(id);
     if (request == null) {
       return;
     }
-    quotaLimiter.cancelWait(request.quota);
+    quotaLimiter.cancelWait(request.reservation);
     refundUnlessAttempted(request);
-    if (request.liveAttempt == null) {
-      quotaLimiter.end(request.quota);
+    if (request.currentAttempt == null) {
+      quotaLimiter.end(request.reservation);
     }
   }
 
   private void refundUnlessAttempted(OpenRequest request) {
     if (request.attempts.started() == 0) {
-      quotaLimiter.refund(request.quota);
+      quotaLimiter.refund(request.reservation);
     }
   }
 }
--- a/src/main/java/quotagateway/policy/WakeUpTimer.java
+++ b/src/main/java/quotagateway/policy/WakeUpTimer.java
@@ -1,30 +1,32 @@
 package quotagateway.policy;
 
 /**
- * The timer by which a policy checks its open requests, and what its lateness shows.
+ * Tracks when the policy's next check of open requests is due, and detects stalls of the gateway
+ * from overdue checks.
  *
- * <p>A wake-up that is long overdue shows that this gateway stalled: its process was stopped or got
- * no processor time. What came meanwhile is then read first, and no time seen over the stall is
- * counted against a backend or the counter. Prevents working backends and a working counter from
- * being blamed, which would show as ejections at this gateway alone. Cost: none but a later check.
+ * <p>A wake-up that is long overdue means that this gateway stalled: its process was stopped or got
+ * no processor time. After a stall the gateway first reads what arrived during the stall, and time
+ * measured across the stall is not counted against a backend or the counter. Without this, the
+ * gateway would blame working backends and a working counter, which would be visible as ejections at
+ * this gateway alone. The only drawback is that the check of open requests is later.
  *
- * <p>Times are those of events, in milliseconds. Owned by the thread of its policy.
+ * <p>Times are event times, in milliseconds. Not thread-safe; confined to the policy's thread.
  */
 final class WakeUpTimer {
 
-  /** A wake-up later than this means a stall: far more than any load explains. */
+  /** Lateness above which a wake-up indicates a stall; load alone causes far less. */
   private static final double MIN_STALL_MS = 100;
 
   private double dueAtMs;
   private double stalledFromMs;
   private double stalledUntilMs = Double.NEGATIVE_INFINITY;
 
-  /** Sets when the next wake-up is due. */
+  /** Sets the time at which the next wake-up is due. */
   void schedule(double atMs) {
     dueAtMs = atMs;
   }
 
-  /** Compares the time of an event with that of the wake-up; called first in each event. */
+  /** Records a stall if the wake-up is overdue. Called at the start of each event. */
   void detectStall(double nowMs) {
     if (nowMs - dueAtMs > MIN_STALL_MS) {
       stalledUntilMs = nowMs;
@@ -41,17 +43,17 @@
     return nowMs >= dueAtMs;
   }
 
-  /** Whether the present event came at the end of a stall. */
+  /** Whether the current event is the first one after a stall. */
   boolean isStalled(double nowMs) {
     return nowMs <= stalledUntilMs;
   }
 
-  /** When the last stall ended; minus infinity before the first. */
+  /** Returns when the last stall ended, or negative infinity if there was none. */
   double stalledUntilMs() {
     return stalledUntilMs;
   }
 
-  /** How much of the time since then the last stall took. */
+  /** Returns how much of the time since {@code sinceMs} the last stall accounts for. */
   double stalledMsSince(double sinceMs) {
     return Math.max(0, stalledUntilMs - Math.max(stalledFromMs, sinceMs));
   }
--- a/src/main/java/quotagateway/policy/context/DecisionContext.java
+++ b/src/main/java/quotagateway/policy/context/DecisionContext.java
@@ -7,12 +7,13 @@
 import quotagateway.policy.settings.PolicySettings;
 
 /**
- * What every rule may read while one event is decided, and the list that its actions go to. One
- * instance for each gateway, owned by the thread that calls {@link
- * quotagateway.policy.GatewayPolicy}; rules keep a reference to it, never to what it returns.
+ * The time, settings and random numbers that decisions use, and the list that collects the actions
+ * of the current event. Each gateway has one instance, confined to the thread that calls {@link
+ * quotagateway.policy.GatewayPolicy}. Components keep a reference to the context, but never to the
+ * values that it returns.
  *
- * <p>Time and chance come from here alone, so that the same events with the same seed lead to the
- * same actions.
+ * <p>The context is the only source of time and randomness, so the same events with the same seed
+ * produce the same actions.
  */
 public final class DecisionContext {
 
@@ -23,64 +24,64 @@
   private List<Action> actions = new ArrayList<>();
 
   /**
-   * A context before the first event.
+   * Creates a context for a policy that has not started.
    *
-   * @param settings in force at the start
-   * @param seed of all random draws
+   * @param settings the initial settings
+   * @param seed the seed of the random number generator
    */
   public DecisionContext(PolicySettings settings, long seed) {
     this.settings = settings;
     this.random = new SplittableRandom(seed);
   }
 
-  /** Notes the time at which the policy starts; called once, before any event. */
-  public void start(double atMs) {
-    startedAtMs = atMs;
-    begin(atMs);
+  /** Records the time at which the policy starts. Called once, before any event. */
+  public void start(double timeMs) {
+    startedAtMs = timeMs;
+    begin(timeMs);
   }
 
-  /** Begins an event: from here on its time holds, and its actions are collected anew. */
-  public void begin(double atMs) {
-    nowMs = atMs;
+  /** Begins an event: sets the current time and starts an empty list of actions. */
+  public void begin(double timeMs) {
+    nowMs = timeMs;
     actions = new ArrayList<>();
   }
 
-  /** The time of the present event, in Unix milliseconds of a clock that never goes back. */
+  /** Returns the time of the current event, in Unix milliseconds of a monotonic clock. */
   public double nowMs() {
     return nowMs;
   }
 
-  /** When the policy started. */
+  /** Returns the time at which the policy started. */
   public double startedAtMs() {
     return startedAtMs;
   }
 
-  /** The settings in force. */
+  /** Returns the settings in force. */
   public PolicySettings settings() {
     return settings;
   }
 
-  /** Puts other settings in force. */
-  public void replaceSettings(PolicySettings changed) {
-    settings = changed;
+  /** Puts new settings into force. */
+  public void replaceSettings(PolicySettings newSettings) {
+    settings = newSettings;
   }
 
-  /** The next random number from 0 (inclusive) to 1 (exclusive). */
+  /** Returns the next random number between 0 (inclusive) and 1 (exclusive). */
   public double nextRandom() {
     return random.nextDouble();
   }
 
-  /** The next random number from 0 (inclusive) to the bound (exclusive). */
+  /** Returns the next random integer between 0 (inclusive) and the bound (exclusive). */
   public int nextRandom(int bound) {
     return random.nextInt(bound);
   }
 
-  /** Adds an action behind those of this event. */
+  /** Appends an action to the actions of the current event. */
   public void emit(Action action) {
     actions.add(action);
   }
 
-  /** The actions of the present event, in their order. */
+  /** Returns the actions of the current event, in the order of their emission. */
   public List<Action> actions() {
     return actions;
   }
--- a/src/main/java/quotagateway/policy/context/ExponentialMean.java
+++ b/src/main/java/quotagateway/policy/context/ExponentialMean.java
@@ -1,51 +1,52 @@
 package quotagateway.policy.context;
 
 /**
- * An exponentially weighted moving mean, which starts at 0. Where samples come often, each newest
- * one has a fixed weight; where they are rare, the newest one's weight grows with the time since
- * the one before, so that an old value does not hold on.
+ * An exponentially weighted moving average that starts at 0. If samples are frequent, each new
+ * sample has a fixed weight. If they are rare, the weight of a new sample grows with the time since
+ * the previous one, so that an outdated value does not persist.
  *
- * <p>Owned by the policy's thread.
+ * <p>Not thread-safe; confined to the policy's thread.
  */
 public final class ExponentialMean {
 
-  private final double minNewestWeight;
-  private final double memoryMs;
+  private final double minSampleWeight;
+  private final double timeConstantMs;
   private double updatedAtMs;
   private double value;
 
   /**
-   * A mean without samples.
+   * Creates a mean without samples.
    *
-   * @param minNewestWeight weight of a sample that follows at once on the one before, from 0 to 1
-   * @param memoryMs time in which what was known loses all but 1/e of its weight
-   * @param nowMs the present time
+   * @param minSampleWeight minimum weight of a new sample, from 0 to 1; it applies to a sample that
+   *     immediately follows the previous one
+   * @param timeConstantMs time within which the weight of the previous value decays to 1/e
+   * @param nowMs the current time
    */
-  public ExponentialMean(double minNewestWeight, double memoryMs, double nowMs) {
-    this.minNewestWeight = minNewestWeight;
-    this.memoryMs = memoryMs;
+  public ExponentialMean(double minSampleWeight, double timeConstantMs, double nowMs) {
+    this.minSampleWeight = minSampleWeight;
+    this.timeConstantMs = timeConstantMs;
     this.updatedAtMs = nowMs;
   }
 
-  /** Adds a sample with the usual weight. */
+  /** Adds a sample with the default minimum weight. */
   public void add(double sample, double nowMs) {
-    add(sample, minNewestWeight, nowMs);
+    add(sample, minSampleWeight, nowMs);
   }
 
-  /** Adds a sample that has at least the given weight. */
+  /** Adds a sample with at least the given weight. */
   public void add(double sample, double minWeight, double nowMs) {
-    double weight = Math.max(minWeight, 1 - Math.exp((updatedAtMs - nowMs) / memoryMs));
+    double weight = Math.max(minWeight, 1 - Math.exp((updatedAtMs - nowMs) / timeConstantMs));
     value += weight * (sample - value);
     updatedAtMs = nowMs;
   }
 
-  /** The mean as of the latest sample. */
+  /** Returns the mean as of the latest sample. */
   public double value() {
     return value;
   }
 
-  /** The mean, which falls towards 0 as time passes without samples. */
+  /** Returns the mean, decayed towards 0 by the time since the latest sample. */
   public double fadedValue(double nowMs) {
-    return value * Math.exp((updatedAtMs - nowMs) / memoryMs);
+    return value * Math.exp((updatedAtMs - nowMs) / timeConstantMs);
   }
 }
