--- a/src/main/java/quotagateway/policy/action/Action.java
+++ b/src/main/java/quotagateway/policy/action/Action.java
@@ -1,6 +1,6 @@
 package quotagateway.policy.action;
 
-/** What a policy has its gateway do. */
+/** An instruction from a policy to its gateway. */
 public sealed interface Action
     permits CancelAttempt,
         FailRequest,
@@ -10,27 +10,27 @@
         StartAttempt,
         WatchEndpoints {
 
-  /** Calls the handler's method for this kind of action. */
+  /** Calls the handler method for this type of action. */
   <E extends Exception> void handle(Handler<E> handler) throws E;
 
   /**
-   * Executes actions of all kinds; a new kind does not compile until every handler has a method for
-   * it.
+   * Executes actions of every type. It has one method for each type, so that a new type of action
+   * does not compile until every handler supports it.
    *
-   * @param <E> what executing an action may throw
+   * @param <E> exception that the execution of an action may throw
    */
   interface Handler<E extends Exception> {
 
-    /** Cancels an attempt that is in flight. */
+    /** Cancels an attempt in flight. */
     void onCancelAttempt(CancelAttempt action) throws E;
 
-    /** Sends the final response of a failure. */
+    /** Sends a failure as the final response. */
     void onFailRequest(FailRequest action) throws E;
 
-    /** Calls the counter. */
+    /** Calls the shared counter. */
     void onIncrementCounter(IncrementCounter action) throws E;
 
-    /** Sends the final response of a rejection. */
+    /** Sends a rejection as the final response. */
     void onRejectRequest(RejectRequest action) throws E;
 
     /** Schedules a timer of the policy. */
@@ -39,7 +39,7 @@
     /** Starts an attempt. */
     void onStartAttempt(StartAttempt action) throws E;
 
-    /** Asks for changes of the endpoint list. */
+    /** Subscribes to changes of the endpoint list. */
     void onWatchEndpoints(WatchEndpoints action) throws E;
   }
 }
--- a/src/main/java/quotagateway/policy/action/CancelAttempt.java
+++ b/src/main/java/quotagateway/policy/action/CancelAttempt.java
@@ -1,10 +1,10 @@
 package quotagateway.policy.action;
 
 /**
- * Cancel an attempt that is in flight.
+ * Cancels an attempt in flight.
  *
- * @param requestId the request
- * @param attempt its number
+ * @param requestId ID of the request
+ * @param attempt number of the attempt, from 0
  */
 public record CancelAttempt(String requestId, int attempt) implements Action {
 
--- a/src/main/java/quotagateway/policy/action/FailRequest.java
+++ b/src/main/java/quotagateway/policy/action/FailRequest.java
@@ -1,9 +1,9 @@
 package quotagateway.policy.action;
 
 /**
- * Final response: failed, with no promise about its effect.
+ * Fails a request as its final response, which leaves open whether the request was executed.
  *
- * @param requestId the request
+ * @param requestId ID of the request
  */
 public record FailRequest(String requestId) implements Action {
 
--- a/src/main/java/quotagateway/policy/action/IncrementCounter.java
+++ b/src/main/java/quotagateway/policy/action/IncrementCounter.java
@@ -1,11 +1,11 @@
 package quotagateway.policy.action;
 
 /**
- * Add to a named count that all gateways share; a new name starts at 0.
+ * Increments a named counter that all gateways share. A counter with a new name starts at 0.
  *
- * @param counterName the count
- * @param amount to add; 0 reads it
- * @param ttlMs after which the name is forgotten
+ * @param counterName name of the counter
+ * @param amount amount to add; 0 only reads the counter
+ * @param ttlMs time after which the counter expires
  */
 public record IncrementCounter(String counterName, double amount, double ttlMs) implements Action {
 
--- a/src/main/java/quotagateway/policy/action/RejectRequest.java
+++ b/src/main/java/quotagateway/policy/action/RejectRequest.java
@@ -1,11 +1,11 @@
 package quotagateway.policy.action;
 
 /**
- * Final response: rejected; its client may safely send it again, as it was not executed or is
- * idempotent.
+ * Rejects a request as its final response. The client may safely send the request again, because it
+ * was not executed or because a further execution does no harm.
  *
- * @param requestId the request
- * @param retryAfterMs after which to come back; 0 gives no advice
+ * @param requestId ID of the request
+ * @param retryAfterMs delay after which the client is advised to retry; 0 gives no advice
  */
 public record RejectRequest(String requestId, double retryAfterMs) implements Action {
 
--- a/src/main/java/quotagateway/policy/action/ScheduleTimer.java
+++ b/src/main/java/quotagateway/policy/action/ScheduleTimer.java
@@ -1,10 +1,10 @@
 package quotagateway.policy.action;
 
 /**
- * Notify the policy, by an event, when a time has come.
+ * Schedules a {@link quotagateway.policy.event.TimerFired} event for the policy.
  *
- * @param atMs the time, in Unix milliseconds
- * @param timer which timer that is
+ * @param atMs time at which the timer is due, in Unix milliseconds
+ * @param timer the timer
  */
 public record ScheduleTimer(double atMs, Timer timer) implements Action {
 
--- a/src/main/java/quotagateway/policy/action/StartAttempt.java
+++ b/src/main/java/quotagateway/policy/action/StartAttempt.java
@@ -1,13 +1,13 @@
 package quotagateway.policy.action;
 
 /**
- * Start an attempt; the n-th of a request, from 0, has the number n.
+ * Starts an attempt. The attempts of a request are numbered from 0 in the order of their start.
  *
- * @param requestId the request
- * @param endpointId the backend to send it to
- * @param timeoutMs time that is left to the client
- * @param maxStartDelayMs the attempt ends as not sent if it cannot be written whole within this;
- *     infinite where any time will do
+ * @param requestId ID of the request
+ * @param endpointId ID of the backend to send the attempt to
+ * @param timeoutMs time within which the response has to arrive to reach the client in time
+ * @param maxStartDelayMs time within which the request has to be completely written, or else the
+ *     attempt ends as not sent; infinite if there is no limit
  */
 public record StartAttempt(
     String requestId, long endpointId, double timeoutMs, double maxStartDelayMs) implements Action {
--- a/src/main/java/quotagateway/policy/action/Timer.java
+++ b/src/main/java/quotagateway/policy/action/Timer.java
@@ -2,10 +2,10 @@
 
 /** The timers of a policy. */
 public enum Timer {
-  /** Checks the time limits of open requests. */
+  /** Triggers the check of the time limits of open requests. */
   REQUEST_CHECK,
-  /** Goes on removing endpoints that have left. */
+  /** Continues the removal of endpoints that are no longer listed. */
   ENDPOINT_SWEEP,
-  /** Asks for the endpoint list again after it could not be had. */
+  /** Triggers another request for the endpoint list after a failure to obtain it. */
   ENDPOINT_WATCH
 }
--- a/src/main/java/quotagateway/policy/action/WatchEndpoints.java
+++ b/src/main/java/quotagateway/policy/action/WatchEndpoints.java
@@ -1,6 +1,6 @@
 package quotagateway.policy.action;
 
-/** Ask for changes of the endpoint list from now on. */
+/** Subscribes to changes of the endpoint list from now on. */
 public record WatchEndpoints() implements Action {
 
   @Override
--- a/src/main/java/quotagateway/policy/action/package-info.java
+++ b/src/main/java/quotagateway/policy/action/package-info.java
@@ -1,2 +1,2 @@
-/** What a policy has its gateway do. */
+/** The actions that a policy instructs its gateway to execute. */
 package quotagateway.policy.action;
--- a/src/main/java/quotagateway/policy/event/AttemptEnded.java
+++ b/src/main/java/quotagateway/policy/event/AttemptEnded.java
@@ -1,16 +1,16 @@
 package quotagateway.policy.event;
 
 /**
- * An attempt has ended; each one that was started ends once.
+ * Reports that an attempt has ended. Each started attempt ends exactly once.
  *
- * @param requestId the request
- * @param attempt its number, from 0
- * @param endpointId the backend that it was at
- * @param status how it ended
- * @param latencyMs from the request's last byte to the response
- * @param requestFinished whether the client has its final response, or is gone
- * @param chargedUnits what the backend charged; 0 when unknown
- * @param loadReport null when none came
+ * @param requestId ID of the request
+ * @param attempt number of the attempt, from 0
+ * @param endpointId ID of the backend that the attempt used
+ * @param status how the attempt ended
+ * @param latencyMs time from the request's last byte to the response
+ * @param requestFinished whether the client has its final response or has disconnected
+ * @param chargedUnits units that the backend charged; 0 if unknown
+ * @param loadReport the backend's load report, or null if there was none
  */
 public record AttemptEnded(
     String requestId,
--- a/src/main/java/quotagateway/policy/event/ClientDisconnected.java
+++ b/src/main/java/quotagateway/policy/event/ClientDisconnected.java
@@ -1,8 +1,8 @@
 package quotagateway.policy.event;
 
 /**
- * The client has gone, and its request is over.
+ * Reports that a client has disconnected, which ends its request.
  *
- * @param requestId the request
+ * @param requestId ID of the request
  */
 public record ClientDisconnected(String requestId) implements Event {}
--- a/src/main/java/quotagateway/policy/event/EndpointsUpdated.java
+++ b/src/main/java/quotagateway/policy/event/EndpointsUpdated.java
@@ -5,9 +5,9 @@
 import quotagateway.endpoint.EndpointListForm;
 
 /**
- * Discovery has sent a message of the endpoint list.
+ * Reports a message of the endpoint list from discovery.
  *
- * @param form what the message stands for
- * @param endpoints the endpoints that it names
+ * @param form kind of message, for example a snapshot or a delta
+ * @param endpoints endpoints that the message contains
  */
 public record EndpointsUpdated(EndpointListForm form, List<Endpoint> endpoints) implements Event {}
--- a/src/main/java/quotagateway/policy/event/Event.java
+++ b/src/main/java/quotagateway/policy/event/Event.java
@@ -1,6 +1,6 @@
 package quotagateway.policy.event;
 
-/** What a gateway reports to its policy. */
+/** An event that a gateway reports to its policy. */
 public sealed interface Event
     permits AttemptEnded,
         ClientDisconnected,
--- a/src/main/java/quotagateway/policy/event/RequestBodyComplete.java
+++ b/src/main/java/quotagateway/policy/event/RequestBodyComplete.java
@@ -1,10 +1,11 @@
 package quotagateway.policy.event;
 
 /**
- * The last byte has come of a request that was taken while its body was still coming. Its deadline
- * is known from here on, and what was sent of such a body cannot be sent again.
+ * Reports the last byte of a request that was reported before its body was complete. From this event
+ * on, the deadline of the request is known. The parts of the body that were already forwarded cannot
+ * be sent again.
  *
- * @param requestId the request
- * @param deadlineAtMs when its client gives up
+ * @param requestId ID of the request
+ * @param deadlineAtMs time at which the client stops waiting
  */
 public record RequestBodyComplete(String requestId, double deadlineAtMs) implements Event {}
--- a/src/main/java/quotagateway/policy/event/RequestReceived.java
+++ b/src/main/java/quotagateway/policy/event/RequestReceived.java
@@ -4,16 +4,18 @@
 import quotagateway.policy.settings.RequestClass;
 
 /**
- * A client's request.
+ * Reports a request from a client.
  *
- * @param requestId unique among the open requests of this gateway
- * @param requestClass by the settings in force when it was read; null where they name none such
- * @param planName the plan that the client names
- * @param customer whose quota it is charged to
- * @param gatewaysOfCustomer through how many gateways that customer's requests may come
- * @param units estimated cost
- * @param deadlineAtMs when the client gives up; infinite while the body is still coming
- * @param capabilities by the settings in force when it was read; null where the policy's own hold
+ * @param requestId ID of the request, unique among the open requests of this gateway
+ * @param requestClass request class from the settings in force when the request was read; null if
+ *     those settings do not define the class
+ * @param planName name of the plan, as given by the client
+ * @param customer number of the customer whose quota is charged
+ * @param gatewaysOfCustomer number of gateways that may receive requests of this customer
+ * @param units estimated units
+ * @param deadlineAtMs time at which the client stops waiting; infinite while the body is incomplete
+ * @param capabilities capabilities from the settings in force when the request was read; null to use
+ *     those of the policy's current settings
  */
 public record RequestReceived(
     String requestId,
@@ -26,7 +28,7 @@
     Capabilities capabilities)
     implements Event {
 
-  /** A request under the policy's own capabilities. */
+  /** Creates an event that uses the capabilities of the policy's current settings. */
   public RequestReceived(
       String requestId,
       RequestClass requestClass,
@@ -39,7 +41,10 @@
         requestId, requestClass, planName, customer, gatewaysOfCustomer, units, deadlineAtMs, null);
   }
 
-  /** The same while its body is still coming, so that its deadline is not known yet. */
+  /**
+   * Returns a copy with an infinite deadline, for a request whose body is incomplete and whose
+   * deadline is therefore unknown.
+   */
   public RequestReceived withoutDeadline() {
     return new RequestReceived(
         requestId,
--- a/src/main/java/quotagateway/policy/event/ResponseStarted.java
+++ b/src/main/java/quotagateway/policy/event/ResponseStarted.java
@@ -1,9 +1,9 @@
 package quotagateway.policy.event;
 
 /**
- * A streamed response has begun to go to the client.
+ * Reports that the gateway has started to send a streamed response to the client.
  *
- * @param requestId the request
- * @param attempt the number of the attempt that it comes from
+ * @param requestId ID of the request
+ * @param attempt number of the attempt that produced the response
  */
 public record ResponseStarted(String requestId, int attempt) implements Event {}
--- a/src/main/java/quotagateway/policy/event/SettingsChanged.java
+++ b/src/main/java/quotagateway/policy/event/SettingsChanged.java
@@ -3,8 +3,8 @@
 import quotagateway.policy.settings.PolicySettings;
 
 /**
- * Other settings hold from now on; what is open keeps its class.
+ * Puts new settings into force. Open requests keep their request class.
  *
- * @param settings all of them
+ * @param settings the complete new settings
  */
 public record SettingsChanged(PolicySettings settings) implements Event {}
--- a/src/main/java/quotagateway/policy/event/Status.java
+++ b/src/main/java/quotagateway/policy/event/Status.java
@@ -2,31 +2,31 @@
 
 /** How an attempt or a call to the counter ended. */
 public enum Status {
-  /** A response of success. */
+  /** The response reported success. */
   OK,
-  /** A response of an error. */
+  /** The response reported an error. */
   ERROR,
-  /** It was answered that nothing was executed. */
+  /** The peer responded that it executed nothing. */
   REJECTED,
   /** No response came within the time limit. */
   TIMED_OUT,
-  /** The connection was refused, or did not come up within its limit. */
+  /** The connection was refused or was not established within its time limit. */
   CONNECT_FAILED,
-  /** The connection broke before the request was written whole. */
+  /** The connection broke before the request was completely written. */
   WRITE_INCOMPLETE,
   /** The connection broke after the request was written. */
   RESET,
   /**
-   * The response cannot be read, or a reused connection turned out to be dead. It may have been
-   * executed, and the backend is not at fault.
+   * The response could not be parsed, or a reused connection turned out to be dead. The request may
+   * have been executed. The backend is not considered at fault.
    */
   MALFORMED_RESPONSE,
-  /** The gateway cancelled it. */
+  /** The gateway cancelled the attempt. */
   CANCELLED,
-  /** This gateway wrote nothing, for reasons of its own. */
+  /** The gateway wrote nothing, for a reason of its own. */
   NOT_SENT;
 
-  /** Whether this shows that an attempt was never executed, or that a call added nothing. */
+  /** Whether this status proves that an attempt was not executed or a counter call added nothing. */
   public boolean provesNotExecuted() {
     return this == REJECTED
         || this == CONNECT_FAILED
--- a/src/main/java/quotagateway/policy/event/TimerFired.java
+++ b/src/main/java/quotagateway/policy/event/TimerFired.java
@@ -3,8 +3,8 @@
 import quotagateway.policy.action.Timer;
 
 /**
- * The time of a scheduled timer has come.
+ * Reports that a scheduled timer is due.
  *
- * @param timer which one
+ * @param timer the timer
  */
 public record TimerFired(Timer timer) implements Event {}
--- a/src/main/java/quotagateway/policy/event/package-info.java
+++ b/src/main/java/quotagateway/policy/event/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What a gateway reports to its policy; every time is in milliseconds of one monotonic Unix clock.
+ * The events that a gateway reports to its policy. All times are in milliseconds of a single
+ * monotonic Unix clock.
  */
 package quotagateway.policy.event;
--- a/src/main/java/quotagateway/policy/settings/Capabilities.java
+++ b/src/main/java/quotagateway/policy/settings/Capabilities.java
@@ -1,17 +1,18 @@
 package quotagateway.policy.settings;
 
 /**
- * What a gateway may use and do.
+ * The facilities that a gateway may use, and their limits.
  *
  * @param sharedCounter whether there is a counter that all gateways share
- * @param counterTimeoutMs after which a counter call counts as failed
+ * @param counterTimeoutMs time after which a counter call is considered failed
  * @param cancellation whether an attempt may be cancelled
- * @param hedging whether a second attempt may run beside the first
- * @param maxAttempts attempts for one request, the first included
- * @param maxOpenRequests how many requests may be open; one that comes beyond that is rejected
- * @param retryAfter whether a rejection may carry advice on when to come back
- * @param maxRetryAfterMs the longest such advice
- * @param pollsDiscovery whether the endpoint list has to be asked for, as it is not pushed
+ * @param hedging whether a second attempt may run concurrently with the first
+ * @param maxAttempts maximum number of attempts for a request, including the first
+ * @param maxOpenRequests maximum number of open requests; further requests are rejected
+ * @param retryAfter whether a rejection may advise the client when to retry
+ * @param maxRetryAfterMs maximum delay that such advice may give
+ * @param pollsDiscovery whether the gateway has to ask for the endpoint list because it is not
+ *     pushed
  */
 public record Capabilities(
     boolean sharedCounter,
--- a/src/main/java/quotagateway/policy/settings/DeduplicationScope.java
+++ b/src/main/java/quotagateway/policy/settings/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package quotagateway.policy.settings;
 
-/** The backends that recognise each other's idempotency keys. */
+/** The set of backends that recognize each other's idempotency keys. */
 public enum DeduplicationScope {
   /** All backends. */
   ALL,
--- a/src/main/java/quotagateway/policy/settings/Idempotency.java
+++ b/src/main/java/quotagateway/policy/settings/Idempotency.java
@@ -2,13 +2,13 @@
 
 /** Whether a request may be executed more than once. */
 public enum Idempotency {
-  /** Any number of executions, on any backends, has the effect of one. */
+  /** Any number of executions, on any backends, has the same effect as a single one. */
   IDEMPOTENT,
   /**
-   * Backends that share a {@link DeduplicationScope} drop a repeated execution with the same
-   * idempotency key, for as long as the deduplication window lasts.
+   * Within the deduplication window, the backends of one {@link DeduplicationScope} drop repeated
+   * executions with the same idempotency key.
    */
   IDEMPOTENT_WITH_KEY,
-  /** It must never be executed twice. */
+  /** The request must never be executed twice. */
   NOT_IDEMPOTENT
 }
--- a/src/main/java/quotagateway/policy/settings/Plan.java
+++ b/src/main/java/quotagateway/policy/settings/Plan.java
@@ -1,19 +1,19 @@
 package quotagateway.policy.settings;
 
 /**
- * The quota of a customer, as a token bucket, with optional limits beside it. A rate or limit of 0
- * means that there is none.
+ * A customer's quota as a token bucket, with optional additional limits. A rate or limit of 0 means
+ * that there is none.
  *
- * @param name as clients give it
- * @param unitsPerSecond refill of the token bucket
- * @param burstUnits size of the token bucket
- * @param concurrencyLimit open requests that the customer may have over all gateways
- * @param priorityFactor by which the priority weights of request classes are multiplied
- * @param overQuotaRevenue what a unit served beyond the quota earns
- * @param overQuotaCost what a unit served beyond the quota costs
- * @param hardLimitUnitsPerSecond refill of a second bucket that must never be overdrawn
- * @param hardLimitBurstUnits size of that bucket
- * @param hardLimitSlackUnits by how much all gateways together may miss it
+ * @param name name of the plan, as clients give it
+ * @param unitsPerSecond refill rate of the token bucket
+ * @param burstUnits capacity of the token bucket
+ * @param concurrencyLimit maximum number of open requests of the customer over all gateways
+ * @param priorityFactor factor by which the priority weights of request classes are multiplied
+ * @param overQuotaRevenue revenue for each unit served beyond the quota
+ * @param overQuotaCost cost of each unit served beyond the quota
+ * @param hardLimitUnitsPerSecond refill rate of a second token bucket, which must never be overdrawn
+ * @param hardLimitBurstUnits capacity of the second token bucket
+ * @param hardLimitSlackUnits tolerance by which all gateways together may exceed the hard limit
  */
 public record Plan(
     String name,
--- a/src/main/java/quotagateway/policy/settings/PolicySettings.java
+++ b/src/main/java/quotagateway/policy/settings/PolicySettings.java
@@ -3,18 +3,19 @@
 import java.util.List;
 
 /**
- * All settings that decisions depend on; immutable, and replaced whole on a reload.
+ * All settings that decisions depend on. An instance is immutable; a reload replaces it as a whole.
  *
- * @param gatewayCount gateways of the fleet
- * @param gatewayIndex this one's number among them
- * @param zone the zone that this gateway runs in
- * @param maxRequestUnits the most units that one request is estimated at
- * @param crossZonePrice of sending a request to another zone, as a share of its latency objective
- * @param endpointWeightsTold whether the weights in the endpoint list mean capacity
- * @param requestClasses by which requests are served
- * @param plans by which customers are limited
- * @param capabilities what the gateway may use and do
- * @param rules figures of the service agreement
+ * @param gatewayCount number of gateways in the fleet
+ * @param gatewayIndex index of this gateway in the fleet
+ * @param zone zone of this gateway
+ * @param maxRequestUnits maximum estimated units of a request
+ * @param crossZonePrice cost of sending a request to another zone, as a fraction of its latency
+ *     objective
+ * @param endpointWeightsTold whether the weights in the endpoint list represent capacity
+ * @param requestClasses the request classes
+ * @param plans the plans of customers
+ * @param capabilities facilities that the gateway may use
+ * @param rules figures from the service agreement
  */
 public record PolicySettings(
     int gatewayCount,
--- a/src/main/java/quotagateway/policy/settings/ServiceRules.java
+++ b/src/main/java/quotagateway/policy/settings/ServiceRules.java
@@ -1,13 +1,14 @@
 package quotagateway.policy.settings;
 
 /**
- * Figures of the service agreement that decisions depend on.
+ * Figures from the service agreement that decisions depend on.
  *
- * @param responseSlackMs by how much a response may miss its deadline
- * @param warmUpInitialShare the share of its capacity that a backend has when it starts
- * @param warmUpMs after which it has all of it
- * @param overloadMultiple load above its present capacity at which a warming backend fails
- * @param overloadWindowMs span over which that load is counted
+ * @param responseSlackMs time by which a response may exceed its deadline
+ * @param warmUpInitialShare fraction of its capacity that a backend has when it starts
+ * @param warmUpMs time from its start after which a backend has its full capacity
+ * @param overloadMultiple load, as a multiple of its current capacity, at which a backend that is
+ *     warming up fails
+ * @param overloadWindowMs length of the window in which that load is counted
  */
 public record ServiceRules(
     double responseSlackMs,
--- a/src/main/java/quotagateway/policy/settings/package-info.java
+++ b/src/main/java/quotagateway/policy/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The settings that decisions depend on: immutable, in the units that their names tell. */
+/** The immutable settings that decisions depend on, in the units that their names indicate. */
 package quotagateway.policy.settings;
