--- a/src/test/java/quotagateway/policy/GatewayFleetTest.java
+++ b/src/test/java/quotagateway/policy/GatewayFleetTest.java
@@ -65,7 +65,7 @@
       asked.put("f" + next, units);
       f.on(
           new RequestReceived(
-              "f" + next++, PolicyFixture.type("safe"), plan, 42, fleet.size(), units, now + 4000));
+              "f" + next++, PolicyFixture.requestClass("safe"), plan, 42, fleet.size(), units, now + 4000));
       hand(f, world);
     }
     fleet.forEach(f -> wake(f, begin + 1000 * seconds, world));
@@ -81,7 +81,7 @@
   }
 
   private void hand(PolicyFixture f, BiConsumer<PolicyFixture, Action> world) {
-    for (Action a : List.copyOf(f.last)) {
+    for (Action a : List.copyOf(f.lastActions)) {
       world.accept(f, a);
     }
   }
@@ -117,14 +117,14 @@
             }
           }
         };
-    run(20, 900, "rated", world);
+    run(20, 900, "rate-limited", world);
     calls[0] = 0;
-    run(5, 900, "rated", world);
+    run(5, 900, "rate-limited", world);
     assertTrue(calls[0] > 0 && calls[0] < 5 * 300, calls[0] + " calls in 5 s");
     silent[0] = false;
-    run(3, 900, "broad", world);
+    run(3, 900, "rate-limited-large", world);
     calls[0] = 0;
-    run(2, 900, "broad", world);
+    run(2, 900, "rate-limited-large", world);
     assertTrue(calls[0] > 2 * 200, "calls are back within 3 s: " + calls[0] + " in 2 s");
   }
 
@@ -208,13 +208,13 @@
             }
           }
         };
-    run(20, 100, "broad", world);
+    run(20, 100, "rate-limited-large", world);
     units[0] = 0;
-    run(20, 100, "broad", world);
+    run(20, 100, "rate-limited-large", world);
     assertTrue(
-        units[0] < 20 * PolicyFixture.BROAD.unitsPerSecond() * 1.3, units[0] + " units in 20 s");
+        units[0] < 20 * PolicyFixture.RATE_LIMITED_LARGE.unitsPerSecond() * 1.3, units[0] + " units in 20 s");
     assertTrue(
-        units[0] > 20 * PolicyFixture.BROAD.unitsPerSecond() * 0.4, units[0] + " units in 20 s");
+        units[0] > 20 * PolicyFixture.RATE_LIMITED_LARGE.unitsPerSecond() * 0.4, units[0] + " units in 20 s");
   }
 
   // A concurrency limit is less than one for each gateway: all together must keep to it.
@@ -261,7 +261,7 @@
           }
         };
     for (int i = 0; i < 800; i++) {
-      run(0.025, 40, "narrow", world);
+      run(0.025, 40, "concurrency-limited", world);
       for (Map.Entry<PolicyFixture, StartAttempt> e : List.copyOf(open)) {
         if (e.getKey().now - since.get(e.getValue().requestId()) >= 250) {
           open.remove(e);
@@ -279,16 +279,16 @@
 
   @Test
   void theHardLimitHoldsThroughManyGatewaysAndThroughFew() {
-    assertTrue(lowestOfCeiling(200) >= -PolicyFixture.WIDE.hardLimitSlackUnits());
+    assertTrue(lowestOfCeiling(200) >= -PolicyFixture.HARD_LIMITED_LARGE.hardLimitSlackUnits());
     fleet.clear();
-    assertTrue(lowestOfCeiling(3) >= -PolicyFixture.WIDE.hardLimitSlackUnits());
+    assertTrue(lowestOfCeiling(3) >= -PolicyFixture.HARD_LIMITED_LARGE.hardLimitSlackUnits());
   }
 
   private double lowestOfCeiling(int gateways) {
     fleet(gateways, 12);
     Map<String, Double> counts = new HashMap<>();
     double[] store = {
-      PolicyFixture.WIDE.hardLimitBurstUnits(), fleet.get(0).now, Double.MAX_VALUE, 0
+      PolicyFixture.HARD_LIMITED_LARGE.hardLimitBurstUnits(), fleet.get(0).now, Double.MAX_VALUE, 0
     };
     BiConsumer<PolicyFixture, Action> world =
         new BiConsumer<>() {
@@ -304,9 +304,9 @@
             } else if (a instanceof StartAttempt s) {
               double full =
                   store[0]
-                      + PolicyFixture.WIDE.hardLimitUnitsPerSecond() * (f.now - store[1]) / 1000;
+                      + PolicyFixture.HARD_LIMITED_LARGE.hardLimitUnitsPerSecond() * (f.now - store[1]) / 1000;
               store[0] =
-                  Math.min(PolicyFixture.WIDE.hardLimitBurstUnits(), full)
+                  Math.min(PolicyFixture.HARD_LIMITED_LARGE.hardLimitBurstUnits(), full)
                       - asked.get(s.requestId());
               store[1] = f.now;
               store[2] = Math.min(store[2], store[0]);
@@ -315,7 +315,7 @@
             }
           }
         };
-    run(30, 200, "wide", world);
+    run(30, 200, "hard-limited-large", world);
     assertTrue(store[3] > 30, "only " + store[3] + " sent through " + gateways);
     return store[2];
   }
@@ -332,7 +332,7 @@
         new PolicyFixture(PolicyFixture.settings(true, gateways, false)).backends(backends);
     Set<Long> seen = new HashSet<>();
     for (int i = 0; i < 400; i++) {
-      f.run(25).request("safe", "free", 1);
+      f.runFor(25).request("safe", "free", 1);
       if (f.did(StartAttempt.class)) {
         seen.add(f.only(StartAttempt.class).endpointId());
         f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
@@ -347,9 +347,9 @@
   void aStalledGatewayReadsFirstAndRejectsNobodyForIt() {
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(12);
     for (int round = 0; round < 10; round++) {
-      f.run(25).request("safe", "free", 1);
+      f.runFor(25).request("safe", "free", 1);
       StartAttempt s = f.only(StartAttempt.class);
-      f.run(25);
+      f.runFor(25);
       f.pass(2000).on(new TimerFired(Timer.REQUEST_CHECK));
       assertFalse(f.did(CancelAttempt.class), "its response may lie unread");
       f.on(new AttemptEnded(s.requestId(), 0, s.endpointId(), Status.OK, 2020, true, 0, null));
@@ -366,15 +366,15 @@
   void lostResponsesAreNoOverload() {
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(12);
     for (int i = 0; i < 30; i++) {
-      f.run(100).request("unsafe", "free", 1);
+      f.runFor(100).request("unsafe", "free", 1);
       StartAttempt lost = f.only(StartAttempt.class);
-      f.run(100).request("safe", "free", 1);
+      f.runFor(100).request("safe", "free", 1);
       f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
       f.on(
           new AttemptEnded(
               lost.requestId(), 0, lost.endpointId(), Status.TIMED_OUT, 3900, false, 0, null));
     }
-    f.run(50).request("safe", "free", 1);
+    f.runFor(50).request("safe", "free", 1);
     assertTrue(f.did(StartAttempt.class));
   }
 
@@ -391,7 +391,7 @@
             () -> {
               f.on(
                   new RequestReceived(
-                      "x", PolicyFixture.type("safe"), "rated", 5, entryPoints, 1, f.now + 4000));
+                      "x", PolicyFixture.requestClass("safe"), "rate-limited", 5, entryPoints, 1, f.now + 4000));
               for (int i = 0; i < 500; i++) {
                 answers[0] += f.did(RejectRequest.class) || f.did(FailRequest.class) ? 1 : 0;
                 if (f.did(StartAttempt.class)) {
@@ -407,7 +407,7 @@
                           null));
                   answers[0]++;
                 }
-                f.run(10);
+                f.runFor(10);
               }
               f.on(new CounterReplied("never asked", Status.OK, 3, 1));
               f.on(new AttemptEnded("never sent", 3, 1, Status.OK, 1, true, 0, null));
@@ -426,10 +426,10 @@
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(1);
     f.request("safe", "free", 1);
     f.outcome(f.only(StartAttempt.class), 0, Status.CONNECT_FAILED, false);
-    f.run(9_000);
+    f.runFor(9_000);
     int sent = 0;
     for (int i = 0; i < 40; i++) {
-      f.run(25).request("safe", "free", 1);
+      f.runFor(25).request("safe", "free", 1);
       if (f.did(StartAttempt.class)) {
         sent++;
         f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
@@ -451,7 +451,7 @@
     f.pass(10).outcome(failed, 0, Status.CONNECT_FAILED, true);
     f.pass(10).outcome(before, 0, Status.OK, true);
     for (int i = 0; i < 40; i++) {
-      f.run(25).request("safe", "free", 1);
+      f.runFor(25).request("safe", "free", 1);
       assertTrue(f.did(StartAttempt.class), "not sent at once: " + i);
       f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
     }
@@ -465,7 +465,7 @@
     int near = 0;
     int all = 0;
     for (int i = 0; i < 60; i++) {
-      f.run(25).request("unsafe", "free", 1);
+      f.runFor(25).request("unsafe", "free", 1);
       StartAttempt s = f.only(StartAttempt.class);
       boolean lost = s.endpointId() % 2 == 1;
       near += i >= 20 && !lost ? 1 : 0;
@@ -481,10 +481,10 @@
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
     int near = 0;
     for (int i = 0; i < 60; i++) {
-      f.run(4_000).request("unsafe", "free", 1);
+      f.runFor(4_000).request("unsafe", "free", 1);
       StartAttempt sick = f.only(StartAttempt.class);
       f.outcome(sick, 0, Status.ERROR, false);
-      f.run(25).request("unsafe", "free", 1);
+      f.runFor(25).request("unsafe", "free", 1);
       StartAttempt next = f.only(StartAttempt.class);
       near += next.endpointId() % 2 == sick.endpointId() % 2 ? 1 : 0;
       f.outcome(next, 0, Status.OK, true);
@@ -498,14 +498,14 @@
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
     int near = 0;
     for (int i = 0; i < 60; i++) {
-      f.run(4_000).request("unsafe", "free", 1);
+      f.runFor(4_000).request("unsafe", "free", 1);
       StartAttempt slow = f.only(StartAttempt.class);
       for (int k = 0; k < 6; k++) {
-        f.run(25).request("unsafe", "free", 1);
+        f.runFor(25).request("unsafe", "free", 1);
         f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
       }
-      f.run(2_000).outcome(slow, 0, Status.TIMED_OUT, false);
-      f.run(25).request("unsafe", "free", 1);
+      f.runFor(2_000).outcome(slow, 0, Status.TIMED_OUT, false);
+      f.runFor(25).request("unsafe", "free", 1);
       StartAttempt next = f.only(StartAttempt.class);
       near += next.endpointId() % 2 == slow.endpointId() % 2 ? 1 : 0;
       f.outcome(next, 0, Status.OK, true);
@@ -520,7 +520,7 @@
     int near = 0;
     int all = 0;
     for (int i = 0; i < 200; i++) {
-      f.run(300).request("unsafe", "free", 1);
+      f.runFor(300).request("unsafe", "free", 1);
       StartAttempt s = f.only(StartAttempt.class);
       boolean odd = s.endpointId() % 2 == 1;
       boolean lost = odd && i % 40 < 20;
@@ -536,13 +536,13 @@
   @Test
   void aRestartedGatewayLearnsTheUsedQuotaFromTheCount() {
     PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "rated", 4);
-    f.total(4);
+    f.request("safe", "rate-limited", 4);
+    f.counterReplies(4);
     assertTrue(f.did(StartAttempt.class));
     PolicyFixture again =
         new PolicyFixture(PolicyFixture.settings(true, 2, false), f.now + 100).backends(4);
-    again.request("safe", "rated", 4);
-    again.total(200);
+    again.request("safe", "rate-limited", 4);
+    again.counterReplies(200);
     assertTrue(again.did(RejectRequest.class));
   }
 
@@ -551,9 +551,9 @@
     PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(0);
     f.request("safe", "free", 1);
     assertFalse(f.did(StartAttempt.class));
-    f.run(3900);
+    f.runFor(3900);
     assertEquals(
         1,
-        f.all.stream().filter(a -> a instanceof RejectRequest || a instanceof FailRequest).count());
+        f.allActions.stream().filter(a -> a instanceof RejectRequest || a instanceof FailRequest).count());
   }
 }
--- a/src/test/java/quotagateway/policy/GatewayPolicyTest.java
+++ b/src/test/java/quotagateway/policy/GatewayPolicyTest.java
@@ -36,442 +36,452 @@
 import quotagateway.policy.settings.PolicySettings;
 import quotagateway.policy.settings.RequestClass;
 
-/** The decisions of one gateway: from events to actions, in the order of a request. */
+/** Tests the decisions of one gateway, from events to actions. */
 class GatewayPolicyTest {
 
-  // Quota, with a counter that replies
+  // Quota with a working counter
 
   @Test
-  void addsTheEstimateThenForwards() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "rated", 3);
-    assertEquals(3, f.only(IncrementCounter.class).amount());
-    assertFalse(f.did(StartAttempt.class));
-    f.total(3);
-    assertTrue(f.did(StartAttempt.class));
+  void forwardsRequestOnceCounterConfirmsItsEstimatedUnits() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("safe", "rate-limited", 3);
+    assertEquals(3, fixture.only(IncrementCounter.class).amount());
+    assertFalse(fixture.did(StartAttempt.class));
+    fixture.counterReplies(3);
+    assertTrue(fixture.did(StartAttempt.class));
   }
 
   @Test
-  void rejectsWhatIsOverQuotaAndTakesItsUnitsOffTheCount() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "rated", 3);
-    f.total(200);
-    assertTrue(f.did(RejectRequest.class));
-    f.pass(500).request("safe", "rated", 1);
+  void refundsUnitsOfRequestRejectedOverQuota() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("safe", "rate-limited", 3);
+    fixture.counterReplies(200);
+    assertTrue(fixture.did(RejectRequest.class));
+    fixture.pass(500).request("safe", "rate-limited", 1);
     assertEquals(
-        -3, f.only(IncrementCounter.class).amount(), "only reads, and takes the rejected 3 off");
+        -3, fixture.only(IncrementCounter.class).amount(), "the call only reads the counter and refunds the 3 rejected units");
   }
 
   @Test
-  void settlesTheChargedUnitsWithTheNextCall() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "rated", 2);
-    StartAttempt s = f.total(2).only(StartAttempt.class);
-    f.on(new AttemptEnded(s.requestId(), 0, s.endpointId(), Status.OK, 50, true, 4, null));
-    f.request("safe", "rated", 1);
-    assertEquals(1 + 2, f.only(IncrementCounter.class).amount());
+  void settlesChargedUnitsWithNextCounterCall() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("safe", "rate-limited", 2);
+    StartAttempt start = fixture.counterReplies(2).only(StartAttempt.class);
+    fixture.on(new AttemptEnded(start.requestId(), 0, start.endpointId(), Status.OK, 50, true, 4, null));
+    fixture.request("safe", "rate-limited", 1);
+    assertEquals(1 + 2, fixture.only(IncrementCounter.class).amount());
   }
 
   @Test
-  void anExhaustedCustomerIsRejectedWithoutACall() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "rated", 3);
-    f.total(200);
-    f.pass(10).request("safe", "rated", 3);
-    assertTrue(f.did(RejectRequest.class));
-    assertFalse(f.did(IncrementCounter.class));
+  void rejectsExhaustedCustomerWithoutCounterCall() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("safe", "rate-limited", 3);
+    fixture.counterReplies(200);
+    fixture.pass(10).request("safe", "rate-limited", 3);
+    assertTrue(fixture.did(RejectRequest.class));
+    assertFalse(fixture.did(IncrementCounter.class));
   }
 
   @Test
-  void twoBurstsAreNotAdmittedAtTheEdgeOfAWindow() {
-    PolicyFixture f = PolicyFixture.counted();
+  void rejectsSecondBurstWhenCounterWindowChanges() {
+    PolicyFixture fixture = PolicyFixture.counted();
     String first = null;
     int sent = 0;
-    for (double total = 2; f.all.size() < 4000; total += 2) {
-      f.pass(50).request("safe", "rated", 2);
-      if (!f.did(IncrementCounter.class)) {
+    for (double total = 2; fixture.allActions.size() < 4000; total += 2) {
+      fixture.pass(50).request("safe", "rate-limited", 2);
+      if (!fixture.did(IncrementCounter.class)) {
         continue;
       }
-      String name = f.lastAdd().counterName();
+      String name = fixture.lastIncrement().counterName();
       if (first != null && !name.equals(first)) {
-        f.total(f.lastAdd().amount());
-        assertTrue(f.did(RejectRequest.class), "a new window is not a new burst");
+        fixture.counterReplies(fixture.lastIncrement().amount());
+        assertTrue(fixture.did(RejectRequest.class), "a new window must not grant a new burst");
         return;
       }
       first = name;
-      f.total(total);
-      sent += f.did(StartAttempt.class) ? 1 : 0;
-      if (f.did(StartAttempt.class)) {
-        StartAttempt s = f.only(StartAttempt.class);
-        f.outcome(s, 0, Status.OK, true);
+      fixture.counterReplies(total);
+      sent += fixture.did(StartAttempt.class) ? 1 : 0;
+      if (fixture.did(StartAttempt.class)) {
+        StartAttempt start = fixture.only(StartAttempt.class);
+        fixture.outcome(start, 0, Status.OK, true);
       }
     }
-    throw new AssertionError("no window edge met, sent " + sent);
+    throw new AssertionError("window did not change after " + sent + " attempts");
   }
 
-  /** A connection that breaks shows nothing of the counter, which still replies over another. */
+  /**
+   * A broken connection is no evidence against the counter itself, which may still reply over
+   * another connection.
+   */
   @Test
-  void aCallThatBrokeWithItsConnectionIsReadAgain() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "rated", 3);
-    f.callFails(Status.RESET);
+  void readsCounterAgainAfterConnectionReset() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("safe", "rate-limited", 3);
+    fixture.counterCallFails(Status.RESET);
     assertEquals(
-        0, f.only(IncrementCounter.class).amount(), "it may have been added, so it is only read");
-    assertFalse(f.did(StartAttempt.class));
-    f.total(0);
-    assertTrue(f.did(StartAttempt.class));
-    f.request("safe", "rated", 1);
+        0, fixture.only(IncrementCounter.class).amount(), "the amount may have been added, so the call only reads the counter");
+    assertFalse(fixture.did(StartAttempt.class));
+    fixture.counterReplies(0);
+    assertTrue(fixture.did(StartAttempt.class));
+    fixture.request("safe", "rate-limited", 1);
     assertEquals(
         1 + 3,
-        f.only(IncrementCounter.class).amount(),
-        "the total shows that the 3 were not added");
+        fixture.only(IncrementCounter.class).amount(),
+        "the total shows that the 3 units were not added");
   }
 
   @Test
-  void whatABrokenCallHadAddedIsNotAddedAgain() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "rated", 3);
-    f.callFails(Status.RESET).total(3);
-    assertTrue(f.did(StartAttempt.class));
-    f.request("safe", "rated", 1);
-    assertEquals(1, f.only(IncrementCounter.class).amount());
+  void doesNotRepeatIncrementAppliedBeforeConnectionReset() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("safe", "rate-limited", 3);
+    fixture.counterCallFails(Status.RESET).counterReplies(3);
+    assertTrue(fixture.did(StartAttempt.class));
+    fixture.request("safe", "rate-limited", 1);
+    assertEquals(1, fixture.only(IncrementCounter.class).amount());
   }
 
   /**
-   * Calling less would not help against connections that break, and leaves customers to the
+   * Fewer calls would not prevent connections from breaking, and decisions would fall back to the
    * replica.
    */
   @Test
-  void brokenConnectionsDoNotReduceTheCallsToTheCounter() {
-    PolicyFixture f = PolicyFixture.counted();
+  void doesNotThrottleCounterCallsAfterConnectionResets() {
+    PolicyFixture fixture = PolicyFixture.counted();
     for (int i = 0; i < 20; i++) {
-      f.pass(100).request("safe", "broad", 1);
-      assertTrue(f.did(IncrementCounter.class), "request " + i + " calls the counter");
-      f.callFails(Status.RESET).total(i);
-      f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
+      fixture.pass(100).request("safe", "rate-limited-large", 1);
+      assertTrue(fixture.did(IncrementCounter.class), "no counter call for request " + i);
+      fixture.counterCallFails(Status.RESET).counterReplies(i);
+      fixture.outcome(fixture.only(StartAttempt.class), 0, Status.OK, true);
     }
   }
 
   /**
-   * The backend works, but this response will not come: an attempt sent long after it has ended.
+   * If an attempt that was sent much later has already been answered, the backend works, but the
+   * response to the earlier attempt is lost.
    */
   @Test
-  void cancelsAnAttemptThatWasOvertakenAtAWorkingBackend() {
-    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 2, false)).backends(1);
-    String lost = f.request("safe", "free", 1);
-    f.run(500);
-    f.request("safe", "free", 1);
-    f.outcome(f.only(StartAttempt.class), 0, Status.OK, true).run(200);
-    assertFalse(f.did(CancelAttempt.class), "sent too soon after it to show anything");
-    f.request("safe", "free", 1);
-    f.outcome(f.only(StartAttempt.class), 0, Status.OK, true).run(25);
-    assertEquals(lost, f.only(CancelAttempt.class).requestId());
+  void cancelsAttemptWhenBackendAnswersAttemptSentLongAfterIt() {
+    PolicyFixture fixture = new PolicyFixture(PolicyFixture.settings(true, 2, false)).backends(1);
+    String lost = fixture.request("safe", "free", 1);
+    fixture.runFor(500);
+    fixture.request("safe", "free", 1);
+    fixture.outcome(fixture.only(StartAttempt.class), 0, Status.OK, true).runFor(200);
+    assertFalse(fixture.did(CancelAttempt.class), "the answered attempt was sent too soon after the first one to show a loss");
+    fixture.request("safe", "free", 1);
+    fixture.outcome(fixture.only(StartAttempt.class), 0, Status.OK, true).runFor(25);
+    assertEquals(lost, fixture.only(CancelAttempt.class).requestId());
   }
 
   @Test
-  void plansWithoutRateNeedNoCall() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "free", 3);
-    assertTrue(f.did(StartAttempt.class));
-    assertFalse(f.did(IncrementCounter.class));
+  void forwardsWithoutCounterCallWhenPlanHasNoRate() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("safe", "free", 3);
+    assertTrue(fixture.did(StartAttempt.class));
+    assertFalse(fixture.did(IncrementCounter.class));
   }
 
   @Test
-  void concurrencyLimitIsSplitAmongTheGateways() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "narrow", 1);
-    assertTrue(f.did(StartAttempt.class));
-    f.request("safe", "narrow", 1);
+  void splitsConcurrencyLimitAmongGateways() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("safe", "concurrency-limited", 1);
+    assertTrue(fixture.did(StartAttempt.class));
+    fixture.request("safe", "concurrency-limited", 1);
     assertTrue(
-        f.only(RejectRequest.class).retryAfterMs() > 0,
-        "advised to come back when one may have ended");
+        fixture.only(RejectRequest.class).retryAfterMs() > 0,
+        "the client is advised to retry when an open request may have ended");
   }
 
   /**
-   * A customer comes through more gateways than it has permits: each one is acquired in a shared
-   * count, and released however the request ends.
+   * A customer that uses more gateways than it has permits acquires each permit in a shared counter,
+   * and the gateway releases the permit however the request ends.
    */
   @Test
-  void aConcurrencyPermitIsReleasedHoweverARequestEnds() {
-    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 5, false)).backends(4);
-    requestWithPermit(f, "safe");
-    f.total(2);
-    f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
-    assertEquals(-1, f.only(IncrementCounter.class).amount(), "served");
-    f.total(0);
-    requestWithPermit(f, "unsafe");
-    f.total(1);
-    f.outcome(f.only(StartAttempt.class), 0, Status.ERROR, false);
-    assertTrue(f.did(FailRequest.class));
-    assertEquals(-1, f.only(IncrementCounter.class).amount(), "failed");
-    f.total(0);
-    requestWithPermit(f, "safe");
-    f.total(3);
-    assertTrue(f.did(RejectRequest.class));
+  void releasesConcurrencyPermitHoweverRequestEnds() {
+    PolicyFixture fixture = new PolicyFixture(PolicyFixture.settings(true, 5, false)).backends(4);
+    requestWithPermit(fixture, "safe");
+    fixture.counterReplies(2);
+    fixture.outcome(fixture.only(StartAttempt.class), 0, Status.OK, true);
+    assertEquals(-1, fixture.only(IncrementCounter.class).amount(), "request was served");
+    fixture.counterReplies(0);
+    requestWithPermit(fixture, "unsafe");
+    fixture.counterReplies(1);
+    fixture.outcome(fixture.only(StartAttempt.class), 0, Status.ERROR, false);
+    assertTrue(fixture.did(FailRequest.class));
+    assertEquals(-1, fixture.only(IncrementCounter.class).amount(), "request failed");
+    fixture.counterReplies(0);
+    requestWithPermit(fixture, "safe");
+    fixture.counterReplies(3);
+    assertTrue(fixture.did(RejectRequest.class));
     assertEquals(
-        -1, f.only(IncrementCounter.class).amount(), "rejected, as others have all permits");
-    f.total(0);
-    String left = requestWithPermit(f, "safe");
-    f.on(new ClientDisconnected(left));
-    assertFalse(f.did(IncrementCounter.class), "it is not known yet whether it was added");
-    f.total(1);
-    assertEquals(-1, f.only(IncrementCounter.class).amount(), "its client has disconnected");
-    assertFalse(f.did(StartAttempt.class));
-    f.total(0);
-    String gone = requestWithPermit(f, "safe");
-    f.on(new ClientDisconnected(gone)).callFails(Status.REJECTED);
-    assertFalse(f.did(IncrementCounter.class), "nothing was added");
-  }
-
-  /** With many gateways, nearly every request is a customer's first one here for a long time. */
-  @Test
-  void aFirstRequestWhileTheCounterIsAwayGetsAPermit() {
-    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 5, false)).backends(4);
-    requestWithPermit(f, "safe");
-    f.callFails(Status.REJECTED);
-    assertTrue(f.did(StartAttempt.class));
-    requestWithPermit(f, "safe");
-    f.callFails(Status.REJECTED);
-    assertTrue(f.did(RejectRequest.class), "this gateway's part of the limit is in use");
-  }
-
-  private static String requestWithPermit(PolicyFixture f, String className) {
-    String id = "with permit at " + f.now;
-    f.pass(1)
+        -1, fixture.only(IncrementCounter.class).amount(), "request was rejected because other requests hold all permits");
+    fixture.counterReplies(0);
+    String disconnected = requestWithPermit(fixture, "safe");
+    fixture.on(new ClientDisconnected(disconnected));
+    assertFalse(fixture.did(IncrementCounter.class), "it is not known yet whether the permit was acquired");
+    fixture.counterReplies(1);
+    assertEquals(-1, fixture.only(IncrementCounter.class).amount(), "client disconnected");
+    assertFalse(fixture.did(StartAttempt.class));
+    fixture.counterReplies(0);
+    String disconnectedEarly = requestWithPermit(fixture, "safe");
+    fixture.on(new ClientDisconnected(disconnectedEarly)).counterCallFails(Status.REJECTED);
+    assertFalse(fixture.did(IncrementCounter.class), "no permit was acquired");
+  }
+
+  /**
+   * With many gateways, nearly every request is the first one of its customer at this gateway for a
+   * long time.
+   */
+  @Test
+  void grantsPermitToFirstRequestWhileCounterIsUnavailable() {
+    PolicyFixture fixture = new PolicyFixture(PolicyFixture.settings(true, 5, false)).backends(4);
+    requestWithPermit(fixture, "safe");
+    fixture.counterCallFails(Status.REJECTED);
+    assertTrue(fixture.did(StartAttempt.class));
+    requestWithPermit(fixture, "safe");
+    fixture.counterCallFails(Status.REJECTED);
+    assertTrue(fixture.did(RejectRequest.class), "this gateway's share of the limit is in use");
+  }
+
+  private static String requestWithPermit(PolicyFixture fixture, String className) {
+    String id = "with permit at " + fixture.now;
+    fixture.pass(1)
         .on(
             new RequestReceived(
-                id, PolicyFixture.type(className), "narrow", 42, 5, 1, f.now + 4000));
-    assertEquals(1, f.only(IncrementCounter.class).amount());
-    assertFalse(f.did(StartAttempt.class));
+                id, PolicyFixture.requestClass(className), "concurrency-limited", 42, 5, 1, fixture.now + 4000));
+    assertEquals(1, fixture.only(IncrementCounter.class).amount());
+    assertFalse(fixture.did(StartAttempt.class));
     return id;
   }
 
   @Test
-  void withoutACounterTheQuotaIsSplitEvenly() {
-    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(false, 2, false)).backends(4);
-    f.request("safe", "rated", 4);
-    assertTrue(f.did(StartAttempt.class));
-    f.request("safe", "rated", 4);
-    assertTrue(f.did(RejectRequest.class), "half of a burst of 10 holds one request of 4");
+  void splitsQuotaEvenlyWithoutCounter() {
+    PolicyFixture fixture = new PolicyFixture(PolicyFixture.settings(false, 2, false)).backends(4);
+    fixture.request("safe", "rate-limited", 4);
+    assertTrue(fixture.did(StartAttempt.class));
+    fixture.request("safe", "rate-limited", 4);
+    assertTrue(fixture.did(RejectRequest.class), "half of a burst of 10 covers one request of 4 units");
   }
 
   @Test
-  void anUnknownPlanAndClassGetOneFinalResponse() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.on(
+  void requestOfUnknownPlanAndClassGetsOneFinalResponse() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.on(
         new RequestReceived(
-            "x", PolicyFixture.type("no such class"), "no such plan", 9, 2, 1, f.now + 4000));
-    StartAttempt s = f.total(1).only(StartAttempt.class);
-    f.outcome(s, 0, Status.ERROR, false);
-    assertTrue(f.did(FailRequest.class), "an unknown class may not execute twice");
+            "x", PolicyFixture.requestClass("no such class"), "no such plan", 9, 2, 1, fixture.now + 4000));
+    StartAttempt start = fixture.counterReplies(1).only(StartAttempt.class);
+    fixture.outcome(start, 0, Status.ERROR, false);
+    assertTrue(fixture.did(FailRequest.class), "a request of an unknown class must not be executed twice");
   }
 
-  // Quota, with a counter that fails
+  // Quota with a failing counter
 
   @Test
-  void aCallWithoutReplyIsDecidedByTheReplica() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "rated", 3);
-    f.callFails(Status.TIMED_OUT);
-    assertTrue(f.did(StartAttempt.class));
+  void decidesByReplicaWhenCounterCallTimesOut() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("safe", "rate-limited", 3);
+    fixture.counterCallFails(Status.TIMED_OUT);
+    assertTrue(fixture.did(StartAttempt.class));
   }
 
   @Test
-  void aSilentCounterDelaysARequestNoLongerThanItsBound() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "rated", 3);
-    f.run(100);
-    assertTrue(f.did(StartAttempt.class));
+  void forwardsRequestAfterMaximumWaitForSilentCounter() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("safe", "rate-limited", 3);
+    fixture.runFor(100);
+    assertTrue(fixture.did(StartAttempt.class));
   }
 
   @Test
-  void anAbsentCounterIsProbedRarelyAndUsedAgainSoon() {
-    PolicyFixture f = PolicyFixture.counted();
+  void probesUnreachableCounterRarelyAndResumesCallsAfterRecovery() {
+    PolicyFixture fixture = PolicyFixture.counted();
     int calls = 0;
     for (int i = 0; i < 200; i++) {
-      f.pass(20)
+      fixture.pass(20)
           .on(
               new RequestReceived(
-                  "q" + i, PolicyFixture.type("safe"), "rated", 1000 + i, 2, 1, f.now + 4000));
-      if (f.did(IncrementCounter.class)) {
+                  "q" + i, PolicyFixture.requestClass("safe"), "rate-limited", 1000 + i, 2, 1, fixture.now + 4000));
+      if (fixture.did(IncrementCounter.class)) {
         calls++;
-        f.callFails(Status.CONNECT_FAILED);
+        fixture.counterCallFails(Status.CONNECT_FAILED);
       }
     }
-    assertTrue(calls < 40, "calls while the counter is away: " + calls);
+    assertTrue(calls < 40, "calls while the counter is unreachable: " + calls);
     int answered = 0;
     for (int i = 0; i < 200; i++) {
-      f.pass(20)
+      fixture.pass(20)
           .on(
               new RequestReceived(
-                  "p" + i, PolicyFixture.type("safe"), "rated", 5000 + i, 2, 1, f.now + 4000));
-      if (f.did(IncrementCounter.class)) {
+                  "p" + i, PolicyFixture.requestClass("safe"), "rate-limited", 5000 + i, 2, 1, fixture.now + 4000));
+      if (fixture.did(IncrementCounter.class)) {
         answered++;
-        f.total(1);
+        fixture.counterReplies(1);
       }
     }
-    assertTrue(answered > 100, "calls after its return: " + answered);
+    assertTrue(answered > 100, "calls after the counter recovered: " + answered);
   }
 
   @Test
-  void theUnitsOfAFailedCallThatAddedNothingGoWithTheNextCall() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "rated", 3);
-    f.callFails(Status.REJECTED);
-    assertTrue(f.did(StartAttempt.class));
-    f.request("safe", "rated", 1);
-    assertEquals(4, f.only(IncrementCounter.class).amount());
+  void addsUnitsOfRejectedCounterCallToNextCall() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("safe", "rate-limited", 3);
+    fixture.counterCallFails(Status.REJECTED);
+    assertTrue(fixture.did(StartAttempt.class));
+    fixture.request("safe", "rate-limited", 1);
+    assertEquals(4, fixture.only(IncrementCounter.class).amount());
   }
 
   @Test
-  void theNextTotalShowsWhetherACallWithoutReplyWasAdded() {
+  void derivesFromNextTotalWhetherTimedOutCallWasApplied() {
     PolicyFixture added = PolicyFixture.counted();
-    added.request("safe", "rated", 1);
-    added.total(1);
-    added.request("safe", "rated", 3);
-    added.callFails(Status.TIMED_OUT);
-    added.request("safe", "rated", 1);
-    added.total(5);
-    added.request("safe", "rated", 1);
+    added.request("safe", "rate-limited", 1);
+    added.counterReplies(1);
+    added.request("safe", "rate-limited", 3);
+    added.counterCallFails(Status.TIMED_OUT);
+    added.request("safe", "rate-limited", 1);
+    added.counterReplies(5);
+    added.request("safe", "rate-limited", 1);
     assertEquals(1, added.only(IncrementCounter.class).amount());
 
     PolicyFixture lost = PolicyFixture.counted();
-    lost.request("safe", "rated", 1);
-    lost.total(1);
-    lost.request("safe", "rated", 3);
-    lost.callFails(Status.TIMED_OUT);
-    lost.request("safe", "rated", 1);
-    lost.total(2);
-    lost.request("safe", "rated", 1);
+    lost.request("safe", "rate-limited", 1);
+    lost.counterReplies(1);
+    lost.request("safe", "rate-limited", 3);
+    lost.counterCallFails(Status.TIMED_OUT);
+    lost.request("safe", "rate-limited", 1);
+    lost.counterReplies(2);
+    lost.request("safe", "rate-limited", 1);
     assertEquals(1 + 3, lost.only(IncrementCounter.class).amount());
   }
 
   @Test
-  void anEmptiedCounterIsNoFreshQuota() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "rated", 1);
-    f.total(200);
-    f.pass(500).request("safe", "rated", 1);
-    f.total(f.lastAdd().amount());
-    assertTrue(f.did(RejectRequest.class));
+  void doesNotGrantFreshQuotaWhenCounterIsEmptied() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("safe", "rate-limited", 1);
+    fixture.counterReplies(200);
+    fixture.pass(500).request("safe", "rate-limited", 1);
+    fixture.counterReplies(fixture.lastIncrement().amount());
+    assertTrue(fixture.did(RejectRequest.class));
   }
 
   @Test
-  void aRequestWhoseClientDisconnectsWhileItWaitsIsNotForwarded() {
-    PolicyFixture f = PolicyFixture.counted();
-    String id = f.request("safe", "rated", 1);
-    f.on(new ClientDisconnected(id));
-    f.total(1);
-    assertFalse(f.did(StartAttempt.class));
-    f.request("safe", "rated", 2);
-    assertEquals(2 - 1, f.only(IncrementCounter.class).amount(), "and its units are returned");
+  void doesNotForwardRequestWhoseClientDisconnectsDuringCounterWait() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    String id = fixture.request("safe", "rate-limited", 1);
+    fixture.on(new ClientDisconnected(id));
+    fixture.counterReplies(1);
+    assertFalse(fixture.did(StartAttempt.class));
+    fixture.request("safe", "rate-limited", 2);
+    assertEquals(2 - 1, fixture.only(IncrementCounter.class).amount(), "the units of the disconnected request are refunded");
   }
 
   // Attempts
 
   @Test
-  void aNonIdempotentRequestThatMayHaveExecutedFails() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("unsafe", "free", 1);
-    StartAttempt s = f.only(StartAttempt.class);
-    f.outcome(s, 0, Status.RESET, false);
-    assertTrue(f.did(FailRequest.class));
-    assertFalse(f.did(StartAttempt.class));
+  void failsNonIdempotentRequestThatMayHaveExecuted() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("unsafe", "free", 1);
+    StartAttempt start = fixture.only(StartAttempt.class);
+    fixture.outcome(start, 0, Status.RESET, false);
+    assertTrue(fixture.did(FailRequest.class));
+    assertFalse(fixture.did(StartAttempt.class));
   }
 
   @Test
-  void aNonIdempotentRequestThatDidNotExecuteIsRetriedElsewhere() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("unsafe", "free", 1);
-    StartAttempt s = f.only(StartAttempt.class);
-    f.outcome(s, 0, Status.CONNECT_FAILED, false);
-    assertNotEquals(s.endpointId(), f.only(StartAttempt.class).endpointId());
+  void retriesNonIdempotentRequestElsewhereWhenNotExecuted() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("unsafe", "free", 1);
+    StartAttempt start = fixture.only(StartAttempt.class);
+    fixture.outcome(start, 0, Status.CONNECT_FAILED, false);
+    assertNotEquals(start.endpointId(), fixture.only(StartAttempt.class).endpointId());
   }
 
   @Test
-  void aRetryOfWhatMayHaveExecutedHasToBeWrittenWithinItsWindow() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("zone", "free", 1);
-    StartAttempt first = f.only(StartAttempt.class);
+  void retryAfterPossibleExecutionMustStartWithinDeduplicationWindow() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("zone", "free", 1);
+    StartAttempt first = fixture.only(StartAttempt.class);
     assertEquals(Double.POSITIVE_INFINITY, first.maxStartDelayMs());
-    f.pass(500).outcome(first, 0, Status.CONNECT_FAILED, false);
-    StartAttempt second = f.only(StartAttempt.class);
+    fixture.pass(500).outcome(first, 0, Status.CONNECT_FAILED, false);
+    StartAttempt second = fixture.only(StartAttempt.class);
     assertEquals(
-        Double.POSITIVE_INFINITY, second.maxStartDelayMs(), "nothing can have executed by now");
-    f.pass(2000).outcome(second, 1, Status.ERROR, false);
-    double left = 3000 - 2000;
+        Double.POSITIVE_INFINITY, second.maxStartDelayMs(), "the first attempt cannot have been executed");
+    fixture.pass(2000).outcome(second, 1, Status.ERROR, false);
+    double remainingMs = 3000 - 2000;
     assertTrue(
-        f.only(StartAttempt.class).maxStartDelayMs() > left - 50
-            && f.only(StartAttempt.class).maxStartDelayMs() < left);
+        fixture.only(StartAttempt.class).maxStartDelayMs() > remainingMs - 50
+            && fixture.only(StartAttempt.class).maxStartDelayMs() < remainingMs);
   }
 
   @Test
-  void aRequestWithAnIdempotencyKeyIsRetriedWithinItsScopeAndWindow() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("cell", "free", 1);
-    StartAttempt s = f.only(StartAttempt.class);
-    f.outcome(s, 0, Status.ERROR, false);
-    if (f.did(StartAttempt.class)) {
+  void retriesKeyedRequestOnlyWithinDeduplicationScopeAndWindow() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("cell", "free", 1);
+    StartAttempt start = fixture.only(StartAttempt.class);
+    fixture.outcome(start, 0, Status.ERROR, false);
+    if (fixture.did(StartAttempt.class)) {
       assertEquals(
-          s.endpointId(),
-          f.only(StartAttempt.class).endpointId(),
-          "its cell has this backend alone");
+          start.endpointId(),
+          fixture.only(StartAttempt.class).endpointId(),
+          "the cell has only this backend");
     }
-    f.request("zone", "free", 1);
-    StartAttempt z = f.only(StartAttempt.class);
-    f.outcome(z, 0, Status.ERROR, false);
-    assertEquals(z.endpointId() % 2, f.only(StartAttempt.class).endpointId() % 2);
-    StartAttempt again = f.only(StartAttempt.class);
-    f.pass(3500).outcome(again, 1, Status.ERROR, false);
-    assertFalse(f.did(StartAttempt.class), "its retries are no longer deduplicated");
-    assertTrue(f.did(FailRequest.class), "and a rejection would promise too much");
+    fixture.request("zone", "free", 1);
+    StartAttempt zoneStart = fixture.only(StartAttempt.class);
+    fixture.outcome(zoneStart, 0, Status.ERROR, false);
+    assertEquals(zoneStart.endpointId() % 2, fixture.only(StartAttempt.class).endpointId() % 2);
+    StartAttempt again = fixture.only(StartAttempt.class);
+    fixture.pass(3500).outcome(again, 1, Status.ERROR, false);
+    assertFalse(fixture.did(StartAttempt.class), "the deduplication window has ended");
+    assertTrue(fixture.did(FailRequest.class), "a rejection would wrongly promise that a retry is safe");
   }
 
   @Test
-  void everyRequestGetsAFinalResponseBeforeItsDeadline() {
-    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 2, false));
-    f.request("safe", "free", 1);
-    assertFalse(f.did(StartAttempt.class), "no backend is known");
-    f.run(1000);
-    assertTrue(f.did(RejectRequest.class));
-    f.on(new RequestReceived("short", PolicyFixture.type("safe"), "free", 1, 2, 1, f.now + 5));
-    assertTrue(f.did(RejectRequest.class), "no time is left to look again");
+  void rejectsRequestBeforeItsDeadlineWhenNoBackendIsKnown() {
+    PolicyFixture fixture = new PolicyFixture(PolicyFixture.settings(true, 2, false));
+    fixture.request("safe", "free", 1);
+    assertFalse(fixture.did(StartAttempt.class), "no backend is known");
+    fixture.runFor(1000);
+    assertTrue(fixture.did(RejectRequest.class));
+    fixture.on(new RequestReceived("short", PolicyFixture.requestClass("safe"), "free", 1, 2, 1, fixture.now + 5));
+    assertTrue(fixture.did(RejectRequest.class), "the deadline is before the next check");
   }
 
   @Test
-  void anAttemptTimesOutBeforeTheDeadline() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "free", 1);
-    assertTrue(f.only(StartAttempt.class).timeoutMs() < 4000);
+  void attemptTimesOutBeforeClientDeadline() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("safe", "free", 1);
+    assertTrue(fixture.only(StartAttempt.class).timeoutMs() < 4000);
   }
 
   @Test
-  void aStreamedResponseInProgressIsLeftAlone() {
-    PolicyFixture f = PolicyFixture.counted();
-    String id = f.request("stream", "free", 1);
-    f.on(new ResponseStarted(id, 0)).run(6000);
-    assertTrue(f.last.isEmpty(), f.last.toString());
+  void doesNotCancelStreamedResponseInProgress() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    String id = fixture.request("stream", "free", 1);
+    fixture.on(new ResponseStarted(id, 0)).runFor(6000);
+    assertTrue(fixture.lastActions.isEmpty(), fixture.lastActions.toString());
   }
 
   @Test
-  void anAttemptAtASilentBackendIsCancelledWhereTheClassAllows() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "free", 1);
-    StartAttempt s = f.only(StartAttempt.class);
-    f.run(700);
-    assertEquals(new CancelAttempt(s.requestId(), 0), f.only(CancelAttempt.class));
-    f.outcome(s, 0, Status.CANCELLED, false);
-    assertNotEquals(s.endpointId(), f.only(StartAttempt.class).endpointId());
+  void cancelsAttemptAtSilentBackendAndRetriesElsewhere() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("safe", "free", 1);
+    StartAttempt start = fixture.only(StartAttempt.class);
+    fixture.runFor(700);
+    assertEquals(new CancelAttempt(start.requestId(), 0), fixture.only(CancelAttempt.class));
+    fixture.outcome(start, 0, Status.CANCELLED, false);
+    assertNotEquals(start.endpointId(), fixture.only(StartAttempt.class).endpointId());
   }
 
-  /** An event of a kind that was added to the sealed type, but not here, would be thrown back. */
+  /**
+   * The policy throws an exception for an event type that it does not handle, for example one that
+   * was added only to the sealed interface.
+   */
   @Test
-  void everyKindOfEventIsHandled() {
-    PolicyFixture f = PolicyFixture.counted();
-    List<Event> oneOfEach =
+  void handlesEveryEventType() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    List<Event> events =
         List.of(
-            new RequestReceived("r", PolicyFixture.type("safe"), "free", 1, 2, 1, f.now + 4000),
-            new RequestBodyComplete("r", f.now + 4000),
+            new RequestReceived("r", PolicyFixture.requestClass("safe"), "free", 1, 2, 1, fixture.now + 4000),
+            new RequestBodyComplete("r", fixture.now + 4000),
             new CounterReplied("nothing", Status.OK, 5, 1),
             new ResponseStarted("r", 0),
             new AttemptEnded("r", 0, 1, Status.OK, 5, true, 0, null),
@@ -479,291 +489,302 @@
             new EndpointsUpdated(EndpointListForm.DELTA, List.of()),
             new TimerFired(Timer.REQUEST_CHECK),
             new SettingsChanged(PolicyFixture.settings(true, 2, false)));
-    Set<Class<?>> kinds = new HashSet<>();
-    for (Event event : oneOfEach) {
-      f.on(event);
-      kinds.add(event.getClass());
+    Set<Class<?>> handledTypes = new HashSet<>();
+    for (Event event : events) {
+      fixture.on(event);
+      handledTypes.add(event.getClass());
     }
-    assertEquals(Set.of(Event.class.getPermittedSubclasses()), kinds);
+    assertEquals(Set.of(Event.class.getPermittedSubclasses()), handledTypes);
   }
 
   @Test
-  void eventsForWhatIsOverAreIgnored() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.on(new AttemptEnded("nobody", 0, 1, Status.OK, 5, true, 0, null));
-    f.on(new CounterReplied("nothing", Status.OK, 5, 1));
-    f.on(new ClientDisconnected("nobody"));
-    f.on(new TimerFired(Timer.REQUEST_CHECK));
-    assertTrue(f.last.isEmpty());
+  void ignoresEventsForUnknownRequestsAndCounters() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.on(new AttemptEnded("nobody", 0, 1, Status.OK, 5, true, 0, null));
+    fixture.on(new CounterReplied("nothing", Status.OK, 5, 1));
+    fixture.on(new ClientDisconnected("nobody"));
+    fixture.on(new TimerFired(Timer.REQUEST_CHECK));
+    assertTrue(fixture.lastActions.isEmpty());
   }
 
   // Backends
 
   @Test
-  void drainingAndRemovedBackendsGetNothingNew() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.on(
+  void sendsNoNewAttemptsToDrainingOrRemovedBackends() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.on(
         new EndpointsUpdated(
             EndpointListForm.DELTA,
             List.of(
                 new Endpoint(0, "a", 0, EndpointState.DRAINING, 1, 0),
                 new Endpoint(1, "b", 1, EndpointState.REMOVED, 1, 0))));
-    Set<Long> met = new HashSet<>();
+    Set<Long> usedBackends = new HashSet<>();
     for (int i = 0; i < 400; i++) {
-      f.run(25).request("safe", "free", 1);
-      StartAttempt s = f.only(StartAttempt.class);
-      met.add(s.endpointId());
-      f.outcome(s, 0, Status.OK, true);
+      fixture.runFor(25).request("safe", "free", 1);
+      StartAttempt start = fixture.only(StartAttempt.class);
+      usedBackends.add(start.endpointId());
+      fixture.outcome(start, 0, Status.OK, true);
     }
-    assertEquals(Set.of(2L, 3L), met);
+    assertEquals(Set.of(2L, 3L), usedBackends);
   }
 
   @Test
-  void aBackendThatIsWarmingUpGetsLittle() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.on(
+  void limitsTrafficToBackendThatIsWarmingUp() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.on(
         new EndpointsUpdated(
             EndpointListForm.DELTA,
-            List.of(new Endpoint(0, "a", 0, EndpointState.SERVING, 1, f.now))));
-    int cold = 0;
-    int all = 0;
+            List.of(new Endpoint(0, "a", 0, EndpointState.SERVING, 1, fixture.now))));
+    int warmingUpAttempts = 0;
+    int allAttempts = 0;
     for (int i = 0; i < 200; i++) {
-      f.run(25).request("safe", "free", 1);
-      if (f.did(StartAttempt.class)) {
-        StartAttempt s = f.only(StartAttempt.class);
-        cold += s.endpointId() == 0 ? 1 : 0;
-        all++;
-        f.outcome(s, 0, Status.OK, true);
+      fixture.runFor(25).request("safe", "free", 1);
+      if (fixture.did(StartAttempt.class)) {
+        StartAttempt start = fixture.only(StartAttempt.class);
+        warmingUpAttempts += start.endpointId() == 0 ? 1 : 0;
+        allAttempts++;
+        fixture.outcome(start, 0, Status.OK, true);
       }
     }
-    assertTrue(cold > 0, "it is used at all");
+    assertTrue(warmingUpAttempts > 0, "the backend is never used");
     assertTrue(
-        cold < all / 8, "under half of the quarter of one that is warm: " + cold + " of " + all);
+        warmingUpAttempts < allAttempts / 8, "the backend gets at least half as much as a warm one: " + warmingUpAttempts + " of " + allAttempts);
   }
 
   @Test
-  void aBackendThatFailsFastIsEjectedAndProbedAgain() {
-    PolicyFixture f = PolicyFixture.counted();
-    int early = failsFast(f, 100);
-    assertTrue(early < 20, "attempts at the failing backend: " + early);
-    for (int i = 0, met = 0; met == 0; i++) {
-      assertTrue(i < 2000, "never probed");
-      f.run(25).request("safe", "free", 1);
-      StartAttempt s = f.only(StartAttempt.class);
-      met += s.endpointId() == 0 ? 1 : 0;
-      f.outcome(s, 0, Status.OK, true);
+  void ejectsBackendThatFailsFastAndProbesItLater() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    int attemptsAtFailingBackend = failAttemptsAtFirstBackend(fixture, 100);
+    assertTrue(attemptsAtFailingBackend < 20, "attempts at the failing backend: " + attemptsAtFailingBackend);
+    for (int i = 0, probes = 0; probes == 0; i++) {
+      assertTrue(i < 2000, "the backend is never probed");
+      fixture.runFor(25).request("safe", "free", 1);
+      StartAttempt start = fixture.only(StartAttempt.class);
+      probes += start.endpointId() == 0 ? 1 : 0;
+      fixture.outcome(start, 0, Status.OK, true);
     }
   }
 
-  private static int failsFast(PolicyFixture f, int requests) {
+  private static int failAttemptsAtFirstBackend(PolicyFixture fixture, int requests) {
     int failing = 0;
     for (int i = 0; i < requests; i++) {
-      f.run(25).request("safe", "free", 1);
-      StartAttempt s = f.only(StartAttempt.class);
+      fixture.runFor(25).request("safe", "free", 1);
+      StartAttempt start = fixture.only(StartAttempt.class);
       int attempt = 0;
-      while (s.endpointId() == 0) {
+      while (start.endpointId() == 0) {
         failing++;
-        f.outcome(s, attempt++, Status.ERROR, false);
-        if (!f.did(StartAttempt.class)) {
+        fixture.outcome(start, attempt++, Status.ERROR, false);
+        if (!fixture.did(StartAttempt.class)) {
           break;
         }
-        s = f.only(StartAttempt.class);
+        start = fixture.only(StartAttempt.class);
       }
-      f.outcome(s, attempt, Status.OK, true);
+      fixture.outcome(start, attempt, Status.OK, true);
     }
     return failing;
   }
 
   /**
-   * Incidents ifcb77b and i3b6be0: after an old report of high load a backend was avoided for good.
+   * Guards against incidents ifcb77b and i3b6be0, in which a backend was avoided permanently after
+   * an old report of high load.
    */
   @Test
-  void anOldLoadReportFades() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "free", 1);
-    StartAttempt busy = f.only(StartAttempt.class);
-    f.report(busy, 0, 30);
+  void usesBackendAgainAfterOldReportOfHighLoad() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("safe", "free", 1);
+    StartAttempt busy = fixture.only(StartAttempt.class);
+    fixture.succeedWithLoad(busy, 0, 30);
     for (int i = 1; i < 4; i++) {
-      f.request("safe", "free", 1);
-      f.report(f.only(StartAttempt.class), 0, 0);
+      fixture.request("safe", "free", 1);
+      fixture.succeedWithLoad(fixture.only(StartAttempt.class), 0, 0);
     }
-    Set<Long> met = new HashSet<>();
+    Set<Long> usedBackends = new HashSet<>();
     for (int i = 0; i < 200; i++) {
-      f.run(25).request("safe", "free", 1);
-      StartAttempt s = f.only(StartAttempt.class);
-      met.add(s.endpointId());
-      f.report(s, 0, 1);
+      fixture.runFor(25).request("safe", "free", 1);
+      StartAttempt start = fixture.only(StartAttempt.class);
+      usedBackends.add(start.endpointId());
+      fixture.succeedWithLoad(start, 0, 1);
     }
-    assertTrue(met.contains(busy.endpointId()));
+    assertTrue(usedBackends.contains(busy.endpointId()));
   }
 
   @Test
-  void overloadedBackendsHaveRequestsRejectedEarly() {
-    PolicyFixture f = PolicyFixture.counted();
+  void rejectsRequestWhenBackendsAreOverloaded() {
+    PolicyFixture fixture = PolicyFixture.counted();
     for (int i = 0; i < 60; i++) {
-      f.request("safe", "free", 1);
-      if (i >= 30 && f.did(StartAttempt.class)) {
-        StartAttempt s = f.only(StartAttempt.class);
-        f.on(new AttemptEnded(s.requestId(), 0, s.endpointId(), Status.OK, 900, true, 0, null));
+      fixture.request("safe", "free", 1);
+      if (i >= 30 && fixture.did(StartAttempt.class)) {
+        StartAttempt start = fixture.only(StartAttempt.class);
+        fixture.on(new AttemptEnded(start.requestId(), 0, start.endpointId(), Status.OK, 900, true, 0, null));
       }
     }
-    f.request("safe", "free", 1);
-    assertTrue(f.did(RejectRequest.class));
+    fixture.request("safe", "free", 1);
+    assertTrue(fixture.did(RejectRequest.class));
   }
 
-  /** The newest request was counted before it was asked for, so one less was open than may be. */
+  /**
+   * Guards against an off-by-one error: the new request was counted before the check against the
+   * limit, so that one request fewer than allowed could be open.
+   */
   @Test
-  void asManyRequestsAreOpenAsTheSettingsAllow() {
-    PolicyFixture f = new PolicyFixture(withMaxOpen(PolicyFixture.settings(true, 2, false), 2));
-    f.backends(4);
-    f.request("safe", "free", 1);
-    f.request("safe", "free", 1);
-    assertTrue(f.did(StartAttempt.class), "the second of two");
-    f.request("safe", "free", 1);
-    assertTrue(f.did(RejectRequest.class), "the third of two");
+  void admitsAsManyOpenRequestsAsSettingsAllow() {
+    PolicyFixture fixture = new PolicyFixture(withMaxOpen(PolicyFixture.settings(true, 2, false), 2));
+    fixture.backends(4);
+    fixture.request("safe", "free", 1);
+    fixture.request("safe", "free", 1);
+    assertTrue(fixture.did(StartAttempt.class), "second request with a limit of 2");
+    fixture.request("safe", "free", 1);
+    assertTrue(fixture.did(RejectRequest.class), "third request with a limit of 2");
   }
 
   private static PolicySettings withMaxOpen(PolicySettings settings, int maxOpenRequests) {
     int attempts = settings.capabilities().maxAttempts();
-    return changed(settings, settings.requestClasses(), attempts, maxOpenRequests);
+    return withChanges(settings, settings.requestClasses(), attempts, maxOpenRequests);
   }
 
   @Test
-  void anEndpointListThatIsPolledIsWatchedAndAskedForAgain() {
-    PolicyFixture f = new PolicyFixture(PolicyFixture.settings(true, 2, true));
-    assertTrue(f.did(WatchEndpoints.class));
-    f.on(new EndpointsUpdated(EndpointListForm.FAILED, List.of()));
-    f.on(new TimerFired(Timer.ENDPOINT_WATCH));
-    assertTrue(f.did(WatchEndpoints.class));
+  void watchesPolledEndpointListAgainAfterFailure() {
+    PolicyFixture fixture = new PolicyFixture(PolicyFixture.settings(true, 2, true));
+    assertTrue(fixture.did(WatchEndpoints.class));
+    fixture.on(new EndpointsUpdated(EndpointListForm.FAILED, List.of()));
+    fixture.on(new TimerFired(Timer.ENDPOINT_WATCH));
+    assertTrue(fixture.did(WatchEndpoints.class));
   }
 
-  private static PolicySettings changed(PolicySettings s, Idempotency repeatOfSafe, int attempts) {
+  private static PolicySettings withChanges(PolicySettings settings, Idempotency idempotency, int attempts) {
     List<RequestClass> classes =
-        s.requestClasses().stream()
+        settings.requestClasses().stream()
             .map(
-                c ->
-                    !c.name().equals("safe")
-                        ? c
+                requestClass ->
+                    !requestClass.name().equals("safe")
+                        ? requestClass
                         : new RequestClass(
                             "safe",
                             1,
                             0,
                             1000,
                             4000,
-                            repeatOfSafe,
+                            idempotency,
                             DeduplicationScope.ALL,
                             0,
                             false))
             .toList();
-    return changed(s, classes, attempts, s.capabilities().maxOpenRequests());
+    return withChanges(settings, classes, attempts, settings.capabilities().maxOpenRequests());
   }
 
-  private static PolicySettings changed(
-      PolicySettings s, List<RequestClass> classes, int attempts, int maxOpenRequests) {
-    Capabilities a = s.capabilities();
+  private static PolicySettings withChanges(
+      PolicySettings settings, List<RequestClass> classes, int attempts, int maxOpenRequests) {
+    Capabilities capabilities = settings.capabilities();
     return new PolicySettings(
-        s.gatewayCount(),
-        s.gatewayIndex(),
-        s.zone(),
-        s.maxRequestUnits(),
-        s.crossZonePrice(),
-        s.endpointWeightsTold(),
+        settings.gatewayCount(),
+        settings.gatewayIndex(),
+        settings.zone(),
+        settings.maxRequestUnits(),
+        settings.crossZonePrice(),
+        settings.endpointWeightsTold(),
         classes,
-        s.plans(),
+        settings.plans(),
         new Capabilities(
-            a.sharedCounter(),
-            a.counterTimeoutMs(),
-            a.cancellation(),
-            a.hedging(),
+            capabilities.sharedCounter(),
+            capabilities.counterTimeoutMs(),
+            capabilities.cancellation(),
+            capabilities.hedging(),
             attempts,
             maxOpenRequests,
-            a.retryAfter(),
-            a.maxRetryAfterMs(),
-            a.pollsDiscovery()),
-        s.rules());
-  }
-
-  /** Open requests go by the settings that they came under, later ones by the new settings. */
-  @Test
-  void openRequestsKeepTheirClassWhenSettingsChange() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "free", 1);
-    StartAttempt open = f.only(StartAttempt.class);
-    PolicySettings unsafe =
-        changed(PolicyFixture.settings(true, 2, false), Idempotency.NOT_IDEMPOTENT, 4);
-    f.on(new SettingsChanged(unsafe));
-    f.outcome(open, 0, Status.RESET, false);
-    assertTrue(f.did(StartAttempt.class), "it may execute again");
-    f.on(
+            capabilities.retryAfter(),
+            capabilities.maxRetryAfterMs(),
+            capabilities.pollsDiscovery()),
+        settings.rules());
+  }
+
+  /** Open requests use the settings under which they were received, later ones the new settings. */
+  @Test
+  void openRequestsKeepTheirRequestClassWhenSettingsChange() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("safe", "free", 1);
+    StartAttempt open = fixture.only(StartAttempt.class);
+    PolicySettings notIdempotent =
+        withChanges(PolicyFixture.settings(true, 2, false), Idempotency.NOT_IDEMPOTENT, 4);
+    fixture.on(new SettingsChanged(notIdempotent));
+    fixture.outcome(open, 0, Status.RESET, false);
+    assertTrue(fixture.did(StartAttempt.class), "a retry is allowed for the open request");
+    fixture.on(
         new RequestReceived(
-            "late", unsafe.requestClasses().get(0), "free", 42, 2, 1, f.now + 4000));
-    f.outcome(f.only(StartAttempt.class), 0, Status.RESET, false);
-    assertTrue(f.did(FailRequest.class), "that may not");
+            "late", notIdempotent.requestClasses().get(0), "free", 42, 2, 1, fixture.now + 4000));
+    fixture.outcome(fixture.only(StartAttempt.class), 0, Status.RESET, false);
+    assertTrue(fixture.did(FailRequest.class), "a retry is not allowed for the later request");
   }
 
-  /** The lower limit, of the one when the request came and the present one, breaks neither. */
+  /**
+   * The number of attempts respects both the limit at the receipt of the request and the current
+   * limit.
+   */
   @Test
-  void attemptsStayWithinBothSettings() {
-    for (int changed : new int[] {1, 9}) {
-      PolicyFixture f = PolicyFixture.counted();
-      f.request("safe", "free", 1);
-      StartAttempt open = f.only(StartAttempt.class);
-      f.on(
+  void limitsAttemptsToLowerOfOldAndNewSettings() {
+    for (int newMaxAttempts : new int[] {1, 9}) {
+      PolicyFixture fixture = PolicyFixture.counted();
+      fixture.request("safe", "free", 1);
+      StartAttempt open = fixture.only(StartAttempt.class);
+      fixture.on(
           new SettingsChanged(
-              changed(PolicyFixture.settings(true, 2, false), Idempotency.IDEMPOTENT, changed)));
+              withChanges(PolicyFixture.settings(true, 2, false), Idempotency.IDEMPOTENT, newMaxAttempts)));
       int attempts = 1;
-      for (f.outcome(open, 0, Status.NOT_SENT, false); f.did(StartAttempt.class); attempts++) {
-        f.outcome(f.only(StartAttempt.class), attempts, Status.NOT_SENT, false);
+      for (fixture.outcome(open, 0, Status.NOT_SENT, false); fixture.did(StartAttempt.class); attempts++) {
+        fixture.outcome(fixture.only(StartAttempt.class), attempts, Status.NOT_SENT, false);
       }
-      assertEquals(Math.min(4, changed), attempts);
+      assertEquals(Math.min(4, newMaxAttempts), attempts);
     }
   }
 
-  /** A customer that has used its quota has used it under new settings, too. */
+  /** New settings must not grant a fresh quota to a customer that has used up its quota. */
   @Test
-  void chargedUnitsSurviveNewSettings() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.request("safe", "rated", 4);
-    f.total(200);
-    assertTrue(f.did(RejectRequest.class));
-    f.on(
+  void keepsChargedUnitsWhenSettingsChange() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.request("safe", "rate-limited", 4);
+    fixture.counterReplies(200);
+    assertTrue(fixture.did(RejectRequest.class));
+    fixture.on(
         new SettingsChanged(
-            changed(PolicyFixture.settings(true, 2, false), Idempotency.IDEMPOTENT, 3)));
-    f.request("safe", "rated", 4);
-    assertTrue(f.did(RejectRequest.class), "without another call");
+            withChanges(PolicyFixture.settings(true, 2, false), Idempotency.IDEMPOTENT, 3)));
+    fixture.request("safe", "rate-limited", 4);
+    assertTrue(fixture.did(RejectRequest.class), "the customer is still exhausted, without another counter call");
   }
 
   /**
-   * A request that is forwarded while its body comes uses a permit only once all of it is there.
+   * A request that is forwarded while its body is being received uses a permit only once the body is
+   * complete.
    */
   @Test
-  void aRequestIsInFlightOnceItsBodyIsComplete() {
-    PolicyFixture f = PolicyFixture.counted();
-    f.on(
+  void countsForwardedRequestAsInFlightOnceItsBodyIsComplete() {
+    PolicyFixture fixture = PolicyFixture.counted();
+    fixture.on(
         new RequestReceived(
-            "large", PolicyFixture.type("safe"), "narrow", 42, 2, 1, Double.POSITIVE_INFINITY));
-    StartAttempt large = f.only(StartAttempt.class);
-    f.request("safe", "narrow", 1);
-    f.outcome(f.only(StartAttempt.class), 0, Status.OK, true);
-    f.on(new RequestBodyComplete("large", f.now + 4000));
-    f.request("safe", "narrow", 1);
-    assertTrue(f.did(RejectRequest.class), "one is in flight, which is this gateway's part");
-    f.outcome(large, 0, Status.OK, true);
-    f.request("safe", "narrow", 1);
-    assertTrue(f.did(StartAttempt.class));
+            "large", PolicyFixture.requestClass("safe"), "concurrency-limited", 42, 2, 1, Double.POSITIVE_INFINITY));
+    StartAttempt large = fixture.only(StartAttempt.class);
+    fixture.request("safe", "concurrency-limited", 1);
+    fixture.outcome(fixture.only(StartAttempt.class), 0, Status.OK, true);
+    fixture.on(new RequestBodyComplete("large", fixture.now + 4000));
+    fixture.request("safe", "concurrency-limited", 1);
+    assertTrue(fixture.did(RejectRequest.class), "one request is in flight, which is this gateway's share of the limit");
+    fixture.outcome(large, 0, Status.OK, true);
+    fixture.request("safe", "concurrency-limited", 1);
+    assertTrue(fixture.did(StartAttempt.class));
   }
 
-  /** A body that was forwarded is gone; one that never reached a backend can go to another. */
+  /**
+   * A partly forwarded body cannot be sent again; if no connection was established, nothing was sent
+   * and another backend can be used.
+   */
   @Test
-  void aForwardedBodyIsNotSentAgain() {
+  void doesNotRetryAfterBodyWasPartlyForwarded() {
     for (Status status : new Status[] {Status.CONNECT_FAILED, Status.WRITE_INCOMPLETE}) {
-      PolicyFixture f = PolicyFixture.counted();
-      f.on(
+      PolicyFixture fixture = PolicyFixture.counted();
+      fixture.on(
           new RequestReceived(
-              "large", PolicyFixture.type("safe"), "free", 42, 2, 1, Double.POSITIVE_INFINITY));
-      f.outcome(f.only(StartAttempt.class), 0, status, false);
-      assertEquals(status == Status.CONNECT_FAILED, f.did(StartAttempt.class));
-      assertEquals(status == Status.WRITE_INCOMPLETE, f.did(RejectRequest.class));
+              "large", PolicyFixture.requestClass("safe"), "free", 42, 2, 1, Double.POSITIVE_INFINITY));
+      fixture.outcome(fixture.only(StartAttempt.class), 0, status, false);
+      assertEquals(status == Status.CONNECT_FAILED, fixture.did(StartAttempt.class));
+      assertEquals(status == Status.WRITE_INCOMPLETE, fixture.did(RejectRequest.class));
     }
   }
 }
--- a/src/test/java/quotagateway/policy/HardLimitFleetTest.java
+++ b/src/test/java/quotagateway/policy/HardLimitFleetTest.java
@@ -59,8 +59,8 @@
       units = 1 + random.nextInt(4);
       gateways[i].on(
           new RequestReceived(
-              "s" + step, PolicyFixture.type("safe"), "ceiled", 42, 2, units, now + 4000));
-      answer(gateways[i], gateways[i].last, random, step % 400 < 200 ? failureShare : 0);
+              "s" + step, PolicyFixture.requestClass("safe"), "hard-limited", 42, 2, units, now + 4000));
+      answer(gateways[i], gateways[i].lastActions, random, step % 400 < 200 ? failureShare : 0);
     }
   }
 
@@ -73,7 +73,7 @@
         double total = adds ? counts.merge(a.counterName(), a.amount(), Double::sum) : 0;
         Status status = fails ? Status.TIMED_OUT : Status.OK;
         gateway.on(new CounterReplied(a.counterName(), status, total, 2));
-        answer(gateway, gateway.last, random, failureShare);
+        answer(gateway, gateway.lastActions, random, failureShare);
       } else if (action instanceof StartAttempt s) {
         recordUse(gateway.now, gateway, s);
       }
--- a/src/test/java/quotagateway/policy/PolicyFixture.java
+++ b/src/test/java/quotagateway/policy/PolicyFixture.java
@@ -26,21 +26,21 @@
 import quotagateway.policy.settings.RequestClass;
 import quotagateway.policy.settings.ServiceRules;
 
-/** A policy under test, with a clock and all the actions that it gave. */
+/** A policy under test, with a manual clock and a record of the actions that it returned. */
 public final class PolicyFixture {
 
-  static final Plan RATED = new Plan("rated", 2, 10, 0, 1, 0, 1, 0, 0, 0);
-  static final Plan HARD_LIMITED = new Plan("ceiled", 2, 10, 0, 1, 0, 1, 4, 20, 2);
-  static final Plan WIDE = new Plan("wide", 40, 100, 0, 1, 0, 1, 80, 200, 20);
-  static final Plan BROAD = new Plan("broad", 40, 100, 0, 1, 0, 1, 0, 0, 0);
-  static final Plan FREE = new Plan("free", 0, 0, 0, 1, 0, 1, 0, 0, 0);
-  static final Plan NARROW = new Plan("narrow", 0, 0, 2, 1, 0, 1, 0, 0, 0);
+  static final Plan RATE_LIMITED = new Plan("rate-limited", 2, 10, 0, 1, 0, 1, 0, 0, 0);
+  static final Plan HARD_LIMITED = new Plan("hard-limited", 2, 10, 0, 1, 0, 1, 4, 20, 2);
+  static final Plan HARD_LIMITED_LARGE = new Plan("hard-limited-large", 40, 100, 0, 1, 0, 1, 80, 200, 20);
+  static final Plan RATE_LIMITED_LARGE = new Plan("rate-limited-large", 40, 100, 0, 1, 0, 1, 0, 0, 0);
+  static final Plan UNLIMITED = new Plan("free", 0, 0, 0, 1, 0, 1, 0, 0, 0);
+  static final Plan CONCURRENCY_LIMITED = new Plan("concurrency-limited", 0, 0, 2, 1, 0, 1, 0, 0, 0);
 
   public final GatewayPolicy policy;
-  final List<Action> all = new ArrayList<>();
-  List<Action> last = List.of();
+  final List<Action> allActions = new ArrayList<>();
+  List<Action> lastActions = List.of();
   public double now;
-  private int next;
+  private int nextRequestNumber;
 
   public PolicyFixture(PolicySettings settings) {
     this(settings, 1_000_000);
@@ -49,14 +49,16 @@
   PolicyFixture(PolicySettings settings, double startMs) {
     now = startMs;
     policy = new GatewayPolicy(settings, 7 + settings.gatewayIndex());
-    take(policy.start(now));
+    recordActions(policy.start(now));
   }
 
-  public static PolicySettings settings(boolean counter, int gateways, boolean ask) {
-    return settings(counter, gateways, ask, 0);
+  public static PolicySettings settings(
+      boolean sharedCounter, int gatewayCount, boolean pollsDiscovery) {
+    return settings(sharedCounter, gatewayCount, pollsDiscovery, 0);
   }
 
-  static PolicySettings settings(boolean counter, int gateways, boolean ask, int self) {
+  static PolicySettings settings(
+      boolean sharedCounter, int gatewayCount, boolean pollsDiscovery, int gatewayIndex) {
     List<RequestClass> classes =
         List.of(
             new RequestClass(
@@ -102,22 +104,22 @@
                 0,
                 true));
     return new PolicySettings(
-        gateways,
-        self,
+        gatewayCount,
+        gatewayIndex,
         "a",
         4,
         0,
         false,
         classes,
-        List.of(RATED, HARD_LIMITED, FREE, NARROW, WIDE, BROAD),
-        new Capabilities(counter, 30, true, false, 4, 1000, true, 2000, ask),
+        List.of(RATE_LIMITED, HARD_LIMITED, UNLIMITED, CONCURRENCY_LIMITED, HARD_LIMITED_LARGE, RATE_LIMITED_LARGE),
+        new Capabilities(sharedCounter, 30, true, false, 4, 1000, true, 2000, pollsDiscovery),
         new ServiceRules(8, 0.2, 10_000, 3, 2000));
   }
 
-  /** The class of that name in the settings of these tests. */
-  static RequestClass type(String name) {
+  /** Returns the request class with the given name in the test settings, or null. */
+  static RequestClass requestClass(String name) {
     return settings(true, 2, false).requestClasses().stream()
-        .filter(c -> c.name().equals(name))
+        .filter(requestClass -> requestClass.name().equals(name))
         .findFirst()
         .orElse(null);
   }
@@ -126,22 +128,22 @@
     return new PolicyFixture(settings(true, 2, false)).backends(4);
   }
 
-  public PolicyFixture backends(int n) {
+  public PolicyFixture backends(int count) {
     List<Endpoint> entries = new ArrayList<>();
-    for (int i = 0; i < n; i++) {
+    for (int i = 0; i < count; i++) {
       entries.add(new Endpoint(i, i % 2 == 0 ? "a" : "b", i, EndpointState.SERVING, 1, 0));
     }
     return on(new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, entries));
   }
 
   public PolicyFixture on(Event event) {
-    take(policy.on(now, event));
+    recordActions(policy.on(now, event));
     return this;
   }
 
-  private void take(List<Action> actions) {
-    last = actions;
-    all.addAll(actions);
+  private void recordActions(List<Action> actions) {
+    lastActions = actions;
+    allActions.addAll(actions);
   }
 
   public PolicyFixture pass(double ms) {
@@ -149,44 +151,55 @@
     return this;
   }
 
-  /** Lets time go by, with the wake-ups of the policy. */
-  PolicyFixture run(double ms) {
-    List<Action> seen = new ArrayList<>();
+  /**
+   * Advances the clock and fires the policy's request check every 25 ms. Afterwards the last actions
+   * are all actions of that time except scheduled timers.
+   */
+  PolicyFixture runFor(double ms) {
+    List<Action> actions = new ArrayList<>();
     for (double end = now + ms; now < end; ) {
       now = Math.min(end, now + 25);
       on(new TimerFired(Timer.REQUEST_CHECK));
-      seen.addAll(last);
+      actions.addAll(lastActions);
     }
-    seen.removeIf(a -> a instanceof ScheduleTimer);
-    last = seen;
+    actions.removeIf(action -> action instanceof ScheduleTimer);
+    lastActions = actions;
     return this;
   }
 
-  public String request(String className, String plan, double units) {
-    String id = "r" + next++;
-    on(new RequestReceived(id, type(className), plan, 42, 2, units, now + 4000));
+  public String request(String className, String planName, double units) {
+    String id = "r" + nextRequestNumber++;
+    on(new RequestReceived(id, requestClass(className), planName, 42, 2, units, now + 4000));
     return id;
   }
 
-  PolicyFixture total(double total) {
+  PolicyFixture counterReplies(double total) {
     return on(new CounterReplied(lastAdd().counterName(), Status.OK, total, 2));
   }
 
-  PolicyFixture callFails(Status status) {
+  PolicyFixture counterCallFails(Status status) {
     return on(new CounterReplied(lastAdd().counterName(), status, 0, 30));
   }
 
-  public PolicyFixture outcome(StartAttempt send, int attempt, Status status, boolean over) {
+  public PolicyFixture outcome(StartAttempt start, int attempt, Status status, boolean requestFinished) {
     return on(
-        new AttemptEnded(send.requestId(), attempt, send.endpointId(), status, 50, over, 0, null));
+        new AttemptEnded(
+            start.requestId(),
+            attempt,
+            start.endpointId(),
+            status,
+            50,
+            requestFinished,
+            0,
+            null));
   }
 
-  PolicyFixture report(StartAttempt send, int attempt, double inFlight) {
+  PolicyFixture succeedWithLoad(StartAttempt start, int attempt, double inFlight) {
     return on(
         new AttemptEnded(
-            send.requestId(),
+            start.requestId(),
             attempt,
-            send.endpointId(),
+            start.endpointId(),
             Status.OK,
             50,
             true,
@@ -194,16 +207,16 @@
             new LoadReport(inFlight, 50)));
   }
 
-  IncrementCounter lastAdd() {
-    return find(all, IncrementCounter.class);
+  IncrementCounter lastIncrement() {
+    return find(allActions, IncrementCounter.class);
   }
 
   public <T extends Action> T only(Class<T> type) {
-    return find(last, type);
+    return find(lastActions, type);
   }
 
   public <T extends Action> boolean did(Class<T> type) {
-    return last.stream().anyMatch(type::isInstance);
+    return lastActions.stream().anyMatch(type::isInstance);
   }
 
   private static <T extends Action> T find(List<Action> actions, Class<T> type) {
@@ -212,6 +225,6 @@
         return type.cast(actions.get(i));
       }
     }
-    throw new AssertionError("no " + type.getSimpleName() + " in " + actions);
+    throw new AssertionError("no action " + type.getSimpleName() + " in " + actions);
   }
 }
--- a/src/test/java/quotagateway/policy/SlowStartTest.java
+++ b/src/test/java/quotagateway/policy/SlowStartTest.java
@@ -195,12 +195,12 @@
         .pass(now - gateway.now)
         .on(
             new RequestReceived(
-                id, PolicyFixture.type(type), "free", next, gateways.size(), 1, now + 4000));
+                id, PolicyFixture.requestClass(type), "free", next, gateways.size(), 1, now + 4000));
     hand(gateway);
   }
 
   private void hand(PolicyFixture gateway) {
-    for (Action a : List.copyOf(gateway.last)) {
+    for (Action a : List.copyOf(gateway.lastActions)) {
       if (a instanceof StartAttempt s) {
         take(gateway, s, backends.get((int) s.endpointId()));
       }
