--- a/src/test/java/quotagateway/policy/EmbeddingExampleTest.java
+++ b/src/test/java/quotagateway/policy/EmbeddingExampleTest.java
@@ -31,7 +31,10 @@
 import quotagateway.policy.settings.RequestClass;
 import quotagateway.policy.settings.ServiceRules;
 
-/** A policy in a loop of one's own, with a counter and a backend that reply at once. */
+/**
+ * Shows how to embed a policy in a custom event loop, with a counter and a backend that reply
+ * immediately.
+ */
 class EmbeddingExampleTest {
 
   private final Map<String, Double> counter = new HashMap<>();
@@ -39,12 +42,12 @@
   private int rejected;
 
   @Test
-  void servesWithinTheQuotaAndRejectsWhatIsOver() {
+  void servesRequestsWithinQuotaAndRejectsOthers() {
     RequestClass read =
         new RequestClass(
             "read", 1, 0, 500, 2000, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false);
     Plan basic = new Plan("basic", 2, 10, 0, 1, 0, 1, 0, 0, 0);
-    Capabilities allowed = new Capabilities(true, 30, true, false, 3, 1000, false, 0, false);
+    Capabilities capabilities = new Capabilities(true, 30, true, false, 3, 1000, false, 0, false);
     PolicySettings settings =
         new PolicySettings(
             1,
@@ -55,7 +58,7 @@
             false,
             List.of(read),
             List.of(basic),
-            allowed,
+            capabilities,
             new ServiceRules(8, 0.2, 10_000, 3, 2000));
     GatewayPolicy policy = new GatewayPolicy(settings, 1);
 
@@ -71,28 +74,28 @@
     }
     while (!events.isEmpty()) {
       for (Action action : policy.on(now, events.poll())) {
-        perform(action, events);
+        execute(action, events);
       }
     }
     assertEquals(10, served);
     assertEquals(10, rejected);
   }
 
-  private void perform(Action action, ArrayDeque<Event> events) {
-    if (action instanceof IncrementCounter a) {
-      double total = counter.merge(a.counterName(), a.amount(), Double::sum);
-      events.addFirst(new CounterReplied(a.counterName(), Status.OK, total, 1));
-    } else if (action instanceof StartAttempt s) {
+  private void execute(Action action, ArrayDeque<Event> events) {
+    if (action instanceof IncrementCounter increment) {
+      double total = counter.merge(increment.counterName(), increment.amount(), Double::sum);
+      events.addFirst(new CounterReplied(increment.counterName(), Status.OK, total, 1));
+    } else if (action instanceof StartAttempt start) {
       served++;
       events.addFirst(
-          new AttemptEnded(s.requestId(), 0, s.endpointId(), Status.OK, 20, true, 1, null));
+          new AttemptEnded(start.requestId(), 0, start.endpointId(), Status.OK, 20, true, 1, null));
     } else if (action instanceof RejectRequest || action instanceof FailRequest) {
       rejected++;
-    } else if (action instanceof ScheduleTimer w) {
+    } else if (action instanceof ScheduleTimer schedule) {
       assertEquals(
           Timer.REQUEST_CHECK,
-          w.timer(),
-          "a real gateway sets a timer here and sends TimerFired when it is due");
+          schedule.timer(),
+          "a gateway would schedule a timer here and report TimerFired when it is due");
     }
   }
 }
--- a/src/test/java/quotagateway/policy/HardLimitFleetTest.java
+++ b/src/test/java/quotagateway/policy/HardLimitFleetTest.java
@@ -15,30 +15,30 @@
 import quotagateway.policy.event.RequestReceived;
 import quotagateway.policy.event.Status;
 
-/** Several gateways against one count that fails in every way: the hard limit must hold. */
+/** Tests that two gateways together keep to a hard limit although their shared counter fails. */
 class HardLimitFleetTest {
 
-  private final Map<String, Double> counts = new HashMap<>();
+  private final Map<String, Double> counters = new HashMap<>();
   private double unitsLeft;
   private double refilledAtMs;
   private double fewestUnitsLeft;
   private int forwarded;
-  private int units;
+  private int requestUnits;
 
   @Test
-  void holdsWithFailingCallsRestartsAndEmptiedCounts() {
+  void hardLimitHoldsWithFailingCallsRestartsAndEmptiedCounters() {
     for (int seed = 0; seed < 40; seed++) {
-      play(seed);
+      simulate(seed);
       assertTrue(
           fewestUnitsLeft >= -PolicyFixture.HARD_LIMITED.hardLimitSlackUnits(),
-          "seed " + seed + ": units left: " + fewestUnitsLeft);
-      assertTrue(forwarded > 50, "seed " + seed + ": only " + forwarded + " forwarded");
+          "seed " + seed + ": fewest units left: " + fewestUnitsLeft);
+      assertTrue(forwarded > 50, "seed " + seed + ": only " + forwarded + " requests forwarded");
     }
   }
 
-  private void play(int seed) {
+  private void simulate(int seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    counts.clear();
+    counters.clear();
     unitsLeft = PolicyFixture.HARD_LIMITED.hardLimitBurstUnits();
     fewestUnitsLeft = unitsLeft;
     refilledAtMs = 1_000_000;
@@ -47,48 +47,48 @@
     double failureShare = random.nextDouble();
     for (int step = 0; step < 3000; step++) {
       double now = 1_000_000 + step * 25.0;
-      int i = random.nextInt(2);
-      if (gateways[i] == null || random.nextDouble() < 0.001) {
-        gateways[i] = new PolicyFixture(PolicyFixture.settings(true, 2, false), now);
-        gateways[i].backends(4);
+      int index = random.nextInt(2);
+      if (gateways[index] == null || random.nextDouble() < 0.001) {
+        gateways[index] = new PolicyFixture(PolicyFixture.settings(true, 2, false), now);
+        gateways[index].backends(4);
       }
       if (random.nextDouble() < 0.002) {
-        counts.clear();
+        counters.clear();
       }
-      gateways[i].now = now;
-      units = 1 + random.nextInt(4);
-      gateways[i].on(
+      gateways[index].now = now;
+      requestUnits = 1 + random.nextInt(4);
+      gateways[index].on(
           new RequestReceived(
-              "s" + step, PolicyFixture.requestClass("safe"), "hard-limited", 42, 2, units, now + 4000));
-      answer(gateways[i], gateways[i].lastActions, random, step % 400 < 200 ? failureShare : 0);
+              "s" + step, PolicyFixture.requestClass("safe"), "hard-limited", 42, 2, requestUnits, now + 4000));
+      handleActions(gateways[index], gateways[index].lastActions, random, step % 400 < 200 ? failureShare : 0);
     }
   }
 
-  private void answer(
+  private void handleActions(
       PolicyFixture gateway, List<Action> actions, SplittableRandom random, double failureShare) {
     for (Action action : actions) {
-      if (action instanceof IncrementCounter a) {
+      if (action instanceof IncrementCounter increment) {
         boolean fails = random.nextDouble() < failureShare;
         boolean adds = !fails || random.nextBoolean();
-        double total = adds ? counts.merge(a.counterName(), a.amount(), Double::sum) : 0;
+        double total = adds ? counters.merge(increment.counterName(), increment.amount(), Double::sum) : 0;
         Status status = fails ? Status.TIMED_OUT : Status.OK;
-        gateway.on(new CounterReplied(a.counterName(), status, total, 2));
-        answer(gateway, gateway.lastActions, random, failureShare);
-      } else if (action instanceof StartAttempt s) {
-        recordUse(gateway.now, gateway, s);
+        gateway.on(new CounterReplied(increment.counterName(), status, total, 2));
+        handleActions(gateway, gateway.lastActions, random, failureShare);
+      } else if (action instanceof StartAttempt start) {
+        recordForwarded(gateway.now, gateway, start);
       }
     }
   }
 
-  private void recordUse(double now, PolicyFixture gateway, StartAttempt s) {
-    double filled =
+  private void recordForwarded(double now, PolicyFixture gateway, StartAttempt start) {
+    double refilledUnits =
         unitsLeft
             + PolicyFixture.HARD_LIMITED.hardLimitUnitsPerSecond() * (now - refilledAtMs) / 1000;
-    unitsLeft = Math.min(PolicyFixture.HARD_LIMITED.hardLimitBurstUnits(), filled);
+    unitsLeft = Math.min(PolicyFixture.HARD_LIMITED.hardLimitBurstUnits(), refilledUnits);
     refilledAtMs = now;
-    unitsLeft -= units;
+    unitsLeft -= requestUnits;
     fewestUnitsLeft = Math.min(fewestUnitsLeft, unitsLeft);
     forwarded++;
-    gateway.on(new AttemptEnded(s.requestId(), 0, s.endpointId(), Status.OK, 50, true, 1, null));
+    gateway.on(new AttemptEnded(start.requestId(), 0, start.endpointId(), Status.OK, 50, true, 1, null));
   }
 }
--- a/src/test/java/quotagateway/policy/RandomEvents.java
+++ b/src/test/java/quotagateway/policy/RandomEvents.java
@@ -32,9 +32,9 @@
 import quotagateway.policy.settings.ServiceRules;
 
 /**
- * A seeded stream of events for one policy, in answer to its actions: requests, outcomes of every
- * status, counter replies, wake-ups, and endpoint lists of every form whose backends come, move,
- * drain, restart and go.
+ * Generates a seeded stream of events for one policy and responds to its actions. The stream has
+ * requests, attempt outcomes, counter replies, timers, changes of settings and endpoint lists. The
+ * backends of these lists are added, moved, drained, restarted and removed.
  */
 public final class RandomEvents {
 
@@ -64,50 +64,50 @@
           Status.CONNECT_FAILED,
           Status.WRITE_INCOMPLETE,
           Status.RESET);
-  private static final double BEGIN_MS = 1_000_000;
-  private static final double MEAN_GAP_MS = 8;
-  private static final int MIN_COLD_MS = 5_000;
-  private static final double[] SIZES = {0, 0.5, 1, 1, 1.37, 2, 4.1};
+  private static final double START_MS = 1_000_000;
+  private static final double MEAN_INTERARRIVAL_MS = 8;
+  private static final int MIN_WARM_UP_MS = 5_000;
+  private static final double[] WEIGHTS = {0, 0.5, 1, 1, 1.37, 2, 4.1};
 
-  /** Sees each event with the actions that it led to. */
+  /** Receives each event together with the resulting actions. */
   public interface Listener {
     void on(double now, Event event, List<Action> actions);
   }
 
-  private record Due(double at, long order, Event event) {}
+  private record ScheduledEvent(double atMs, long order, Event event) {}
 
   private final SplittableRandom random;
   private final GatewayPolicy policy;
   private final Listener listener;
   private final int backends;
-  private final PriorityQueue<Due> due =
+  private final PriorityQueue<ScheduledEvent> scheduledEvents =
       new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Double.compare(a.at, b.at) : Long.compare(a.order, b.order));
+          (a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
   private final TreeMap<Long, Endpoint> listed = new TreeMap<>();
   private final TreeMap<String, Integer> sent = new TreeMap<>();
   private final TreeMap<String, Boolean> open = new TreeMap<>();
   private PolicySettings settings;
-  private double now = BEGIN_MS;
+  private double now = START_MS;
   private long order;
   private int requests;
 
-  /** For a policy that the maker makes of its settings. */
+  /** Creates a stream for a policy that the factory creates from the generated settings. */
   public RandomEvents(
       long seed,
       int gateways,
       int backends,
-      Function<PolicySettings, GatewayPolicy> maker,
+      Function<PolicySettings, GatewayPolicy> policyFactory,
       Listener listener) {
     this.random = new SplittableRandom(seed);
     this.backends = backends;
     this.listener = listener;
     settings = settings(gateways, 10_000);
-    policy = maker.apply(settings);
+    policy = policyFactory.apply(settings);
   }
 
-  private static PolicySettings settings(int gateways, double coldMs) {
+  private static PolicySettings settings(int gateways, double warmUpMs) {
     PolicySettings usual = PolicyFixture.settings(true, gateways, false, 1);
-    ServiceRules rules = new ServiceRules(8, 0.2, coldMs, 3, 2000);
+    ServiceRules rules = new ServiceRules(8, 0.2, warmUpMs, 3, 2000);
     return new PolicySettings(
         gateways,
         1,
@@ -122,21 +122,21 @@
   }
 
   public void run(int events) {
-    take(policy.start(now));
-    deliver(new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, replaced()));
+    handleActions(policy.start(now));
+    deliver(new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, randomSnapshot()));
     for (int i = 0; i < events; i++) {
-      double next = now - Math.log(1 - random.nextDouble()) * MEAN_GAP_MS;
-      while (!due.isEmpty() && due.peek().at <= next) {
-        Due first = due.poll();
-        now = Math.max(now, first.at);
+      double next = now - Math.log(1 - random.nextDouble()) * MEAN_INTERARRIVAL_MS;
+      while (!scheduledEvents.isEmpty() && scheduledEvents.peek().atMs <= next) {
+        ScheduledEvent first = scheduledEvents.poll();
+        now = Math.max(now, first.atMs);
         deliver(first.event);
       }
       now = next;
       double kind = random.nextDouble();
       if (kind < 0.05) {
-        deliver(endpointsUpdated());
+        deliver(randomEndpointsUpdate());
       } else if (kind < 0.052) {
-        settings = settings(settings.gatewayCount(), MIN_COLD_MS + 5_000 * random.nextInt(4));
+        settings = settings(settings.gatewayCount(), MIN_WARM_UP_MS + 5_000 * random.nextInt(4));
         deliver(new SettingsChanged(settings));
       } else if (kind < 0.08 && !open.isEmpty()) {
         deliver(new ClientDisconnected(open.firstKey()));
@@ -147,7 +147,7 @@
   }
 
   private void request() {
-    RequestClass type =
+    RequestClass requestClass =
         settings.requestClasses().get(random.nextInt(settings.requestClasses().size()));
     Plan plan = settings.plans().get(random.nextInt(settings.plans().size()));
     String id = "r" + requests++;
@@ -155,7 +155,7 @@
     deliver(
         new RequestReceived(
             id,
-            type,
+            requestClass,
             plan.name(),
             random.nextInt(20),
             2,
@@ -163,52 +163,52 @@
             now + 500 + random.nextInt(4000)));
   }
 
-  private EndpointsUpdated endpointsUpdated() {
+  private EndpointsUpdated randomEndpointsUpdate() {
     double form = random.nextDouble();
     if (form < 0.1) {
       return new EndpointsUpdated(EndpointListForm.FAILED, List.of());
     } else if (form < 0.3) {
       return new EndpointsUpdated(
           random.nextBoolean() ? EndpointListForm.SNAPSHOT : EndpointListForm.CACHED_SNAPSHOT,
-          replaced());
+          randomSnapshot());
     }
     List<Endpoint> changed = new ArrayList<>();
     for (int i = random.nextInt(5); i >= 0; i--) {
-      changed.add(changed());
+      changed.add(randomChange());
     }
     return new EndpointsUpdated(EndpointListForm.DELTA, changed);
   }
 
-  /** A whole list, from which some are left out. */
-  private List<Endpoint> replaced() {
+  /** Returns a complete endpoint list, after removing some of the endpoints listed so far. */
+  private List<Endpoint> randomSnapshot() {
     for (int i = 0; i < backends / 4 || listed.size() < backends / 2; i++) {
-      changed();
+      randomChange();
     }
-    listed.values().removeIf(x -> x.state() == EndpointState.REMOVED || random.nextInt(20) == 0);
+    listed.values().removeIf(endpoint -> endpoint.state() == EndpointState.REMOVED || random.nextInt(20) == 0);
     return new ArrayList<>(listed.values());
   }
 
-  private Endpoint changed() {
+  private Endpoint randomChange() {
     long id = random.nextInt(backends) * 0x9E3779B97F4A7C15L;
     Endpoint old = listed.get(id);
-    boolean same = old != null && old.state() != EndpointState.REMOVED && random.nextInt(16) > 0;
-    double started = same ? old.startedMs() : startedMs();
-    EndpointState phase =
+    boolean sameIncarnation = old != null && old.state() != EndpointState.REMOVED && random.nextInt(16) > 0;
+    double startedMs = sameIncarnation ? old.startedMs() : startedMs();
+    EndpointState state =
         random.nextInt(10) < 9
             ? EndpointState.SERVING
             : NOT_SERVING.get(random.nextInt(NOT_SERVING.size()));
     String zone = old == null || random.nextInt(50) == 0 ? id % 3 == 0 ? "b" : "a" : old.zone();
     Endpoint entry =
         new Endpoint(
-            id, zone, Math.floorMod(id, 3), phase, SIZES[random.nextInt(SIZES.length)], started);
+            id, zone, Math.floorMod(id, 3), state, WEIGHTS[random.nextInt(WEIGHTS.length)], startedMs);
     listed.put(id, entry);
     return entry;
   }
 
-  /** Backends of the first list may have run for long; what comes later is new. */
+  /** Returns a random start time: backends of the first list may be old, later ones are recent. */
   private double startedMs() {
-    return now > BEGIN_MS
-        ? now - random.nextInt(MIN_COLD_MS) + 1_000
+    return now > START_MS
+        ? now - random.nextInt(MIN_WARM_UP_MS) + 1_000
         : random.nextBoolean() ? 0 : now - random.nextInt(20_000) + 1_000;
   }
 
@@ -220,37 +220,37 @@
     } else if (event instanceof AttemptEnded e && e.requestFinished()) {
       open.remove(e.requestId());
     }
-    take(actions);
+    handleActions(actions);
   }
 
-  private void take(List<Action> actions) {
+  private void handleActions(List<Action> actions) {
     for (Action action : List.copyOf(actions)) {
       if (action instanceof StartAttempt a) {
-        send(a);
+        scheduleOutcome(a);
       } else if (action instanceof IncrementCounter a) {
-        count(a);
+        scheduleCounterReply(a);
       } else if (action instanceof ScheduleTimer a) {
-        later(a.atMs() + (random.nextInt(500) == 0 ? 200 : 0), new TimerFired(a.timer()));
+        schedule(a.atMs() + (random.nextInt(500) == 0 ? 200 : 0), new TimerFired(a.timer()));
       } else if (action instanceof RejectRequest a) {
         open.remove(a.requestId());
       } else if (action instanceof FailRequest a) {
         open.remove(a.requestId());
       } else if (action instanceof CancelAttempt a) {
-        later(
+        schedule(
             now,
             new AttemptEnded(a.requestId(), a.attempt(), 0, Status.CANCELLED, 0, false, 0, null));
       }
     }
   }
 
-  private void send(StartAttempt a) {
+  private void scheduleOutcome(StartAttempt a) {
     int attempt = sent.merge(a.requestId(), 1, Integer::sum) - 1;
     Status status = OUTCOMES[random.nextInt(OUTCOMES.length)];
     double latency =
         Math.min(a.timeoutMs(), 10 + random.nextInt(status == Status.TIMED_OUT ? 3000 : 150));
     LoadReport load =
         random.nextBoolean() ? null : new LoadReport(random.nextInt(20), 20 + random.nextInt(100));
-    later(
+    schedule(
         now + latency,
         new AttemptEnded(
             a.requestId(),
@@ -263,15 +263,15 @@
             load));
   }
 
-  private void count(IncrementCounter a) {
+  private void scheduleCounterReply(IncrementCounter a) {
     Status status =
         random.nextInt(30) > 0
             ? Status.OK
             : CALL_FAILURES.get(random.nextInt(CALL_FAILURES.size()));
-    later(now + 2, new CounterReplied(a.counterName(), status, random.nextInt(60), 2));
+    schedule(now + 2, new CounterReplied(a.counterName(), status, random.nextInt(60), 2));
   }
 
-  private void later(double at, Event event) {
-    due.add(new Due(at, order++, event));
+  private void schedule(double atMs, Event event) {
+    scheduledEvents.add(new ScheduledEvent(atMs, order++, event));
   }
 }
--- a/src/test/java/quotagateway/policy/SlowStartTest.java
+++ b/src/test/java/quotagateway/policy/SlowStartTest.java
@@ -30,9 +30,10 @@
 import quotagateway.policy.settings.ServiceRules;
 
 /**
- * A simulated fleet of gateways before backends of one core each, some of which restart. A cold
- * backend falls when all gateways together send it more than N + 2 sqrt(N) + 2 requests within the
- * span of the rules, N being the tip multiple of what it can do in that span.
+ * Tests slow start with a simulated fleet of gateways and with backends of one core each, some of
+ * which restart. A cold backend fails if all gateways together send it more than N + 2 sqrt(N) + 2
+ * requests within the overload window, where N is the overload multiple times the number of requests
+ * that the backend can serve in that window.
  */
 class SlowStartTest {
 
@@ -41,64 +42,64 @@
   private static final double WARM_UP_MS = 10_000;
   private static final ServiceRules USUAL = PolicyFixture.settings(true, 1, false).rules();
 
-  /** A short span and a long way to warm: gateways could save up more than a span bears. */
+  /**
+   * Rules with a short overload window and a long warm-up, under which gateways could save up more
+   * requests than a cold backend can accept within one window.
+   */
   private static final ServiceRules SLOW_TO_WARM = new ServiceRules(8, 0.1, 60_000, 2, 1_000);
 
-  /** A backend that works on one request at a time. */
+  /** A backend that processes one request at a time. */
   private static final class SimulatedBackend {
-    final ArrayDeque<Double> sentWithinSpan = new ArrayDeque<>();
+    final ArrayDeque<Double> sentWithinWindow = new ArrayDeque<>();
     double startedMs;
     double freeAt;
     double highestShareOfBound;
   }
 
-  private record Answer(double at, PolicyFixture gateway, AttemptEnded outcome) {}
+  private record PendingOutcome(double at, PolicyFixture gateway, AttemptEnded outcome) {}
 
   private ServiceRules rules = USUAL;
   private double load;
   private final SplittableRandom random = new SplittableRandom(5);
   private final List<PolicyFixture> gateways = new ArrayList<>();
   private final List<SimulatedBackend> backends = new ArrayList<>();
-  private final PriorityQueue<Answer> answers =
+  private final PriorityQueue<PendingOutcome> pendingOutcomes =
       new PriorityQueue<>((a, b) -> Double.compare(a.at(), b.at()));
   private final Map<String, Integer> attempts = new HashMap<>();
   private double now = 1_000_000;
-  private double due;
+  private double dueRequests;
   private int requests;
-  private int next;
+  private int requestNumber;
   private int served;
 
-  /**
-   * What the scenarios vary: the first gateway's part of the traffic, their restarts, class,
-   * errors.
-   */
-  private double partOfFirst;
+  /** Probability that a request goes to the first gateway instead of a randomly drawn one. */
+  private double firstGatewayShare;
 
   private double restartsPerSecond;
-  private String type = "safe";
-  private double errors;
+  private String requestClass = "safe";
+  private double errorShare;
 
-  /** A fleet of so many gateways, which uses two thirds of what its backends can do. */
-  private void fleet(int size, int number) {
-    load = number * 1000 / SERVICE_MS * 2 / 3;
-    for (int i = 0; i < number; i++) {
+  /** Creates gateways and backends, and sets the load to two thirds of the backends' capacity. */
+  private void createFleet(int gatewayCount, int backendCount) {
+    load = backendCount * 1000 / SERVICE_MS * 2 / 3;
+    for (int i = 0; i < backendCount; i++) {
       backends.add(new SimulatedBackend());
     }
-    for (int i = 0; i < size; i++) {
-      gateways.add(gateway(i, size));
+    for (int i = 0; i < gatewayCount; i++) {
+      gateways.add(createGateway(i, gatewayCount));
     }
   }
 
-  private PolicyFixture gateway(int number, int size) {
-    PolicyFixture gateway = new PolicyFixture(settings(size, number), now);
+  private PolicyFixture createGateway(int index, int gatewayCount) {
+    PolicyFixture gateway = new PolicyFixture(settings(gatewayCount, index), now);
     return gateway.on(new EndpointsUpdated(EndpointListForm.CACHED_SNAPSHOT, entries()));
   }
 
-  private PolicySettings settings(int size, int number) {
-    PolicySettings s = PolicyFixture.settings(true, size, false, number);
+  private PolicySettings settings(int gatewayCount, int gatewayIndex) {
+    PolicySettings s = PolicyFixture.settings(true, gatewayCount, false, gatewayIndex);
     return new PolicySettings(
-        size,
-        number,
+        gatewayCount,
+        gatewayIndex,
         s.zone(),
         s.maxRequestUnits(),
         s.crossZonePrice(),
@@ -124,16 +125,16 @@
     return entries;
   }
 
-  /** These backends restart, which loses what they held, and all gateways are told at once. */
-  private void restart(List<Integer> numbers) {
-    numbers.forEach(
+  /** Restarts backends, which lose their requests, and informs all gateways immediately. */
+  private void restartBackends(List<Integer> indices) {
+    indices.forEach(
         i -> {
           backends.get(i).startedMs = now;
           backends.get(i).freeAt = now;
         });
-    List<Answer> lost =
-        answers.stream().filter(a -> numbers.contains((int) a.outcome().endpointId())).toList();
-    answers.removeAll(lost);
+    List<PendingOutcome> lost =
+        pendingOutcomes.stream().filter(a -> indices.contains((int) a.outcome().endpointId())).toList();
+    pendingOutcomes.removeAll(lost);
     gateways.forEach(
         g -> g.pass(now - g.now).on(new EndpointsUpdated(EndpointListForm.SNAPSHOT, entries())));
     lost.forEach(
@@ -150,125 +151,129 @@
                       false,
                       0,
                       null));
-          hand(a.gateway());
+          handleActions(a.gateway());
         });
   }
 
-  /** Lets time go by; the load is in requests a second, by the time since the begin. */
-  private void run(double ms, DoubleUnaryOperator load) {
+  /** Runs the simulation; the load maps the time since the start of the run to requests a second. */
+  private void simulate(double ms, DoubleUnaryOperator load) {
     double begin = now;
     while (now < begin + ms) {
       now += STEP_MS;
-      while (!answers.isEmpty() && answers.peek().at() <= now) {
-        Answer a = answers.poll();
-        served += a.outcome().requestFinished() ? 1 : 0;
-        a.gateway().pass(now - a.gateway().now).on(a.outcome());
-        hand(a.gateway());
+      while (!pendingOutcomes.isEmpty() && pendingOutcomes.peek().at() <= now) {
+        PendingOutcome pending = pendingOutcomes.poll();
+        served += pending.outcome().requestFinished() ? 1 : 0;
+        pending.gateway().pass(now - pending.gateway().now).on(pending.outcome());
+        handleActions(pending.gateway());
       }
       if (random.nextDouble() < restartsPerSecond * STEP_MS / 1000) {
         restartGateway(random.nextInt(gateways.size()));
       }
-      for (due += load.applyAsDouble(now - begin) * STEP_MS / 1000; due >= 1; due--) {
-        boolean first = random.nextDouble() < partOfFirst;
-        request(gateways.get(first ? 0 : random.nextInt(gateways.size())));
+      for (dueRequests += load.applyAsDouble(now - begin) * STEP_MS / 1000; dueRequests >= 1; dueRequests--) {
+        boolean useFirst = random.nextDouble() < firstGatewayShare;
+        request(gateways.get(useFirst ? 0 : random.nextInt(gateways.size())));
       }
       for (PolicyFixture g : gateways) {
         if (now - begin >= 25 && (now - begin) % 25 < STEP_MS) {
           g.pass(now - g.now).on(new TimerFired(Timer.REQUEST_CHECK));
-          hand(g);
+          handleActions(g);
         }
       }
     }
   }
 
-  /** It forgets all; its clients hear nothing of what it held. */
-  private void restartGateway(int number) {
-    PolicyFixture before = gateways.get(number);
-    answers.removeIf(a -> a.gateway() == before);
-    gateways.set(number, gateway(number, gateways.size()));
+  /** Restarts a gateway, which loses its state; clients get no response to its open requests. */
+  private void restartGateway(int index) {
+    PolicyFixture before = gateways.get(index);
+    pendingOutcomes.removeIf(a -> a.gateway() == before);
+    gateways.set(index, createGateway(index, gateways.size()));
   }
 
   private void request(PolicyFixture gateway) {
-    String id = "q" + next++;
+    String id = "q" + requestNumber++;
     requests++;
     gateway
         .pass(now - gateway.now)
         .on(
             new RequestReceived(
-                id, PolicyFixture.requestClass(type), "free", next, gateways.size(), 1, now + 4000));
-    hand(gateway);
+                id, PolicyFixture.requestClass(requestClass), "free", requestNumber, gateways.size(), 1, now + 4000));
+    handleActions(gateway);
   }
 
-  private void hand(PolicyFixture gateway) {
-    for (Action a : List.copyOf(gateway.lastActions)) {
-      if (a instanceof StartAttempt s) {
-        take(gateway, s, backends.get((int) s.endpointId()));
+  private void handleActions(PolicyFixture gateway) {
+    for (Action action : List.copyOf(gateway.lastActions)) {
+      if (action instanceof StartAttempt start) {
+        serve(gateway, start, backends.get((int) start.endpointId()));
       }
     }
   }
 
-  private void take(PolicyFixture gateway, StartAttempt send, SimulatedBackend b) {
-    int attempt = attempts.merge(send.requestId(), 1, Integer::sum) - 1;
-    double share = share(b);
-    if (b.startedMs > 0) {
-      count(b, share);
+  private void serve(PolicyFixture gateway, StartAttempt start, SimulatedBackend backend) {
+    int attempt = attempts.merge(start.requestId(), 1, Integer::sum) - 1;
+    double capacityShare = capacityShare(backend);
+    if (backend.startedMs > 0) {
+      recordSent(backend, capacityShare);
     }
-    b.freeAt = Math.max(now, b.freeAt) + SERVICE_MS / share;
-    boolean fails = random.nextDouble() < errors;
-    answers.add(
-        new Answer(
-            b.freeAt,
+    backend.freeAt = Math.max(now, backend.freeAt) + SERVICE_MS / capacityShare;
+    boolean fails = random.nextDouble() < errorShare;
+    pendingOutcomes.add(
+        new PendingOutcome(
+            backend.freeAt,
             gateway,
             new AttemptEnded(
-                send.requestId(),
+                start.requestId(),
                 attempt,
-                send.endpointId(),
+                start.endpointId(),
                 fails ? Status.ERROR : Status.OK,
-                b.freeAt - now,
+                backend.freeAt - now,
                 !fails,
                 0,
-                new LoadReport((b.freeAt - now) * share / SERVICE_MS, SERVICE_MS / share))));
+                new LoadReport(
+                    (backend.freeAt - now) * capacityShare / SERVICE_MS,
+                    SERVICE_MS / capacityShare))));
   }
 
-  private double share(SimulatedBackend b) {
-    return b.startedMs == 0
+  private double capacityShare(SimulatedBackend backend) {
+    return backend.startedMs == 0
         ? 1
         : Math.min(
             1,
             rules.warmUpInitialShare()
-                + (1 - rules.warmUpInitialShare()) * (now - b.startedMs) / rules.warmUpMs());
+                + (1 - rules.warmUpInitialShare()) * (now - backend.startedMs) / rules.warmUpMs());
   }
 
-  private void count(SimulatedBackend b, double share) {
-    b.sentWithinSpan.add(now);
-    while (b.sentWithinSpan.peek() <= now - rules.overloadWindowMs()) {
-      b.sentWithinSpan.poll();
+  private void recordSent(SimulatedBackend backend, double capacityShare) {
+    backend.sentWithinWindow.add(now);
+    while (backend.sentWithinWindow.peek() <= now - rules.overloadWindowMs()) {
+      backend.sentWithinWindow.poll();
     }
-    double allowed = rules.overloadMultiple() * share * rules.overloadWindowMs() / SERVICE_MS;
+    double allowed = rules.overloadMultiple() * capacityShare * rules.overloadWindowMs() / SERVICE_MS;
     double bound = allowed + 2 * Math.sqrt(allowed) + 2;
-    if (share < 1) {
-      b.highestShareOfBound = Math.max(b.highestShareOfBound, b.sentWithinSpan.size() / bound);
+    if (capacityShare < 1) {
+      backend.highestShareOfBound =
+          Math.max(backend.highestShareOfBound, backend.sentWithinWindow.size() / bound);
     }
   }
 
   /**
-   * So many of its backends restart; what they bear must hold, and so much of the requests be
-   * served.
+   * Restarts backends and asserts that none of them is overloaded and that at least the given
+   * fraction of the requests is served.
    */
-  private void assertNoneFalls(int size, int cold, double leastServed, DoubleUnaryOperator load) {
-    run(WARM_UP_MS, t -> this.load);
+  private void assertNoOverload(
+      int gatewayCount, int coldBackends, double minServedShare, DoubleUnaryOperator load) {
+    simulate(WARM_UP_MS, t -> this.load);
     requests = 0;
     served = 0;
-    restart(IntStream.range(0, cold).boxed().toList());
-    run(Math.min(rules.warmUpMs(), 20_000), load);
-    String fleet = size + " gateways, " + cold + " cold of " + backends.size() + ": ";
-    double highest = backends.stream().mapToDouble(b -> b.highestShareOfBound).max().orElse(0);
-    double part = served / (double) requests;
-    assertTrue(highest > 0 && highest <= 1, fleet + highest + " of what a cold backend bears");
-    assertTrue(part >= leastServed, fleet + part + " served");
+    restartBackends(IntStream.range(0, coldBackends).boxed().toList());
+    simulate(Math.min(rules.warmUpMs(), 20_000), load);
+    String fleet = gatewayCount + " gateways, " + coldBackends + " cold backends of " + backends.size() + ": ";
+    double highest = backends.stream().mapToDouble(backend -> backend.highestShareOfBound).max().orElse(0);
+    double servedShare = served / (double) requests;
+    assertTrue(highest > 0 && highest <= 1, fleet + highest + " of the load that a cold backend withstands");
+    assertTrue(servedShare >= minServedShare, fleet + servedShare + " of the requests served");
   }
 
-  // Guards against an allowance of each gateway that is harmless alone and too much in all.
+  /** Guards against an allowance that is harmless for one gateway but too high over the fleet. */
   @ParameterizedTest
   @CsvSource({
     "20, 1, 0.9",
@@ -280,13 +285,15 @@
     "20, 20, 0.4",
     "30, 20, 0.4"
   })
-  void bearsWhatAFleetSends(int size, int cold, double leastServed) {
-    fleet(size, 20);
-    assertNoneFalls(size, cold, leastServed, t -> load);
+  void fleetDoesNotOverloadColdBackends(int gatewayCount, int coldBackends, double minServedShare) {
+    createFleet(gatewayCount, 20);
+    assertNoOverload(gatewayCount, coldBackends, minServedShare, t -> load);
   }
 
-  // Guards the same where one gateway has four fifths of the traffic: the others' parts are not its
-  // own.
+  /**
+   * Guards against overload if one gateway gets about four fifths of the traffic and must not use the
+   * other gateways' shares of the allowance.
+   */
   @ParameterizedTest
   @CsvSource({
     "20, 1, 0.75",
@@ -296,40 +303,46 @@
     "20, 19, 0.4",
     "30, 19, 0.4"
   })
-  void bearsWhatAFleetWithUnevenTrafficSends(int size, int cold, double leastServed) {
-    partOfFirst = 0.8;
-    fleet(size, 20);
-    assertNoneFalls(size, cold, leastServed, t -> load);
+  void fleetWithUnevenTrafficDoesNotOverloadColdBackends(int gatewayCount, int coldBackends, double minServedShare) {
+    firstGatewayShare = 0.8;
+    createFleet(gatewayCount, 20);
+    assertNoOverload(gatewayCount, coldBackends, minServedShare, t -> load);
   }
 
-  // Guards the same where each gateway restarts every four seconds or so, and forgets what it has
-  // sent.
+  /**
+   * Guards against overload if each gateway restarts about every four seconds and loses its record of
+   * sent requests.
+   */
   @ParameterizedTest
   @ValueSource(ints = {20, 30})
-  void bearsWhatGatewaysSendThatForget(int size) {
-    restartsPerSecond = size / 4.0;
-    fleet(size, 20);
-    assertNoneFalls(size, 10, 0.5, t -> load);
+  void restartingGatewaysDoNotOverloadColdBackends(int gatewayCount) {
+    restartsPerSecond = gatewayCount / 4.0;
+    createFleet(gatewayCount, 20);
+    assertNoOverload(gatewayCount, 10, 0.5, t -> load);
   }
 
-  // Guards repeats that must stay in one cell, where only cold backends are left; one in five
-  // fails.
+  /**
+   * Guards against overload by retries that must stay in one cell or zone in which other backends
+   * are cold, too. One attempt in five fails.
+   */
   @ParameterizedTest
   @CsvSource({"20, cell", "30, cell", "20, zone", "30, zone"})
-  void bearsRepeatsThatMayGoNowhereElse(int size, String type) {
-    this.type = type;
-    errors = 0.2;
-    fleet(size, 20);
-    assertNoneFalls(size, 8, 0.6, t -> load);
+  void retriesBoundToColdBackendsDoNotOverloadThem(int gatewayCount, String requestClass) {
+    this.requestClass = requestClass;
+    errorShare = 0.2;
+    createFleet(gatewayCount, 20);
+    assertNoOverload(gatewayCount, 8, 0.6, t -> load);
   }
 
-  // Guards against tokens that every gateway has saved in a quiet time, and uses in the same
-  // moment.
+  /**
+   * Guards against overload by tokens that all gateways accumulate under low traffic and then use at
+   * the same moment.
+   */
   @ParameterizedTest
   @ValueSource(ints = {20, 30, 100})
-  void bearsABurstAfterAQuietTime(int size) {
+  void burstAfterLowTrafficDoesNotOverloadColdBackends(int gatewayCount) {
     rules = SLOW_TO_WARM;
-    fleet(size, 6);
-    assertNoneFalls(size, 6, 0.1, t -> t < 15_000 ? 2 : 3 * load);
+    createFleet(gatewayCount, 6);
+    assertNoOverload(gatewayCount, 6, 0.1, t -> t < 15_000 ? 2 : 3 * load);
   }
 }
--- a/src/test/java/quotagateway/policy/WakeUpTimerTest.java
+++ b/src/test/java/quotagateway/policy/WakeUpTimerTest.java
@@ -6,13 +6,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A wake-up that is long overdue shows that the gateway stood still. */
+/** Tests the detection of gateway stalls from overdue wake-ups. */
 class WakeUpTimerTest {
 
   private final WakeUpTimer timer = new WakeUpTimer();
 
   @Test
-  void aWakeUpAHundredMillisecondsLateIsNoStall() {
+  void wakeUpThatIsHundredMillisecondsLateIsNoStall() {
     timer.schedule(1_000);
     timer.detectStall(1_100);
     assertFalse(timer.isStalled(1_100));
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void aLaterOneIsAStallUntilTheNextEvent() {
+  void laterWakeUpIsStallUntilNextEvent() {
     timer.schedule(1_000);
     timer.detectStall(1_300);
     assertTrue(timer.isStalled(1_300));
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void onlyTheTimeOverdueCountsAndOnlySinceTheGivenTime() {
+  void countsOverdueTimeSinceGivenTime() {
     timer.schedule(1_000);
     timer.detectStall(1_300);
     assertEquals(300, timer.stalledMsSince(500));
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void aWakeUpThatIsNotDueIsNone() {
+  void wakeUpIsDueFromItsScheduledTime() {
     timer.schedule(1_000);
     assertFalse(timer.isDue(999));
     assertTrue(timer.isDue(1_000));
