--- a/src/test/java/quotagateway/policy/RandomEvents.java
+++ b/src/test/java/quotagateway/policy/RandomEvents.java
@@ -33,8 +33,8 @@
 
 /**
  * Generates a seeded stream of events for one policy and responds to its actions. The stream has
- * requests, attempt outcomes, counter replies, timers, changes of settings and endpoint lists. The
- * backends of these lists are added, moved, drained, restarted and removed.
+ * requests, client disconnections, attempt outcomes of every status, counter replies, timers, changes
+ * of settings, and endpoint lists whose backends are added, moved, drained, restarted and removed.
  */
 public final class RandomEvents {
 
--- a/src/test/java/quotagateway/policy/SlowStartTest.java
+++ b/src/test/java/quotagateway/policy/SlowStartTest.java
@@ -133,7 +133,7 @@
           backends.get(i).freeAt = now;
         });
     List<PendingOutcome> lost =
-        pendingOutcomes.stream().filter(a -> indices.contains((int) a.outcome().endpointId())).toList();
+        pendingOutcomes.stream().filter(pending -> indices.contains((int) pending.outcome().endpointId())).toList();
     pendingOutcomes.removeAll(lost);
     gateways.forEach(
         g -> g.pass(now - g.now).on(new EndpointsUpdated(EndpointListForm.SNAPSHOT, entries())));
@@ -185,7 +185,7 @@
   /** Restarts a gateway, which loses its state; clients get no response to its open requests. */
   private void restartGateway(int index) {
     PolicyFixture before = gateways.get(index);
-    pendingOutcomes.removeIf(a -> a.gateway() == before);
+    pendingOutcomes.removeIf(pending -> pending.gateway() == before);
     gateways.set(index, createGateway(index, gateways.size()));
   }
 
@@ -322,8 +322,8 @@
   }
 
   /**
-   * Guards against overload by retries that must stay in one cell or zone in which other backends
-   * are cold, too. One attempt in five fails.
+   * Guards against overload by retries that must stay in the cell or zone of an earlier attempt. Some
+   * cells have only cold backends, and one attempt in five fails.
    */
   @ParameterizedTest
   @CsvSource({"20, cell", "30, cell", "20, zone", "30, zone"})
