--- a/src/test/java/quotagateway/policy/GatewayPolicyTest.java
+++ b/src/test/java/quotagateway/policy/GatewayPolicyTest.java
@@ -106,7 +106,7 @@
         fixture.outcome(start, 0, Status.OK, true);
       }
     }
-    throw new AssertionError("window did not change after " + sent + " attempts");
+    throw new AssertionError("counter window did not change; attempts sent: " + sent);
   }
 
   /**
@@ -149,7 +149,7 @@
     PolicyFixture fixture = PolicyFixture.counted();
     for (int i = 0; i < 20; i++) {
       fixture.pass(100).request("safe", "rate-limited-large", 1);
-      assertTrue(fixture.did(IncrementCounter.class), "no counter call for request " + i);
+      assertTrue(fixture.did(IncrementCounter.class), "request " + i + " does not call the counter");
       fixture.counterCallFails(Status.RESET).counterReplies(i);
       fixture.outcome(fixture.only(StartAttempt.class), 0, Status.OK, true);
     }
--- a/src/test/java/quotagateway/policy/PolicyFixture.java
+++ b/src/test/java/quotagateway/policy/PolicyFixture.java
@@ -174,11 +174,11 @@
   }
 
   PolicyFixture counterReplies(double total) {
-    return on(new CounterReplied(lastAdd().counterName(), Status.OK, total, 2));
+    return on(new CounterReplied(lastIncrement().counterName(), Status.OK, total, 2));
   }
 
   PolicyFixture counterCallFails(Status status) {
-    return on(new CounterReplied(lastAdd().counterName(), status, 0, 30));
+    return on(new CounterReplied(lastIncrement().counterName(), status, 0, 30));
   }
 
   public PolicyFixture outcome(StartAttempt start, int attempt, Status status, boolean requestFinished) {
