--- a/src/main/java/quotagateway/policy/GatewayPolicy.java
+++ b/src/main/java/quotagateway/policy/GatewayPolicy.java
@@ -40,20 +40,13 @@
 import quotagateway.policy.settings.RequestClass;
 
 /**
- * Makes all decisions of one gateway. The policy maps each event to the actions that follow from
- * it, in the order in which the gateway executes them.
+ * Makes all decisions of one gateway: maps each event to actions, in the order of their execution.
  *
- * <p>Each request passes these checks, in this order:
- *
- * <ol>
- *   <li>enough time remains, the limit on open requests is not exceeded, and the backends are not
- *       overloaded ({@link LoadShedder});
- *   <li>the request is within its customer's quota ({@link QuotaLimiter});
- *   <li>a backend can serve it ({@link BackendRouter});
- *   <li>after a failed attempt, another attempt is allowed ({@link RetryPolicy}).
- * </ol>
- *
- * <p>Each request gets one final response: a backend's response, a rejection, or a failure.
+ * <p>The policy first checks that enough time remains, that the limit on open requests is not
+ * exceeded and that the backends are not overloaded ({@link LoadShedder}), then the customer's
+ * quota ({@link QuotaLimiter}). {@link BackendRouter} then selects a backend, and {@link
+ * RetryPolicy} decides whether another attempt follows a failed one. Each request gets one final
+ * response: a backend's response, a rejection, or a failure.
  *
  * <p>This class is longer than others so that the order of all checks on a request is visible in
  * one place; the checks themselves are implemented in other classes.
@@ -78,10 +71,7 @@
    */
   private static final double MAX_COUNTER_WAIT_PER_OBJECTIVE = 0.06;
 
-  /**
-   * Longest time from receipt that a request waits for a usable backend, as a fraction of its
-   * latency objective.
-   */
+  /** Longest wait for a usable backend, from receipt, as a fraction of the latency objective. */
   private static final double MAX_BACKEND_WAIT_PER_OBJECTIVE = 0.4;
 
   private final DecisionContext context;
@@ -94,10 +84,7 @@
   private final WakeUpTimer wakeUpTimer = new WakeUpTimer();
   private final OpenRequests openRequests;
 
-  /**
-   * Requests by their attempts in progress. A request whose client has disconnected stays here
-   * until its attempt ends, although it is no longer open.
-   */
+  /** Requests by attempt in progress, including requests that a disconnection has closed. */
   private final Map<AttemptKey, OpenRequest> requestsByAttempt = new HashMap<>();
 
   /**
@@ -252,10 +239,7 @@
 
   // ---- Attempts ----
 
-  /**
-   * Starts an attempt. If no backend is usable, the request waits for one while enough time remains
-   * for another check.
-   */
+  /** Starts an attempt, or waits for a usable backend if time remains for another check. */
   private void forward(OpenRequest request) {
     BackendStatus backend = router.select(request.routing, request.latencyObjectiveMs());
     request.awaitingBackend = backend == null && !isLastCheck(request);
@@ -289,8 +273,8 @@
   }
 
   /**
-   * Starts the request's and its attempt's time: a backend starts to work on a request only when the
-   * body is complete, so the time before does not count as latency.
+   * Starts the request's and its attempt's time: a backend starts to work on a request only when
+   * the body is complete, so the time before does not count as latency.
    */
   private void onRequestBodyComplete(RequestBodyComplete event) {
     OpenRequest request = openRequests.get(event.requestId());
@@ -311,10 +295,7 @@
     loadShedder.attemptStarted();
   }
 
-  /**
-   * Stops counting an attempt as load once its response starts: the backend's work is done, and the
-   * rest of the transfer depends on how fast the client reads.
-   */
+  /** Ends the attempt's load: the backend is done, and the rest depends on the client's speed. */
   private void onResponseStarted(ResponseStarted event) {
     OpenRequest request = requestsByAttempt.get(new AttemptKey(event.requestId(), event.attempt()));
     if (request != null && !request.attempts.hasResponseStarted()) {
@@ -404,10 +385,7 @@
     scheduleCheck(openRequests.isEmpty() ? IDLE_CHECK_INTERVAL_MS : CHECK_INTERVAL_MS);
   }
 
-  /**
-   * Cancels the request's attempt if it looks lost, and ends waits for the counter or for a backend
-   * that exceed their limits.
-   */
+  /** Cancels an attempt that looks lost, and ends waits that exceed their limits. */
   private void check(OpenRequest request) {
     if (request.currentAttempt != null) {
       cancelIfLost(request);
@@ -435,10 +413,7 @@
     }
   }
 
-  /**
-   * Whether a request has waited longer than the given fraction of its latency objective, or would
-   * be too late at the next check.
-   */
+  /** Whether a request's wait exceeds its limit, or the next check would be too late. */
   private boolean hasWaitedTooLong(OpenRequest request, double maxWaitPerObjective) {
     double waitedMs = context.nowMs() - request.receivedAtMs;
     return isLastCheck(request) || waitedMs > maxWaitPerObjective * request.latencyObjectiveMs();
--- a/src/main/java/quotagateway/policy/OpenRequests.java
+++ b/src/main/java/quotagateway/policy/OpenRequests.java
@@ -10,8 +10,8 @@
 
 /**
  * The requests without a final response, in order of arrival, and the operations that end them. A
- * request ends once: it is removed from this collection, its concurrency permit is released, and its
- * units are refunded if no attempt was started.
+ * request ends once: it is removed from this collection, its concurrency permit is released, and
+ * its units are refunded if no attempt was started.
  *
  * <p>Not thread-safe; confined to the policy's thread.
  */
--- a/src/main/java/quotagateway/policy/WakeUpTimer.java
+++ b/src/main/java/quotagateway/policy/WakeUpTimer.java
@@ -7,8 +7,8 @@
  * <p>A wake-up that is long overdue means that this gateway stalled: its process was stopped or got
  * no processor time. After a stall the gateway first reads what arrived during the stall, and time
  * measured across the stall is not counted against a backend or the counter. Without this, the
- * gateway would blame working backends and a working counter, which would be visible as ejections at
- * this gateway alone. The only drawback is that the check of open requests is later.
+ * gateway would blame working backends and a working counter, which would be visible as ejections
+ * at this gateway alone. The only drawback is that the check of open requests is later.
  *
  * <p>Times are event times, in milliseconds. Not thread-safe; confined to the policy's thread.
  */
--- a/src/main/java/quotagateway/policy/event/RequestReceived.java
+++ b/src/main/java/quotagateway/policy/event/RequestReceived.java
@@ -14,8 +14,8 @@
  * @param gatewaysOfCustomer number of gateways that may receive requests of this customer
  * @param units estimated units
  * @param deadlineAtMs time at which the client stops waiting; infinite while the body is incomplete
- * @param capabilities capabilities from the settings in force when the request was read; null to use
- *     those of the policy's current settings
+ * @param capabilities capabilities from the settings in force when the request was read; null to
+ *     use those of the policy's current settings
  */
 public record RequestReceived(
     String requestId,
--- a/src/main/java/quotagateway/policy/event/Status.java
+++ b/src/main/java/quotagateway/policy/event/Status.java
@@ -26,7 +26,9 @@
   /** The gateway wrote nothing, for a reason of its own. */
   NOT_SENT;
 
-  /** Whether this status proves that an attempt was not executed or a counter call added nothing. */
+  /**
+   * Whether this status proves that an attempt was not executed or a counter call added nothing.
+   */
   public boolean provesNotExecuted() {
     return this == REJECTED
         || this == CONNECT_FAILED
--- a/src/main/java/quotagateway/policy/settings/Plan.java
+++ b/src/main/java/quotagateway/policy/settings/Plan.java
@@ -11,7 +11,8 @@
  * @param priorityFactor factor by which the priority weights of request classes are multiplied
  * @param overQuotaRevenue revenue for each unit served beyond the quota
  * @param overQuotaCost cost of each unit served beyond the quota
- * @param hardLimitUnitsPerSecond refill rate of a second token bucket, which must never be overdrawn
+ * @param hardLimitUnitsPerSecond refill rate of a second token bucket, which must never be
+ *     overdrawn
  * @param hardLimitBurstUnits capacity of the second token bucket
  * @param hardLimitSlackUnits tolerance by which all gateways together may exceed the hard limit
  */
--- a/src/test/java/quotagateway/policy/EndpointUpdateTiming.java
+++ b/src/test/java/quotagateway/policy/EndpointUpdateTiming.java
@@ -64,7 +64,11 @@
     Arrays.sort(micros);
     System.out.printf(
         "%8d %24.2f %8.2f %8.1f %9.0f%n",
-        length, micros[changes / 2], micros[(int) (changes * 0.99)], micros[changes - 1], bytesPerBackend);
+        length,
+        micros[changes / 2],
+        micros[(int) (changes * 0.99)],
+        micros[changes - 1],
+        bytesPerBackend);
   }
 
   private static EndpointsUpdated change(long id, EndpointState state, double startedMs) {
--- a/src/test/java/quotagateway/policy/GatewayFleetTest.java
+++ b/src/test/java/quotagateway/policy/GatewayFleetTest.java
@@ -54,7 +54,10 @@
    * action to the simulated environment.
    */
   private void sendRequests(
-      double seconds, double perSecond, String plan, BiConsumer<PolicyFixture, Action> environment) {
+      double seconds,
+      double perSecond,
+      String plan,
+      BiConsumer<PolicyFixture, Action> environment) {
     double begin = fleet.get(0).now;
     int total = (int) (seconds * perSecond);
     for (int k = 0; k < total; k++) {
@@ -65,13 +68,20 @@
       requestedUnits.put("f" + nextRequestNumber, units);
       gateway.on(
           new RequestReceived(
-              "f" + nextRequestNumber++, PolicyFixture.requestClass("safe"), plan, 42, fleet.size(), units, now + 4000));
+              "f" + nextRequestNumber++,
+              PolicyFixture.requestClass("safe"),
+              plan,
+              42,
+              fleet.size(),
+              units,
+              now + 4000));
       handleActions(gateway, environment);
     }
     fleet.forEach(gateway -> advanceTo(gateway, begin + 1000 * seconds, environment));
   }
 
-  private void advanceTo(PolicyFixture gateway, double now, BiConsumer<PolicyFixture, Action> environment) {
+  private void advanceTo(
+      PolicyFixture gateway, double now, BiConsumer<PolicyFixture, Action> environment) {
     for (double t = gateway.now + 25; t <= now; t += 25) {
       gateway.now = t;
       gateway.on(new TimerFired(Timer.REQUEST_CHECK));
@@ -87,7 +97,10 @@
   }
 
   private void endAttempt(
-      PolicyFixture gateway, StartAttempt start, Status status, BiConsumer<PolicyFixture, Action> environment) {
+      PolicyFixture gateway,
+      StartAttempt start,
+      Status status,
+      BiConsumer<PolicyFixture, Action> environment) {
     gateway.on(
         new AttemptEnded(
             start.requestId(), 0, start.endpointId(), status, 50, status == Status.OK, 0, null));
@@ -95,8 +108,8 @@
   }
 
   /**
-   * The counter stops replying. If every gateway probed it independently, hundreds of calls a second
-   * would prevent it from recovering.
+   * The counter stops replying. If every gateway probed it independently, hundreds of calls a
+   * second would prevent it from recovering.
    */
   @Test
   void limitsFleetWideCallsToSilentCounterAndResumesThem() {
@@ -160,12 +173,14 @@
     double share = 0.2 + 0.8 * 2 / 10;
     assertTrue(
         attemptsAtRestarted[0] <= 1.5 * share * attemptsBefore / 5,
-        attemptsAtRestarted[0] + " attempts at a backend that is warming up, before its restart " + attemptsBefore / 5);
+        attemptsAtRestarted[0]
+            + " attempts at a backend that is warming up, before its restart "
+            + attemptsBefore / 5);
   }
 
   /**
-   * All backends fail after a period without failures. The retries that one gateway has saved up are
-   * few, but those of the fleet are thousands.
+   * All backends fail after a period without failures. The retries that one gateway has saved up
+   * are few, but those of the fleet are thousands.
    */
   @Test
   void limitsFleetWideRetriesWhenAllBackendsFail() {
@@ -181,7 +196,14 @@
               sent[number == 0 ? 0 : 1]++;
               gateway.on(
                   new AttemptEnded(
-                      start.requestId(), number, start.endpointId(), Status.ERROR, 5, false, 0, null));
+                      start.requestId(),
+                      number,
+                      start.endpointId(),
+                      Status.ERROR,
+                      5,
+                      false,
+                      0,
+                      null));
               handleActions(gateway, this);
             }
           }
@@ -216,9 +238,11 @@
     units[0] = 0;
     sendRequests(20, 100, "rate-limited-large", environment);
     assertTrue(
-        units[0] < 20 * PolicyFixture.RATE_LIMITED_LARGE.unitsPerSecond() * 1.3, units[0] + " units in 20 s");
+        units[0] < 20 * PolicyFixture.RATE_LIMITED_LARGE.unitsPerSecond() * 1.3,
+        units[0] + " units in 20 s");
     assertTrue(
-        units[0] > 20 * PolicyFixture.RATE_LIMITED_LARGE.unitsPerSecond() * 0.4, units[0] + " units in 20 s");
+        units[0] > 20 * PolicyFixture.RATE_LIMITED_LARGE.unitsPerSecond() * 0.4,
+        units[0] + " units in 20 s");
   }
 
   /** The concurrency limit is lower than the number of gateways, which must keep to it together. */
@@ -241,8 +265,8 @@
   private int sent;
 
   /**
-   * Returns the highest number of concurrently open requests of a customer over ten gateways, if each
-   * request takes 250 ms.
+   * Returns the highest number of concurrently open requests of a customer over ten gateways, if
+   * each request takes 250 ms.
    */
   private int maxOpenRequests(Status counter) {
     createFleet(10, 12);
@@ -275,7 +299,8 @@
         if (entry.getKey().now - startedAtMs.get(entry.getValue().requestId()) >= 250) {
           open.remove(entry);
           StartAttempt start = entry.getValue();
-          entry.getKey()
+          entry
+              .getKey()
               .on(
                   new AttemptEnded(
                       start.requestId(), 0, start.endpointId(), Status.OK, 250, true, 0, null));
@@ -288,7 +313,8 @@
 
   @Test
   void hardLimitHoldsForLargeAndSmallFleets() {
-    assertTrue(fewestHardLimitUnits(200) >= -PolicyFixture.HARD_LIMITED_LARGE.hardLimitSlackUnits());
+    assertTrue(
+        fewestHardLimitUnits(200) >= -PolicyFixture.HARD_LIMITED_LARGE.hardLimitSlackUnits());
     fleet.clear();
     assertTrue(fewestHardLimitUnits(3) >= -PolicyFixture.HARD_LIMITED_LARGE.hardLimitSlackUnits());
   }
@@ -313,7 +339,9 @@
             } else if (action instanceof StartAttempt start) {
               double refilledUnits =
                   hardLimit[0]
-                      + PolicyFixture.HARD_LIMITED_LARGE.hardLimitUnitsPerSecond() * (gateway.now - hardLimit[1]) / 1000;
+                      + PolicyFixture.HARD_LIMITED_LARGE.hardLimitUnitsPerSecond()
+                          * (gateway.now - hardLimit[1])
+                          / 1000;
               hardLimit[0] =
                   Math.min(PolicyFixture.HARD_LIMITED_LARGE.hardLimitBurstUnits(), refilledUnits)
                       - requestedUnits.get(start.requestId());
@@ -332,7 +360,9 @@
   /** Work and connections must not grow with the number of backends. */
   @Test
   void gatewayUsesSubsetOfManyBackendsAndAllOfFew() {
-    assertTrue(countUsedBackends(300, 1000) <= 40, "backends used of 1000: " + countUsedBackends(300, 1000));
+    assertTrue(
+        countUsedBackends(300, 1000) <= 40,
+        "backends used of 1000: " + countUsedBackends(300, 1000));
     assertEquals(10, countUsedBackends(3, 10));
   }
 
@@ -356,14 +386,17 @@
    */
   @Test
   void doesNotCancelOrRejectRequestsForOwnStall() {
-    PolicyFixture gateway = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(12);
+    PolicyFixture gateway =
+        new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(12);
     for (int round = 0; round < 10; round++) {
       gateway.runFor(25).request("safe", "free", 1);
       StartAttempt start = gateway.only(StartAttempt.class);
       gateway.runFor(25);
       gateway.pass(2000).on(new TimerFired(Timer.REQUEST_CHECK));
       assertFalse(gateway.did(CancelAttempt.class), "the response may not have been read yet");
-      gateway.on(new AttemptEnded(start.requestId(), 0, start.endpointId(), Status.OK, 2020, true, 0, null));
+      gateway.on(
+          new AttemptEnded(
+              start.requestId(), 0, start.endpointId(), Status.OK, 2020, true, 0, null));
       gateway.pass(1).on(new TimerFired(Timer.REQUEST_CHECK));
     }
     gateway.request("safe", "free", 1);
@@ -376,7 +409,8 @@
    */
   @Test
   void lostResponsesDoNotCountAsOverload() {
-    PolicyFixture gateway = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(12);
+    PolicyFixture gateway =
+        new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(12);
     for (int i = 0; i < 30; i++) {
       gateway.runFor(100).request("unsafe", "free", 1);
       StartAttempt lost = gateway.only(StartAttempt.class);
@@ -405,9 +439,16 @@
             () -> {
               gateway.on(
                   new RequestReceived(
-                      "x", PolicyFixture.requestClass("safe"), "rate-limited", 5, gatewaysOfCustomer, 1, gateway.now + 4000));
+                      "x",
+                      PolicyFixture.requestClass("safe"),
+                      "rate-limited",
+                      5,
+                      gatewaysOfCustomer,
+                      1,
+                      gateway.now + 4000));
               for (int i = 0; i < 500; i++) {
-                finalResponses[0] += gateway.did(RejectRequest.class) || gateway.did(FailRequest.class) ? 1 : 0;
+                finalResponses[0] +=
+                    gateway.did(RejectRequest.class) || gateway.did(FailRequest.class) ? 1 : 0;
                 if (gateway.did(StartAttempt.class)) {
                   gateway.on(
                       new AttemptEnded(
@@ -427,14 +468,16 @@
               gateway.on(new AttemptEnded("unknown request", 3, 1, Status.OK, 1, true, 0, null));
             });
         assertEquals(
-            1, finalResponses[0], gateways + " gateways, " + gatewaysOfCustomer + " gateways of the customer");
+            1,
+            finalResponses[0],
+            gateways + " gateways, " + gatewaysOfCustomer + " gateways of the customer");
       }
     }
   }
 
   /**
-   * A backend restarts before the endpoint list shows the restart. Refused connections indicate that
-   * the backend is warming up.
+   * A backend restarts before the endpoint list shows the restart. Refused connections indicate
+   * that the backend is warming up.
    */
   @Test
   void treatsBackendThatRefusesConnectionsAsWarmingUp() {
@@ -474,12 +517,13 @@
   }
 
   /**
-   * A zone becomes unreachable. Failures count for all backends of the zone, so that the gateway does
-   * not have to detect each backend separately.
+   * A zone becomes unreachable. Failures count for all backends of the zone, so that the gateway
+   * does not have to detect each backend separately.
    */
   @Test
   void avoidsUnreachableZoneAfterFewFailures() {
-    PolicyFixture gateway = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
+    PolicyFixture gateway =
+        new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
     int matching = 0;
     int all = 0;
     for (int i = 0; i < 60; i++) {
@@ -496,7 +540,8 @@
   /** If one backend of a zone fails, a gateway must not avoid the entire zone. */
   @Test
   void errorResponsesDoNotCountAgainstZone() {
-    PolicyFixture gateway = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
+    PolicyFixture gateway =
+        new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
     int matching = 0;
     for (int i = 0; i < 60; i++) {
       gateway.runFor(4_000).request("unsafe", "free", 1);
@@ -513,7 +558,8 @@
   /** If one request is slow while others in its zone are answered, the zone is reachable. */
   @Test
   void timeoutDoesNotCountAgainstZoneThatAnsweredSince() {
-    PolicyFixture gateway = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
+    PolicyFixture gateway =
+        new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
     int matching = 0;
     for (int i = 0; i < 60; i++) {
       gateway.runFor(4_000).request("unsafe", "free", 1);
@@ -534,7 +580,8 @@
   /** Responses from a few backends of a recovered zone are enough to use the entire zone again. */
   @Test
   void usesZoneSoonAfterItIsReachableAgain() {
-    PolicyFixture gateway = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
+    PolicyFixture gateway =
+        new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
     int matching = 0;
     int all = 0;
     for (int i = 0; i < 200; i++) {
@@ -547,12 +594,16 @@
       all += i % 40 >= 25 ? 1 : 0;
     }
     assertTrue(
-        matching > 0.48 * all, matching + " of " + all + " requests to the zone that has been reachable for at least 1.5 s");
+        matching > 0.48 * all,
+        matching
+            + " of "
+            + all
+            + " requests to the zone that has been reachable for at least 1.5 s");
   }
 
   /**
-   * A customer that has used its quota does not get a fresh one when its gateway restarts or when it
-   * uses another gateway.
+   * A customer that has used its quota does not get a fresh one when its gateway restarts or when
+   * it uses another gateway.
    */
   @Test
   void restartedGatewayReadsUsedQuotaFromCounter() {
@@ -575,6 +626,8 @@
     gateway.runFor(3900);
     assertEquals(
         1,
-        gateway.allActions.stream().filter(action -> action instanceof RejectRequest || action instanceof FailRequest).count());
+        gateway.allActions.stream()
+            .filter(action -> action instanceof RejectRequest || action instanceof FailRequest)
+            .count());
   }
 }
--- a/src/test/java/quotagateway/policy/GatewayPolicyTest.java
+++ b/src/test/java/quotagateway/policy/GatewayPolicyTest.java
@@ -59,7 +59,9 @@
     assertTrue(fixture.did(RejectRequest.class));
     fixture.pass(500).request("safe", "rate-limited", 1);
     assertEquals(
-        -3, fixture.only(IncrementCounter.class).amount(), "the call only reads the counter and refunds the 3 rejected units");
+        -3,
+        fixture.only(IncrementCounter.class).amount(),
+        "the call only reads the counter and refunds the 3 rejected units");
   }
 
   @Test
@@ -67,7 +69,8 @@
     PolicyFixture fixture = PolicyFixture.counted();
     fixture.request("safe", "rate-limited", 2);
     StartAttempt start = fixture.counterReplies(2).only(StartAttempt.class);
-    fixture.on(new AttemptEnded(start.requestId(), 0, start.endpointId(), Status.OK, 50, true, 4, null));
+    fixture.on(
+        new AttemptEnded(start.requestId(), 0, start.endpointId(), Status.OK, 50, true, 4, null));
     fixture.request("safe", "rate-limited", 1);
     assertEquals(1 + 2, fixture.only(IncrementCounter.class).amount());
   }
@@ -119,7 +122,9 @@
     fixture.request("safe", "rate-limited", 3);
     fixture.counterCallFails(Status.RESET);
     assertEquals(
-        0, fixture.only(IncrementCounter.class).amount(), "the amount may have been added, so the call only reads the counter");
+        0,
+        fixture.only(IncrementCounter.class).amount(),
+        "the amount may have been added, so the call only reads the counter");
     assertFalse(fixture.did(StartAttempt.class));
     fixture.counterReplies(0);
     assertTrue(fixture.did(StartAttempt.class));
@@ -149,7 +154,8 @@
     PolicyFixture fixture = PolicyFixture.counted();
     for (int i = 0; i < 20; i++) {
       fixture.pass(100).request("safe", "rate-limited-large", 1);
-      assertTrue(fixture.did(IncrementCounter.class), "request " + i + " does not call the counter");
+      assertTrue(
+          fixture.did(IncrementCounter.class), "request " + i + " does not call the counter");
       fixture.counterCallFails(Status.RESET).counterReplies(i);
       fixture.outcome(fixture.only(StartAttempt.class), 0, Status.OK, true);
     }
@@ -166,7 +172,9 @@
     fixture.runFor(500);
     fixture.request("safe", "free", 1);
     fixture.outcome(fixture.only(StartAttempt.class), 0, Status.OK, true).runFor(200);
-    assertFalse(fixture.did(CancelAttempt.class), "the answered attempt was sent too soon after the first one to show a loss");
+    assertFalse(
+        fixture.did(CancelAttempt.class),
+        "the answered attempt was sent too soon after the first one to show a loss");
     fixture.request("safe", "free", 1);
     fixture.outcome(fixture.only(StartAttempt.class), 0, Status.OK, true).runFor(25);
     assertEquals(lost, fixture.only(CancelAttempt.class).requestId());
@@ -192,8 +200,8 @@
   }
 
   /**
-   * A customer that uses more gateways than it has permits acquires each permit in a shared counter,
-   * and the gateway releases the permit however the request ends.
+   * A customer that uses more gateways than it has permits acquires each permit in a shared
+   * counter, and the gateway releases the permit however the request ends.
    */
   @Test
   void releasesConcurrencyPermitHoweverRequestEnds() {
@@ -213,11 +221,14 @@
     fixture.counterReplies(3);
     assertTrue(fixture.did(RejectRequest.class));
     assertEquals(
-        -1, fixture.only(IncrementCounter.class).amount(), "request was rejected because other requests hold all permits");
+        -1,
+        fixture.only(IncrementCounter.class).amount(),
+        "request was rejected because other requests hold all permits");
     fixture.counterReplies(0);
     String disconnected = requestWithPermit(fixture, "safe");
     fixture.on(new ClientDisconnected(disconnected));
-    assertFalse(fixture.did(IncrementCounter.class), "it is not known yet whether the permit was acquired");
+    assertFalse(
+        fixture.did(IncrementCounter.class), "it is not known yet whether the permit was acquired");
     fixture.counterReplies(1);
     assertEquals(-1, fixture.only(IncrementCounter.class).amount(), "client disconnected");
     assertFalse(fixture.did(StartAttempt.class));
@@ -244,10 +255,17 @@
 
   private static String requestWithPermit(PolicyFixture fixture, String className) {
     String id = "with permit at " + fixture.now;
-    fixture.pass(1)
+    fixture
+        .pass(1)
         .on(
             new RequestReceived(
-                id, PolicyFixture.requestClass(className), "concurrency-limited", 42, 5, 1, fixture.now + 4000));
+                id,
+                PolicyFixture.requestClass(className),
+                "concurrency-limited",
+                42,
+                5,
+                1,
+                fixture.now + 4000));
     assertEquals(1, fixture.only(IncrementCounter.class).amount());
     assertFalse(fixture.did(StartAttempt.class));
     return id;
@@ -259,7 +277,8 @@
     fixture.request("safe", "rate-limited", 4);
     assertTrue(fixture.did(StartAttempt.class));
     fixture.request("safe", "rate-limited", 4);
-    assertTrue(fixture.did(RejectRequest.class), "half of a burst of 10 covers one request of 4 units");
+    assertTrue(
+        fixture.did(RejectRequest.class), "half of a burst of 10 covers one request of 4 units");
   }
 
   @Test
@@ -267,10 +286,17 @@
     PolicyFixture fixture = PolicyFixture.counted();
     fixture.on(
         new RequestReceived(
-            "x", PolicyFixture.requestClass("no such class"), "no such plan", 9, 2, 1, fixture.now + 4000));
+            "x",
+            PolicyFixture.requestClass("no such class"),
+            "no such plan",
+            9,
+            2,
+            1,
+            fixture.now + 4000));
     StartAttempt start = fixture.counterReplies(1).only(StartAttempt.class);
     fixture.outcome(start, 0, Status.ERROR, false);
-    assertTrue(fixture.did(FailRequest.class), "a request of an unknown class must not be executed twice");
+    assertTrue(
+        fixture.did(FailRequest.class), "a request of an unknown class must not be executed twice");
   }
 
   // Quota with a failing counter
@@ -296,10 +322,17 @@
     PolicyFixture fixture = PolicyFixture.counted();
     int calls = 0;
     for (int i = 0; i < 200; i++) {
-      fixture.pass(20)
+      fixture
+          .pass(20)
           .on(
               new RequestReceived(
-                  "q" + i, PolicyFixture.requestClass("safe"), "rate-limited", 1000 + i, 2, 1, fixture.now + 4000));
+                  "q" + i,
+                  PolicyFixture.requestClass("safe"),
+                  "rate-limited",
+                  1000 + i,
+                  2,
+                  1,
+                  fixture.now + 4000));
       if (fixture.did(IncrementCounter.class)) {
         calls++;
         fixture.counterCallFails(Status.CONNECT_FAILED);
@@ -308,10 +341,17 @@
     assertTrue(calls < 40, "calls while the counter is unreachable: " + calls);
     int answered = 0;
     for (int i = 0; i < 200; i++) {
-      fixture.pass(20)
+      fixture
+          .pass(20)
           .on(
               new RequestReceived(
-                  "p" + i, PolicyFixture.requestClass("safe"), "rate-limited", 5000 + i, 2, 1, fixture.now + 4000));
+                  "p" + i,
+                  PolicyFixture.requestClass("safe"),
+                  "rate-limited",
+                  5000 + i,
+                  2,
+                  1,
+                  fixture.now + 4000));
       if (fixture.did(IncrementCounter.class)) {
         answered++;
         fixture.counterReplies(1);
@@ -371,7 +411,10 @@
     fixture.counterReplies(1);
     assertFalse(fixture.did(StartAttempt.class));
     fixture.request("safe", "rate-limited", 2);
-    assertEquals(2 - 1, fixture.only(IncrementCounter.class).amount(), "the units of the disconnected request are refunded");
+    assertEquals(
+        2 - 1,
+        fixture.only(IncrementCounter.class).amount(),
+        "the units of the disconnected request are refunded");
   }
 
   // Attempts
@@ -404,7 +447,9 @@
     fixture.pass(500).outcome(first, 0, Status.CONNECT_FAILED, false);
     StartAttempt second = fixture.only(StartAttempt.class);
     assertEquals(
-        Double.POSITIVE_INFINITY, second.maxStartDelayMs(), "the first attempt cannot have been executed");
+        Double.POSITIVE_INFINITY,
+        second.maxStartDelayMs(),
+        "the first attempt cannot have been executed");
     fixture.pass(2000).outcome(second, 1, Status.ERROR, false);
     double remainingMs = 3000 - 2000;
     assertTrue(
@@ -431,7 +476,8 @@
     StartAttempt again = fixture.only(StartAttempt.class);
     fixture.pass(3500).outcome(again, 1, Status.ERROR, false);
     assertFalse(fixture.did(StartAttempt.class), "the deduplication window has ended");
-    assertTrue(fixture.did(FailRequest.class), "a rejection would wrongly promise that a retry is safe");
+    assertTrue(
+        fixture.did(FailRequest.class), "a rejection would wrongly promise that a retry is safe");
   }
 
   @Test
@@ -441,7 +487,9 @@
     assertFalse(fixture.did(StartAttempt.class), "no backend is known");
     fixture.runFor(1000);
     assertTrue(fixture.did(RejectRequest.class));
-    fixture.on(new RequestReceived("short", PolicyFixture.requestClass("safe"), "free", 1, 2, 1, fixture.now + 5));
+    fixture.on(
+        new RequestReceived(
+            "short", PolicyFixture.requestClass("safe"), "free", 1, 2, 1, fixture.now + 5));
     assertTrue(fixture.did(RejectRequest.class), "the deadline is before the next check");
   }
 
@@ -480,7 +528,8 @@
     PolicyFixture fixture = PolicyFixture.counted();
     List<Event> events =
         List.of(
-            new RequestReceived("r", PolicyFixture.requestClass("safe"), "free", 1, 2, 1, fixture.now + 4000),
+            new RequestReceived(
+                "r", PolicyFixture.requestClass("safe"), "free", 1, 2, 1, fixture.now + 4000),
             new RequestBodyComplete("r", fixture.now + 4000),
             new CounterReplied("nothing", Status.OK, 5, 1),
             new ResponseStarted("r", 0),
@@ -548,14 +597,20 @@
     }
     assertTrue(warmingUpAttempts > 0, "the backend is never used");
     assertTrue(
-        warmingUpAttempts < allAttempts / 8, "the backend gets at least half as much as a warm one: " + warmingUpAttempts + " of " + allAttempts);
+        warmingUpAttempts < allAttempts / 8,
+        "the backend gets at least half as much as a warm one: "
+            + warmingUpAttempts
+            + " of "
+            + allAttempts);
   }
 
   @Test
   void ejectsBackendThatFailsFastAndProbesItLater() {
     PolicyFixture fixture = PolicyFixture.counted();
     int attemptsAtFailingBackend = failAttemptsAtFirstBackend(fixture, 100);
-    assertTrue(attemptsAtFailingBackend < 20, "attempts at the failing backend: " + attemptsAtFailingBackend);
+    assertTrue(
+        attemptsAtFailingBackend < 20,
+        "attempts at the failing backend: " + attemptsAtFailingBackend);
     for (int i = 0, probes = 0; probes == 0; i++) {
       assertTrue(i < 2000, "the backend is never probed");
       fixture.runFor(25).request("safe", "free", 1);
@@ -615,7 +670,9 @@
       fixture.request("safe", "free", 1);
       if (i >= 30 && fixture.did(StartAttempt.class)) {
         StartAttempt start = fixture.only(StartAttempt.class);
-        fixture.on(new AttemptEnded(start.requestId(), 0, start.endpointId(), Status.OK, 900, true, 0, null));
+        fixture.on(
+            new AttemptEnded(
+                start.requestId(), 0, start.endpointId(), Status.OK, 900, true, 0, null));
       }
     }
     fixture.request("safe", "free", 1);
@@ -628,7 +685,8 @@
    */
   @Test
   void admitsAsManyOpenRequestsAsSettingsAllow() {
-    PolicyFixture fixture = new PolicyFixture(withMaxOpen(PolicyFixture.settings(true, 2, false), 2));
+    PolicyFixture fixture =
+        new PolicyFixture(withMaxOpen(PolicyFixture.settings(true, 2, false), 2));
     fixture.backends(4);
     fixture.request("safe", "free", 1);
     fixture.request("safe", "free", 1);
@@ -651,7 +709,8 @@
     assertTrue(fixture.did(WatchEndpoints.class));
   }
 
-  private static PolicySettings withChanges(PolicySettings settings, Idempotency idempotency, int attempts) {
+  private static PolicySettings withChanges(
+      PolicySettings settings, Idempotency idempotency, int attempts) {
     List<RequestClass> classes =
         settings.requestClasses().stream()
             .map(
@@ -727,9 +786,12 @@
       StartAttempt open = fixture.only(StartAttempt.class);
       fixture.on(
           new SettingsChanged(
-              withChanges(PolicyFixture.settings(true, 2, false), Idempotency.IDEMPOTENT, newMaxAttempts)));
+              withChanges(
+                  PolicyFixture.settings(true, 2, false), Idempotency.IDEMPOTENT, newMaxAttempts)));
       int attempts = 1;
-      for (fixture.outcome(open, 0, Status.NOT_SENT, false); fixture.did(StartAttempt.class); attempts++) {
+      for (fixture.outcome(open, 0, Status.NOT_SENT, false);
+          fixture.did(StartAttempt.class);
+          attempts++) {
         fixture.outcome(fixture.only(StartAttempt.class), attempts, Status.NOT_SENT, false);
       }
       assertEquals(Math.min(4, newMaxAttempts), attempts);
@@ -747,33 +809,43 @@
         new SettingsChanged(
             withChanges(PolicyFixture.settings(true, 2, false), Idempotency.IDEMPOTENT, 3)));
     fixture.request("safe", "rate-limited", 4);
-    assertTrue(fixture.did(RejectRequest.class), "the customer is still exhausted, without another counter call");
+    assertTrue(
+        fixture.did(RejectRequest.class),
+        "the customer is still exhausted, without another counter call");
   }
 
   /**
-   * A request that is forwarded while its body is being received uses a permit only once the body is
-   * complete.
+   * A request that is forwarded while its body is being received uses a permit only once the body
+   * is complete.
    */
   @Test
   void countsForwardedRequestAsInFlightOnceItsBodyIsComplete() {
     PolicyFixture fixture = PolicyFixture.counted();
     fixture.on(
         new RequestReceived(
-            "large", PolicyFixture.requestClass("safe"), "concurrency-limited", 42, 2, 1, Double.POSITIVE_INFINITY));
+            "large",
+            PolicyFixture.requestClass("safe"),
+            "concurrency-limited",
+            42,
+            2,
+            1,
+            Double.POSITIVE_INFINITY));
     StartAttempt large = fixture.only(StartAttempt.class);
     fixture.request("safe", "concurrency-limited", 1);
     fixture.outcome(fixture.only(StartAttempt.class), 0, Status.OK, true);
     fixture.on(new RequestBodyComplete("large", fixture.now + 4000));
     fixture.request("safe", "concurrency-limited", 1);
-    assertTrue(fixture.did(RejectRequest.class), "one request is in flight, which is this gateway's share of the limit");
+    assertTrue(
+        fixture.did(RejectRequest.class),
+        "one request is in flight, which is this gateway's share of the limit");
     fixture.outcome(large, 0, Status.OK, true);
     fixture.request("safe", "concurrency-limited", 1);
     assertTrue(fixture.did(StartAttempt.class));
   }
 
   /**
-   * A partly forwarded body cannot be sent again; if no connection was established, nothing was sent
-   * and another backend can be used.
+   * A partly forwarded body cannot be sent again; if no connection was established, nothing was
+   * sent and another backend can be used.
    */
   @Test
   void doesNotRetryAfterBodyWasPartlyForwarded() {
@@ -781,7 +853,13 @@
       PolicyFixture fixture = PolicyFixture.counted();
       fixture.on(
           new RequestReceived(
-              "large", PolicyFixture.requestClass("safe"), "free", 42, 2, 1, Double.POSITIVE_INFINITY));
+              "large",
+              PolicyFixture.requestClass("safe"),
+              "free",
+              42,
+              2,
+              1,
+              Double.POSITIVE_INFINITY));
       fixture.outcome(fixture.only(StartAttempt.class), 0, status, false);
       assertEquals(status == Status.CONNECT_FAILED, fixture.did(StartAttempt.class));
       assertEquals(status == Status.WRITE_INCOMPLETE, fixture.did(RejectRequest.class));
--- a/src/test/java/quotagateway/policy/HardLimitFleetTest.java
+++ b/src/test/java/quotagateway/policy/HardLimitFleetTest.java
@@ -59,8 +59,18 @@
       requestUnits = 1 + random.nextInt(4);
       gateways[index].on(
           new RequestReceived(
-              "s" + step, PolicyFixture.requestClass("safe"), "hard-limited", 42, 2, requestUnits, now + 4000));
-      handleActions(gateways[index], gateways[index].lastActions, random, step % 400 < 200 ? failureShare : 0);
+              "s" + step,
+              PolicyFixture.requestClass("safe"),
+              "hard-limited",
+              42,
+              2,
+              requestUnits,
+              now + 4000));
+      handleActions(
+          gateways[index],
+          gateways[index].lastActions,
+          random,
+          step % 400 < 200 ? failureShare : 0);
     }
   }
 
@@ -70,7 +80,8 @@
       if (action instanceof IncrementCounter increment) {
         boolean fails = random.nextDouble() < failureShare;
         boolean adds = !fails || random.nextBoolean();
-        double total = adds ? counters.merge(increment.counterName(), increment.amount(), Double::sum) : 0;
+        double total =
+            adds ? counters.merge(increment.counterName(), increment.amount(), Double::sum) : 0;
         Status status = fails ? Status.TIMED_OUT : Status.OK;
         gateway.on(new CounterReplied(increment.counterName(), status, total, 2));
         handleActions(gateway, gateway.lastActions, random, failureShare);
@@ -89,6 +100,7 @@
     unitsLeft -= requestUnits;
     fewestUnitsLeft = Math.min(fewestUnitsLeft, unitsLeft);
     forwarded++;
-    gateway.on(new AttemptEnded(start.requestId(), 0, start.endpointId(), Status.OK, 50, true, 1, null));
+    gateway.on(
+        new AttemptEnded(start.requestId(), 0, start.endpointId(), Status.OK, 50, true, 1, null));
   }
 }
--- a/src/test/java/quotagateway/policy/PolicyFixture.java
+++ b/src/test/java/quotagateway/policy/PolicyFixture.java
@@ -31,10 +31,13 @@
 
   static final Plan RATE_LIMITED = new Plan("rate-limited", 2, 10, 0, 1, 0, 1, 0, 0, 0);
   static final Plan HARD_LIMITED = new Plan("hard-limited", 2, 10, 0, 1, 0, 1, 4, 20, 2);
-  static final Plan HARD_LIMITED_LARGE = new Plan("hard-limited-large", 40, 100, 0, 1, 0, 1, 80, 200, 20);
-  static final Plan RATE_LIMITED_LARGE = new Plan("rate-limited-large", 40, 100, 0, 1, 0, 1, 0, 0, 0);
+  static final Plan HARD_LIMITED_LARGE =
+      new Plan("hard-limited-large", 40, 100, 0, 1, 0, 1, 80, 200, 20);
+  static final Plan RATE_LIMITED_LARGE =
+      new Plan("rate-limited-large", 40, 100, 0, 1, 0, 1, 0, 0, 0);
   static final Plan UNLIMITED = new Plan("free", 0, 0, 0, 1, 0, 1, 0, 0, 0);
-  static final Plan CONCURRENCY_LIMITED = new Plan("concurrency-limited", 0, 0, 2, 1, 0, 1, 0, 0, 0);
+  static final Plan CONCURRENCY_LIMITED =
+      new Plan("concurrency-limited", 0, 0, 2, 1, 0, 1, 0, 0, 0);
 
   public final GatewayPolicy policy;
   final List<Action> allActions = new ArrayList<>();
@@ -111,7 +114,13 @@
         0,
         false,
         classes,
-        List.of(RATE_LIMITED, HARD_LIMITED, UNLIMITED, CONCURRENCY_LIMITED, HARD_LIMITED_LARGE, RATE_LIMITED_LARGE),
+        List.of(
+            RATE_LIMITED,
+            HARD_LIMITED,
+            UNLIMITED,
+            CONCURRENCY_LIMITED,
+            HARD_LIMITED_LARGE,
+            RATE_LIMITED_LARGE),
         new Capabilities(sharedCounter, 30, true, false, 4, 1000, true, 2000, pollsDiscovery),
         new ServiceRules(8, 0.2, 10_000, 3, 2000));
   }
@@ -152,8 +161,8 @@
   }
 
   /**
-   * Advances the clock and fires the policy's request check every 25 ms. Afterwards the last actions
-   * are all actions of that time except scheduled timers.
+   * Advances the clock and fires the policy's request check every 25 ms. Afterwards the last
+   * actions are all actions of that time except scheduled timers.
    */
   PolicyFixture runFor(double ms) {
     List<Action> actions = new ArrayList<>();
@@ -181,17 +190,11 @@
     return on(new CounterReplied(lastIncrement().counterName(), status, 0, 30));
   }
 
-  public PolicyFixture outcome(StartAttempt start, int attempt, Status status, boolean requestFinished) {
+  public PolicyFixture outcome(
+      StartAttempt start, int attempt, Status status, boolean requestFinished) {
     return on(
         new AttemptEnded(
-            start.requestId(),
-            attempt,
-            start.endpointId(),
-            status,
-            50,
-            requestFinished,
-            0,
-            null));
+            start.requestId(), attempt, start.endpointId(), status, 50, requestFinished, 0, null));
   }
 
   PolicyFixture succeedWithLoad(StartAttempt start, int attempt, double inFlight) {
--- a/src/test/java/quotagateway/policy/RandomEvents.java
+++ b/src/test/java/quotagateway/policy/RandomEvents.java
@@ -33,8 +33,9 @@
 
 /**
  * Generates a seeded stream of events for one policy and responds to its actions. The stream has
- * requests, client disconnections, attempt outcomes of every status, counter replies, timers, changes
- * of settings, and endpoint lists whose backends are added, moved, drained, restarted and removed.
+ * requests, client disconnections, attempt outcomes of every status, counter replies, timers,
+ * changes of settings, and endpoint lists whose backends are added, moved, drained, restarted and
+ * removed.
  */
 public final class RandomEvents {
 
@@ -82,7 +83,8 @@
   private final int backends;
   private final PriorityQueue<ScheduledEvent> scheduledEvents =
       new PriorityQueue<>(
-          (a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
+          (a, b) ->
+              a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
   private final TreeMap<Long, Endpoint> listed = new TreeMap<>();
   private final TreeMap<String, Integer> sent = new TreeMap<>();
   private final TreeMap<String, Boolean> open = new TreeMap<>();
@@ -184,14 +186,17 @@
     for (int i = 0; i < backends / 4 || listed.size() < backends / 2; i++) {
       randomChange();
     }
-    listed.values().removeIf(endpoint -> endpoint.state() == EndpointState.REMOVED || random.nextInt(20) == 0);
+    listed
+        .values()
+        .removeIf(endpoint -> endpoint.state() == EndpointState.REMOVED || random.nextInt(20) == 0);
     return new ArrayList<>(listed.values());
   }
 
   private Endpoint randomChange() {
     long id = random.nextInt(backends) * 0x9E3779B97F4A7C15L;
     Endpoint old = listed.get(id);
-    boolean sameIncarnation = old != null && old.state() != EndpointState.REMOVED && random.nextInt(16) > 0;
+    boolean sameIncarnation =
+        old != null && old.state() != EndpointState.REMOVED && random.nextInt(16) > 0;
     double startedMs = sameIncarnation ? old.startedMs() : startedMs();
     EndpointState state =
         random.nextInt(10) < 9
@@ -200,7 +205,12 @@
     String zone = old == null || random.nextInt(50) == 0 ? id % 3 == 0 ? "b" : "a" : old.zone();
     Endpoint entry =
         new Endpoint(
-            id, zone, Math.floorMod(id, 3), state, WEIGHTS[random.nextInt(WEIGHTS.length)], startedMs);
+            id,
+            zone,
+            Math.floorMod(id, 3),
+            state,
+            WEIGHTS[random.nextInt(WEIGHTS.length)],
+            startedMs);
     listed.put(id, entry);
     return entry;
   }
--- a/src/test/java/quotagateway/policy/SlowStartTest.java
+++ b/src/test/java/quotagateway/policy/SlowStartTest.java
@@ -32,8 +32,8 @@
 /**
  * Tests slow start with a simulated fleet of gateways and with backends of one core each, some of
  * which restart. A cold backend fails if all gateways together send it more than N + 2 sqrt(N) + 2
- * requests within the overload window, where N is the overload multiple times the number of requests
- * that the backend can serve in that window.
+ * requests within the overload window, where N is the overload multiple times the number of
+ * requests that the backend can serve in that window.
  */
 class SlowStartTest {
 
@@ -133,7 +133,9 @@
           backends.get(i).freeAt = now;
         });
     List<PendingOutcome> lost =
-        pendingOutcomes.stream().filter(pending -> indices.contains((int) pending.outcome().endpointId())).toList();
+        pendingOutcomes.stream()
+            .filter(pending -> indices.contains((int) pending.outcome().endpointId()))
+            .toList();
     pendingOutcomes.removeAll(lost);
     gateways.forEach(
         g -> g.pass(now - g.now).on(new EndpointsUpdated(EndpointListForm.SNAPSHOT, entries())));
@@ -155,7 +157,9 @@
         });
   }
 
-  /** Runs the simulation; the load maps the time since the start of the run to requests a second. */
+  /**
+   * Runs the simulation; the load maps the time since the start of the run to requests a second.
+   */
   private void simulate(double ms, DoubleUnaryOperator load) {
     double begin = now;
     while (now < begin + ms) {
@@ -169,7 +173,9 @@
       if (random.nextDouble() < restartsPerSecond * STEP_MS / 1000) {
         restartGateway(random.nextInt(gateways.size()));
       }
-      for (dueRequests += load.applyAsDouble(now - begin) * STEP_MS / 1000; dueRequests >= 1; dueRequests--) {
+      for (dueRequests += load.applyAsDouble(now - begin) * STEP_MS / 1000;
+          dueRequests >= 1;
+          dueRequests--) {
         boolean useFirst = random.nextDouble() < firstGatewayShare;
         request(gateways.get(useFirst ? 0 : random.nextInt(gateways.size())));
       }
@@ -196,7 +202,13 @@
         .pass(now - gateway.now)
         .on(
             new RequestReceived(
-                id, PolicyFixture.requestClass(requestClass), "free", requestNumber, gateways.size(), 1, now + 4000));
+                id,
+                PolicyFixture.requestClass(requestClass),
+                "free",
+                requestNumber,
+                gateways.size(),
+                1,
+                now + 4000));
     handleActions(gateway);
   }
 
@@ -247,7 +259,8 @@
     while (backend.sentWithinWindow.peek() <= now - rules.overloadWindowMs()) {
       backend.sentWithinWindow.poll();
     }
-    double allowed = rules.overloadMultiple() * capacityShare * rules.overloadWindowMs() / SERVICE_MS;
+    double allowed =
+        rules.overloadMultiple() * capacityShare * rules.overloadWindowMs() / SERVICE_MS;
     double bound = allowed + 2 * Math.sqrt(allowed) + 2;
     if (capacityShare < 1) {
       backend.highestShareOfBound =
@@ -266,10 +279,14 @@
     served = 0;
     restartBackends(IntStream.range(0, coldBackends).boxed().toList());
     simulate(Math.min(rules.warmUpMs(), 20_000), load);
-    String fleet = gatewayCount + " gateways, " + coldBackends + " cold backends of " + backends.size() + ": ";
-    double highest = backends.stream().mapToDouble(backend -> backend.highestShareOfBound).max().orElse(0);
+    String fleet =
+        gatewayCount + " gateways, " + coldBackends + " cold backends of " + backends.size() + ": ";
+    double highest =
+        backends.stream().mapToDouble(backend -> backend.highestShareOfBound).max().orElse(0);
     double servedShare = served / (double) requests;
-    assertTrue(highest > 0 && highest <= 1, fleet + highest + " of the load that a cold backend withstands");
+    assertTrue(
+        highest > 0 && highest <= 1,
+        fleet + highest + " of the load that a cold backend withstands");
     assertTrue(servedShare >= minServedShare, fleet + servedShare + " of the requests served");
   }
 
@@ -291,8 +308,8 @@
   }
 
   /**
-   * Guards against overload if one gateway gets about four fifths of the traffic and must not use the
-   * other gateways' shares of the allowance.
+   * Guards against overload if one gateway gets about four fifths of the traffic and must not use
+   * the other gateways' shares of the allowance.
    */
   @ParameterizedTest
   @CsvSource({
@@ -303,15 +320,16 @@
     "20, 19, 0.4",
     "30, 19, 0.4"
   })
-  void fleetWithUnevenTrafficDoesNotOverloadColdBackends(int gatewayCount, int coldBackends, double minServedShare) {
+  void fleetWithUnevenTrafficDoesNotOverloadColdBackends(
+      int gatewayCount, int coldBackends, double minServedShare) {
     firstGatewayShare = 0.8;
     createFleet(gatewayCount, 20);
     assertNoOverload(gatewayCount, coldBackends, minServedShare, t -> load);
   }
 
   /**
-   * Guards against overload if each gateway restarts about every four seconds and loses its record of
-   * sent requests.
+   * Guards against overload if each gateway restarts about every four seconds and loses its record
+   * of sent requests.
    */
   @ParameterizedTest
   @ValueSource(ints = {20, 30})
@@ -322,8 +340,8 @@
   }
 
   /**
-   * Guards against overload by retries that must stay in the cell or zone of an earlier attempt. Some
-   * cells have only cold backends, and one attempt in five fails.
+   * Guards against overload by retries that must stay in the cell or zone of an earlier attempt.
+   * Some cells have only cold backends, and one attempt in five fails.
    */
   @ParameterizedTest
   @CsvSource({"20, cell", "30, cell", "20, zone", "30, zone"})
@@ -335,8 +353,8 @@
   }
 
   /**
-   * Guards against overload by tokens that all gateways accumulate under low traffic and then use at
-   * the same moment.
+   * Guards against overload by tokens that all gateways accumulate under low traffic and then use
+   * at the same moment.
    */
   @ParameterizedTest
   @ValueSource(ints = {20, 30, 100})
