--- a/src/test/java/quotagateway/soak/Customer.java
+++ b/src/test/java/quotagateway/soak/Customer.java
@@ -1,10 +1,10 @@
 package quotagateway.soak;
 
-/** The customers that clients ask for, one of each plan. */
+/** The customers on whose behalf clients send requests, one for each plan. */
 enum Customer {
-  /** Within its quota all the time. */
+  /** A customer that stays within its quota throughout the run. */
   UNLIMITED("basic", 1),
-  /** With a hard limit that its clients press against. */
+  /** A customer with a hard limit that its clients try to exceed. */
   HARD_LIMITED("limited", 2);
 
   private final String plan;
@@ -15,7 +15,11 @@
     this.number = number;
   }
 
-  /** The headers that name it, and the gateways that its requests reach. */
+  /**
+   * Returns the headers that identify the customer and its plan, with an estimate of 1 unit.
+   *
+   * @param gateways number of gateways over which the customer's requests are spread
+   */
   String headers(int gateways) {
     return String.format(
         "X-Plan: %s\r\nX-Customer: %016x\r\nX-Quota: units=1,spread=%d,first=0\r\n",
--- a/src/test/java/quotagateway/soak/HardLimitRule.java
+++ b/src/test/java/quotagateway/soak/HardLimitRule.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * The hard limit of a customer over all gateways: a token bucket that starts full, from which each
- * request takes a unit when its first attempt begins, and that may dip below 0 by the slack alone.
+ * The hard limit of a customer over all gateways, modeled as a token bucket. The bucket starts
+ * full, each request takes one unit at the time of its first attempt, and the level may fall below
+ * 0 by at most {@link #SLACK_UNITS}.
  */
 final class HardLimitRule {
 
@@ -16,28 +17,28 @@
 
   private static final double MS_PER_SECOND = 1_000;
 
-  private final List<Double> firstAttemptsMs = new ArrayList<>();
+  private final List<Double> firstAttemptTimesMs = new ArrayList<>();
 
-  /** Takes what was seen of a request of the customer. */
-  void add(List<HistoryEvent> events) {
+  /** Adds a request of the customer, given its recorded events. */
+  void addRequest(List<HistoryEvent> events) {
     events.stream()
         .filter(HistoryEvent::isAttempt)
         .mapToDouble(HistoryEvent::timeMs)
         .min()
-        .ifPresent(firstAttemptsMs::add);
+        .ifPresent(firstAttemptTimesMs::add);
   }
 
-  /** The lowest level of the bucket, in units. */
-  double lowestLevel() {
-    Collections.sort(firstAttemptsMs);
+  /** Returns the lowest level that the bucket reaches, in units. */
+  double lowestLevelUnits() {
+    Collections.sort(firstAttemptTimesMs);
     double level = BURST_UNITS;
     double lowest = level;
-    double atMs = 0;
-    for (double attemptMs : firstAttemptsMs) {
-      double refill = (attemptMs - atMs) / MS_PER_SECOND * UNITS_PER_SECOND;
+    double previousMs = 0;
+    for (double attemptMs : firstAttemptTimesMs) {
+      double refill = (attemptMs - previousMs) / MS_PER_SECOND * UNITS_PER_SECOND;
       level = Math.min(BURST_UNITS, level + refill) - 1;
       lowest = Math.min(lowest, level);
-      atMs = attemptMs;
+      previousMs = attemptMs;
     }
     return lowest;
   }
--- a/src/test/java/quotagateway/soak/History.java
+++ b/src/test/java/quotagateway/soak/History.java
@@ -7,12 +7,18 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * What all stand-ins saw, by request, on one clock, and how late this process itself ran. Safe for
- * all threads.
+ * Records the events that all stand-ins observe, by request and on one clock, and the scheduling
+ * delays of this process. Thread-safe.
  */
 final class History {
 
-  /** One request as its client sent it. */
+  /**
+   * A request that a client sent.
+   *
+   * @param gateway index of the gateway that the client is connected to
+   * @param first whether the request belongs to the first batch on its connection
+   * @param idleMs how long the connection had been idle before the request
+   */
   record Sent(
       RequestKind kind,
       Customer customer,
@@ -26,34 +32,34 @@
   private final long startNanos = System.nanoTime();
   private final Map<String, Sent> requests = new ConcurrentHashMap<>();
   private final Map<String, List<HistoryEvent>> events = new ConcurrentHashMap<>();
-  private final LatenessMonitor lateness = new LatenessMonitor(this::nowMs);
+  private final LatenessMonitor latenessMonitor = new LatenessMonitor(this::nowMs);
 
-  /** Since the start of the run. */
+  /** Returns the time since the start of the run. */
   double nowMs() {
     return (System.nanoTime() - startNanos) / NANOS_PER_MS;
   }
 
-  LatenessMonitor lateness() {
-    return lateness;
+  LatenessMonitor latenessMonitor() {
+    return latenessMonitor;
   }
 
-  void open(String requestId, Sent request) {
+  void recordRequest(String requestId, Sent request) {
     requests.put(requestId, request);
   }
 
-  void add(String requestId, HistoryEvent.Kind kind, String peer, String detail) {
+  void recordEvent(String requestId, HistoryEvent.Kind kind, String peer, String detail) {
     events
         .computeIfAbsent(requestId, id -> new CopyOnWriteArrayList<>())
         .add(new HistoryEvent(nowMs(), kind, peer, detail));
   }
 
-  /** All requests, in the order of their identifiers. */
+  /** Returns all requests, ordered by their identifiers. */
   Map<String, Sent> requests() {
     return new TreeMap<>(requests);
   }
 
-  /** What was seen of a request, in the order in which it was noted. */
-  List<HistoryEvent> of(String requestId) {
+  /** Returns the events of a request in the order in which they were recorded. */
+  List<HistoryEvent> eventsOf(String requestId) {
     return events.getOrDefault(requestId, List.of());
   }
 }
--- a/src/test/java/quotagateway/soak/HistoryChecker.java
+++ b/src/test/java/quotagateway/soak/HistoryChecker.java
@@ -4,129 +4,130 @@
 import java.util.List;
 import java.util.Set;
 
-/** Checks the rules of the service on a run's history. */
+/** Checks the history of a run against the guarantees of the service. */
 final class HistoryChecker {
 
-  /** After this, and the slack, an attempt for a client that has gone is a break. */
-  private static final double AFTER_CLIENT_LEFT_MS = 150;
+  /** An attempt that starts later than this after its client disconnected is a violation. */
+  private static final double MAX_ATTEMPT_DELAY_AFTER_DISCONNECT_MS = 150;
 
-  /** A gateway may close a connection that has been idle for so long. */
-  private static final double MAY_CLOSE_IDLE_MS = 2_000;
+  /** A gateway may close a connection that has been idle for at least this long. */
+  private static final double MIN_IDLE_CLOSE_MS = 2_000;
 
-  /**
-   * A gateway that can be reached and has backends must not reject all that it gets for so long.
-   */
-  private static final double MAX_REJECTING_MS = 1_000;
+  /** A reachable gateway that has backends must not reject every request for this long. */
+  private static final double MAX_REJECTION_SPAN_MS = 1_000;
 
-  /** Responses that no proper request gets, whatever happens to the peers. */
-  private static final Set<String> WRONG_STATUSES = Set.of("400", "408", "413", "500");
+  /** Statuses that a valid request never gets, whatever happens to the gateway's peers. */
+  private static final Set<String> UNEXPECTED_STATUSES = Set.of("400", "408", "413", "500");
 
-  /** Responses after which a client sends its request again. */
-  private static final Set<String> REJECTIONS = Set.of("429", "503");
+  /** Statuses after which a client sends its request again. */
+  private static final Set<String> REJECTION_STATUSES = Set.of("429", "503");
 
-  private static final int MIN_REJECTIONS = 15;
+  private static final int MIN_REJECTIONS_IN_SPAN = 15;
 
-  /** A stand-in that ran later than this cannot tell when something happened. */
-  private static final double MAX_LATENESS_MS = 40;
+  /** Event times are not reliable if this process was delayed by more than this. */
+  private static final double MAX_PROCESS_DELAY_MS = 40;
 
-  /** What a run gives beside its history. */
-  interface Circumstances {
+  /** What the rules need to know about a run in addition to its history. */
+  interface RunContext {
 
-    /** Whether a gateway drained or ended at that time. */
-    boolean wasLeaving(int gateway, double timeMs);
+    /** Returns whether a gateway was draining or shutting down at that time. */
+    boolean wasDrainingOrStopping(int gateway, double timeMs);
 
     /**
-     * Whether a gateway was killed outright at that time: its requests are their clients' to
-     * repeat.
+     * Returns whether a gateway was killed by SIGKILL at that time. Its clients are responsible for
+     * repeating the requests that it had in flight.
      */
     boolean wasKilled(int gateway, double timeMs);
 
-    /** When each backend was closed to requests. */
+    /** Returns the spans in which backends were closed to requests. */
     List<SoakDiscovery.ClosedSpan> closedSpans();
 
-    /** Whether idle clients fill the descriptors. */
-    boolean crowded();
+    /** Returns whether clients use up a gateway's descriptors with idle connections. */
+    boolean exhaustsDescriptors();
   }
 
   private final History history;
-  private final Circumstances circumstances;
+  private final RunContext context;
   private final List<Violation> violations = new ArrayList<>();
   private int checks;
   private int voided;
 
-  HistoryChecker(History history, Circumstances circumstances) {
+  HistoryChecker(History history, RunContext context) {
     this.history = history;
-    this.circumstances = circumstances;
+    this.context = context;
   }
 
-  /** How many checks were made. */
+  /** Returns the number of checks made, voided ones included. */
   int checks() {
     return checks;
   }
 
-  /** How many of them say nothing, as a stand-in itself ran late. */
+  /** Returns the number of failed checks that are voided because this process was delayed. */
   int voided() {
     return voided;
   }
 
-  /** Checks all requests. */
+  /** Checks all requests and returns the violations found. */
   List<Violation> check() {
     history.requests().forEach(this::checkRequest);
-    checkRejections();
+    checkRejectionSpans();
     checkHardLimit();
     return violations;
   }
 
   private void checkRequest(String id, History.Sent sent) {
-    List<HistoryEvent> events = history.of(id);
-    checkOwnResponse(id, events);
+    List<HistoryEvent> events = history.eventsOf(id);
+    checkResponseMatchesRequest(id, events);
     checkFinalResponse(id, sent, events);
     checkExecutions(id, sent, events);
-    checkAfterClientLeft(id, events);
-    checkClosedBackends(id, events);
+    checkAttemptsAfterDisconnect(id, events);
+    checkAttemptsAtClosedBackends(id, events);
   }
 
-  private void checkOwnResponse(String id, List<HistoryEvent> events) {
+  private void checkResponseMatchesRequest(String id, List<HistoryEvent> events) {
     checks++;
-    if (first(events, HistoryEvent.Kind.FOREIGN_RESPONSE) != null) {
-      report("response of another request", id, events);
+    if (firstEvent(events, HistoryEvent.Kind.FOREIGN_RESPONSE) != null) {
+      addViolation("response belongs to another request", id, events);
     }
   }
 
-  /** Each request whose client stays gets its response in time, if the gateway has taken it. */
+  /**
+   * Checks that a request gets its response in time if its client stays connected and the gateway
+   * read the request.
+   */
   private void checkFinalResponse(String id, History.Sent sent, List<HistoryEvent> events) {
-    HistoryEvent written = first(events, HistoryEvent.Kind.SENT);
-    if (written == null || first(events, HistoryEvent.Kind.CLIENT_LEFT) != null) {
+    HistoryEvent sentEvent = firstEvent(events, HistoryEvent.Kind.SENT);
+    if (sentEvent == null || firstEvent(events, HistoryEvent.Kind.CLIENT_LEFT) != null) {
       return;
     }
     checks++;
-    HistoryEvent answered = first(events, HistoryEvent.Kind.ANSWERED);
-    HistoryEvent ended = first(events, HistoryEvent.Kind.ENDED_UNANSWERED);
-    if (answered != null && WRONG_STATUSES.contains(answered.detail())) {
-      report("proper request answered by " + answered.detail(), id, events);
+    HistoryEvent responded = firstEvent(events, HistoryEvent.Kind.ANSWERED);
+    HistoryEvent closed = firstEvent(events, HistoryEvent.Kind.ENDED_UNANSWERED);
+    if (responded != null && UNEXPECTED_STATUSES.contains(responded.detail())) {
+      addViolation("valid request got status " + responded.detail(), id, events);
     }
-    double dueAtMs = written.timeMs() + sent.timeoutMs() + SoakClient.SLACK_MS;
-    if (first(events, HistoryEvent.Kind.NO_RESPONSE) != null) {
-      reportUnlessLate("no response", id, events, written.timeMs(), dueAtMs);
-    } else if (answered != null && answered.timeMs() > dueAtMs) {
-      reportUnlessLate("late response", id, events, written.timeMs(), answered.timeMs());
-    } else if (ended != null && circumstances.wasKilled(sent.gateway(), ended.timeMs())) {
+    double dueAtMs = sentEvent.timeMs() + sent.timeoutMs() + SoakClient.RESPONSE_SLACK_MS;
+    if (firstEvent(events, HistoryEvent.Kind.NO_RESPONSE) != null) {
+      reportUnlessDelayed("no response", id, events, sentEvent.timeMs(), dueAtMs);
+    } else if (responded != null && responded.timeMs() > dueAtMs) {
+      reportUnlessDelayed("late response", id, events, sentEvent.timeMs(), responded.timeMs());
+    } else if (closed != null && context.wasKilled(sent.gateway(), closed.timeMs())) {
       return;
-    } else if (ended != null && first(events, HistoryEvent.Kind.EXECUTED) != null) {
-      report("lost after it was forwarded", id, events);
-    } else if (ended != null && !mayEndUnanswered(sent, ended)) {
-      report("connection closed without a response", id, events);
+    } else if (closed != null && firstEvent(events, HistoryEvent.Kind.EXECUTED) != null) {
+      addViolation("request lost after it was forwarded", id, events);
+    } else if (closed != null && !mayCloseWithoutResponse(sent, closed)) {
+      addViolation("connection closed without a response", id, events);
     }
   }
 
-  /** Whether the gateway may have closed the connection before it read the request. */
-  private boolean mayEndUnanswered(History.Sent sent, HistoryEvent ended) {
-    boolean behindLastResponse = ended.detail().startsWith("behind");
-    boolean shutInCrowd = circumstances.crowded() && sent.first();
-    return behindLastResponse
-        || shutInCrowd
-        || sent.idleMs() >= MAY_CLOSE_IDLE_MS
-        || circumstances.wasLeaving(sent.gateway(), ended.timeMs());
+  /** Returns whether the gateway may have closed the connection before it read the request. */
+  private boolean mayCloseWithoutResponse(History.Sent sent, HistoryEvent closed) {
+    boolean pipelinedAfterOther = closed.detail().startsWith("pipelined after");
+    boolean newConnectionWithoutDescriptors = context.exhaustsDescriptors() && sent.first();
+    return pipelinedAfterOther
+        || newConnectionWithoutDescriptors
+        || sent.idleMs() >= MIN_IDLE_CLOSE_MS
+        || context.wasDrainingOrStopping(sent.gateway(), closed.timeMs());
   }
 
   private void checkExecutions(String id, History.Sent sent, List<HistoryEvent> events) {
@@ -134,40 +135,45 @@
     long executions =
         events.stream().filter(event -> event.kind() == HistoryEvent.Kind.EXECUTED).count();
     if (sent.kind() == RequestKind.NOT_IDEMPOTENT && executions > 1) {
-      report("executed " + executions + " times", id, events);
+      addViolation("non-idempotent request executed " + executions + " times", id, events);
     }
-    HistoryEvent answered = first(events, HistoryEvent.Kind.ANSWERED);
-    boolean rejected = answered != null && REJECTIONS.contains(answered.detail());
+    HistoryEvent responded = firstEvent(events, HistoryEvent.Kind.ANSWERED);
+    boolean rejected = responded != null && REJECTION_STATUSES.contains(responded.detail());
     if (sent.kind() == RequestKind.NOT_IDEMPOTENT && executions > 0 && rejected) {
-      report("rejected after an execution", id, events);
+      addViolation("request rejected after it was executed", id, events);
     }
   }
 
-  private void checkAfterClientLeft(String id, List<HistoryEvent> events) {
-    HistoryEvent left = first(events, HistoryEvent.Kind.CLIENT_LEFT);
-    if (left == null) {
+  private void checkAttemptsAfterDisconnect(String id, List<HistoryEvent> events) {
+    HistoryEvent disconnected = firstEvent(events, HistoryEvent.Kind.CLIENT_LEFT);
+    if (disconnected == null) {
       return;
     }
     checks++;
     for (HistoryEvent event : events) {
-      if (event.isAttempt() && event.timeMs() > left.timeMs() + AFTER_CLIENT_LEFT_MS) {
-        reportUnlessLate(
-            "attempt after its client left", id, events, left.timeMs(), event.timeMs());
+      if (event.isAttempt()
+          && event.timeMs() > disconnected.timeMs() + MAX_ATTEMPT_DELAY_AFTER_DISCONNECT_MS) {
+        reportUnlessDelayed(
+            "attempt after the client disconnected",
+            id,
+            events,
+            disconnected.timeMs(),
+            event.timeMs());
       }
     }
   }
 
-  private void checkClosedBackends(String id, List<HistoryEvent> events) {
+  private void checkAttemptsAtClosedBackends(String id, List<HistoryEvent> events) {
     for (HistoryEvent event : events) {
       if (!event.isAttempt()) {
         continue;
       }
       checks++;
-      for (SoakDiscovery.ClosedSpan span : circumstances.closedSpans()) {
+      for (SoakDiscovery.ClosedSpan span : context.closedSpans()) {
         boolean within = event.timeMs() > span.fromMs() && event.timeMs() < span.untilMs();
         if (within && event.peer().equals("backend-" + span.backend())) {
-          reportUnlessLate(
-              "attempt at a backend that drains or is gone",
+          reportUnlessDelayed(
+              "attempt at a draining or removed backend",
               id,
               events,
               span.fromMs(),
@@ -177,18 +183,20 @@
     }
   }
 
-  private void checkRejections() {
+  private void checkRejectionSpans() {
     RejectionSpans rejections = new RejectionSpans();
-    history.requests().forEach((id, sent) -> rejections.add(sent, history.of(id)));
+    history.requests().forEach((id, sent) -> rejections.addRequest(sent, history.eventsOf(id)));
     checks++;
-    for (RejectionSpans.Span span : rejections.longerThan(MAX_REJECTING_MS, MIN_REJECTIONS)) {
-      boolean excused =
-          circumstances.crowded()
-              || circumstances.wasLeaving(span.gateway(), span.fromMs())
-              || circumstances.wasLeaving(span.gateway(), span.untilMs());
-      if (!excused) {
+    for (RejectionSpans.Span span :
+        rejections.findSpans(MAX_REJECTION_SPAN_MS, MIN_REJECTIONS_IN_SPAN)) {
+      boolean allowed =
+          context.exhaustsDescriptors()
+              || context.wasDrainingOrStopping(span.gateway(), span.fromMs())
+              || context.wasDrainingOrStopping(span.gateway(), span.untilMs());
+      if (!allowed) {
         violations.add(
-            new Violation("rejects all", "gateway " + span.gateway(), List.of(span.toString())));
+            new Violation(
+                "all requests rejected", "gateway " + span.gateway(), List.of(span.toString())));
       }
     }
   }
@@ -200,31 +208,34 @@
         .forEach(
             (id, sent) -> {
               if (sent.customer() == Customer.HARD_LIMITED) {
-                limit.add(history.of(id));
+                limit.addRequest(history.eventsOf(id));
               }
             });
     checks++;
-    double lowest = limit.lowestLevel();
-    if (lowest < -HardLimitRule.SLACK_UNITS) {
+    double lowestUnits = limit.lowestLevelUnits();
+    if (lowestUnits < -HardLimitRule.SLACK_UNITS) {
       violations.add(
-          new Violation("hard limit", "customer", List.of("lowest level " + lowest + " units")));
+          new Violation(
+              "hard limit exceeded",
+              "customer",
+              List.of("lowest bucket level " + lowestUnits + " units")));
     }
   }
 
-  private static HistoryEvent first(List<HistoryEvent> events, HistoryEvent.Kind kind) {
+  private static HistoryEvent firstEvent(List<HistoryEvent> events, HistoryEvent.Kind kind) {
     return events.stream().filter(event -> event.kind() == kind).findFirst().orElse(null);
   }
 
-  private void reportUnlessLate(
+  private void reportUnlessDelayed(
       String rule, String id, List<HistoryEvent> events, double fromMs, double toMs) {
-    if (history.lateness().mostBetween(fromMs, toMs) > MAX_LATENESS_MS) {
+    if (history.latenessMonitor().maxLatenessMs(fromMs, toMs) > MAX_PROCESS_DELAY_MS) {
       voided++;
     } else {
-      report(rule, id, events);
+      addViolation(rule, id, events);
     }
   }
 
-  private void report(String rule, String id, List<HistoryEvent> events) {
+  private void addViolation(String rule, String id, List<HistoryEvent> events) {
     List<String> lines = new ArrayList<>();
     lines.add(String.valueOf(history.requests().get(id)));
     events.forEach(event -> lines.add(event.toString()));
--- a/src/test/java/quotagateway/soak/HistoryCheckerTest.java
+++ b/src/test/java/quotagateway/soak/HistoryCheckerTest.java
@@ -7,23 +7,23 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** A soak that sees no violation must be one that would have seen it. */
+/** Ensures that the checker detects each kind of violation and accepts permitted outcomes. */
 class HistoryCheckerTest {
 
-  private static final String ID = "c1-1";
+  private static final String REQUEST_ID = "c1-1";
 
   private final History history = new History();
-  private boolean leaving;
+  private boolean drainingOrStopping;
   private boolean killed;
   private List<SoakDiscovery.ClosedSpan> closedSpans = List.of();
 
   private final HistoryChecker checker =
       new HistoryChecker(
           history,
-          new HistoryChecker.Circumstances() {
+          new HistoryChecker.RunContext() {
             @Override
-            public boolean wasLeaving(int gateway, double timeMs) {
-              return leaving;
+            public boolean wasDrainingOrStopping(int gateway, double timeMs) {
+              return drainingOrStopping;
             }
 
             @Override
@@ -37,128 +37,132 @@
             }
 
             @Override
-            public boolean crowded() {
+            public boolean exhaustsDescriptors() {
               return false;
             }
           });
 
   @AfterEach
   void close() {
-    history.lateness().close();
+    history.latenessMonitor().close();
   }
 
-  private void request(RequestKind kind, HistoryEvent.Kind... events) {
-    history.open(ID, new History.Sent(kind, Customer.UNLIMITED, 0, 1_000, false, 10));
+  private void recordRequest(RequestKind kind, HistoryEvent.Kind... events) {
+    history.recordRequest(
+        REQUEST_ID, new History.Sent(kind, Customer.UNLIMITED, 0, 1_000, false, 10));
     for (HistoryEvent.Kind event : events) {
-      history.add(ID, event, "backend-2", "");
+      history.recordEvent(REQUEST_ID, event, "backend-2", "");
     }
   }
 
-  private List<String> brokenRules() {
+  private List<String> violatedRules() {
     return checker.check().stream().map(Violation::rule).toList();
   }
 
   @Test
-  void acceptsAnAnsweredRequest() {
-    request(
+  void acceptsRespondedRequest() {
+    recordRequest(
         RequestKind.NOT_IDEMPOTENT,
         HistoryEvent.Kind.SENT,
         HistoryEvent.Kind.NOT_EXECUTED,
         HistoryEvent.Kind.EXECUTED,
         HistoryEvent.Kind.ANSWERED);
-    assertEquals(List.of(), brokenRules());
+    assertEquals(List.of(), violatedRules());
   }
 
   @Test
-  void findsAResponseOfAnotherRequest() {
-    request(RequestKind.IDEMPOTENT, HistoryEvent.Kind.SENT, HistoryEvent.Kind.FOREIGN_RESPONSE);
-    assertEquals(List.of("response of another request"), brokenRules());
+  void reportsResponseOfAnotherRequest() {
+    recordRequest(
+        RequestKind.IDEMPOTENT, HistoryEvent.Kind.SENT, HistoryEvent.Kind.FOREIGN_RESPONSE);
+    assertEquals(List.of("response belongs to another request"), violatedRules());
   }
 
   @Test
-  void findsAProperRequestThatIsTakenForABadOne() {
-    request(RequestKind.IDEMPOTENT, HistoryEvent.Kind.SENT);
-    history.add(ID, HistoryEvent.Kind.ANSWERED, "client-1", "400");
-    assertEquals(List.of("proper request answered by 400"), brokenRules());
+  void reportsValidRequestRejectedAsMalformed() {
+    recordRequest(RequestKind.IDEMPOTENT, HistoryEvent.Kind.SENT);
+    history.recordEvent(REQUEST_ID, HistoryEvent.Kind.ANSWERED, "client-1", "400");
+    assertEquals(List.of("valid request got status 400"), violatedRules());
   }
 
   @Test
-  void findsASecondExecution() {
-    request(
+  void reportsSecondExecutionOfNonIdempotentRequest() {
+    recordRequest(
         RequestKind.NOT_IDEMPOTENT,
         HistoryEvent.Kind.SENT,
         HistoryEvent.Kind.EXECUTED,
         HistoryEvent.Kind.EXECUTED,
         HistoryEvent.Kind.ANSWERED);
-    assertEquals(List.of("executed 2 times"), brokenRules());
+    assertEquals(List.of("non-idempotent request executed 2 times"), violatedRules());
   }
 
   @Test
-  void findsARejectionAfterAnExecution() {
-    request(RequestKind.NOT_IDEMPOTENT, HistoryEvent.Kind.SENT, HistoryEvent.Kind.EXECUTED);
-    history.add(ID, HistoryEvent.Kind.ANSWERED, "client-1", "503");
-    assertEquals(List.of("rejected after an execution"), brokenRules());
+  void reportsRejectionAfterExecution() {
+    recordRequest(RequestKind.NOT_IDEMPOTENT, HistoryEvent.Kind.SENT, HistoryEvent.Kind.EXECUTED);
+    history.recordEvent(REQUEST_ID, HistoryEvent.Kind.ANSWERED, "client-1", "503");
+    assertEquals(List.of("request rejected after it was executed"), violatedRules());
   }
 
   @Test
-  void findsAForwardedRequestThatIsLostThoughItsGatewayEnds() {
-    leaving = true;
-    request(
+  void reportsForwardedRequestLostDuringShutdown() {
+    drainingOrStopping = true;
+    recordRequest(
         RequestKind.IDEMPOTENT,
         HistoryEvent.Kind.SENT,
         HistoryEvent.Kind.EXECUTED,
         HistoryEvent.Kind.ENDED_UNANSWERED);
-    assertEquals(List.of("lost after it was forwarded"), brokenRules());
+    assertEquals(List.of("request lost after it was forwarded"), violatedRules());
   }
 
   @Test
-  void acceptsThatAKilledGatewayLosesWhatItHeld() {
+  void acceptsLossOfInFlightRequestsOnKill() {
     killed = true;
-    request(
+    recordRequest(
         RequestKind.IDEMPOTENT,
         HistoryEvent.Kind.SENT,
         HistoryEvent.Kind.EXECUTED,
         HistoryEvent.Kind.ENDED_UNANSWERED);
-    assertEquals(List.of(), brokenRules());
+    assertEquals(List.of(), violatedRules());
   }
 
   @Test
-  void findsAConnectionThatIsClosedUnderARequest() {
-    request(RequestKind.IDEMPOTENT, HistoryEvent.Kind.SENT, HistoryEvent.Kind.ENDED_UNANSWERED);
-    assertEquals(List.of("connection closed without a response"), brokenRules());
+  void reportsConnectionClosedWithoutResponse() {
+    recordRequest(
+        RequestKind.IDEMPOTENT, HistoryEvent.Kind.SENT, HistoryEvent.Kind.ENDED_UNANSWERED);
+    assertEquals(List.of("connection closed without a response"), violatedRules());
   }
 
   @Test
-  void acceptsThatAnEndingGatewayClosesAConnectionUnread() {
-    leaving = true;
-    request(RequestKind.IDEMPOTENT, HistoryEvent.Kind.SENT, HistoryEvent.Kind.ENDED_UNANSWERED);
-    assertEquals(List.of(), brokenRules());
+  void acceptsConnectionClosedUnreadDuringShutdown() {
+    drainingOrStopping = true;
+    recordRequest(
+        RequestKind.IDEMPOTENT, HistoryEvent.Kind.SENT, HistoryEvent.Kind.ENDED_UNANSWERED);
+    assertEquals(List.of(), violatedRules());
   }
 
   @Test
-  void findsAnAttemptAtABackendThatIsClosed() {
+  void reportsAttemptAtClosedBackend() {
     closedSpans = List.of(new SoakDiscovery.ClosedSpan(2, -1, Double.POSITIVE_INFINITY));
-    request(
+    recordRequest(
         RequestKind.IDEMPOTENT,
         HistoryEvent.Kind.SENT,
         HistoryEvent.Kind.EXECUTED,
         HistoryEvent.Kind.ANSWERED);
-    assertEquals(List.of("attempt at a backend that drains or is gone"), brokenRules());
+    assertEquals(List.of("attempt at a draining or removed backend"), violatedRules());
   }
 
   @Test
-  void findsAHardLimitThatIsPassedByMoreThanItsSlack() {
+  void levelFallsBelowSlackWhenHardLimitIsExceeded() {
     HardLimitRule limit = new HardLimitRule();
     int units = (int) (HardLimitRule.BURST_UNITS + HardLimitRule.SLACK_UNITS);
     for (int i = 0; i < units; i++) {
-      limit.add(List.of(execution(0)));
+      limit.addRequest(List.of(executedAt(0)));
     }
-    assertEquals(-HardLimitRule.SLACK_UNITS, limit.lowestLevel(), 1e-9);
-    limit.add(List.of(execution(1)));
-    assertTrue(limit.lowestLevel() < -HardLimitRule.SLACK_UNITS);
+    assertEquals(-HardLimitRule.SLACK_UNITS, limit.lowestLevelUnits(), 1e-9);
+    limit.addRequest(List.of(executedAt(1)));
+    assertTrue(limit.lowestLevelUnits() < -HardLimitRule.SLACK_UNITS);
   }
 
-  private static HistoryEvent execution(double timeMs) {
+  private static HistoryEvent executedAt(double timeMs) {
     return new HistoryEvent(timeMs, HistoryEvent.Kind.EXECUTED, "backend-1", "");
   }
 }
--- a/src/test/java/quotagateway/soak/HistoryEvent.java
+++ b/src/test/java/quotagateway/soak/HistoryEvent.java
@@ -1,37 +1,38 @@
 package quotagateway.soak;
 
 /**
- * What one stand-in saw of one request.
+ * One event of a request, as a stand-in observed it.
  *
- * @param timeMs since the start of the run
- * @param kind what it saw
- * @param peer who saw it, such as backend 2
- * @param detail the rest, for people and for rules that say so
+ * @param timeMs time since the start of the run
+ * @param kind what the stand-in observed
+ * @param peer name of the stand-in, such as {@code backend-2}
+ * @param detail further text for the report; {@link HistoryChecker} also reads the response status
+ *     and the cause of a closed connection from it
  */
 record HistoryEvent(double timeMs, Kind kind, String peer, String detail) {
 
-  /** What can be seen of a request. */
+  /** Kinds of events. */
   enum Kind {
-    /** Its client has written its last byte. */
+    /** The client wrote the last byte of the request, or of the part that it sends. */
     SENT,
-    /** Its client has read the last byte of a response that is its own. */
+    /** The client read a complete response that belongs to the request. */
     ANSWERED,
-    /** Its client has read a response that belongs to another request. */
+    /** The client read a response that belongs to another request. */
     FOREIGN_RESPONSE,
-    /** The connection ended before any byte of a response, for no cause of the client's. */
+    /** The connection ended before the first byte of a response, not closed by the client. */
     ENDED_UNANSWERED,
-    /** The connection ended within a response, so that its client can tell. */
+    /** The connection ended within a response, which the client can detect. */
     ENDED_WITHIN_RESPONSE,
-    /** Nothing came in the time that the client waits and the slack of the rules. */
+    /** No complete response arrived before the client's read timed out. */
     NO_RESPONSE,
-    /** Its client has closed the connection, and waits for nothing. */
+    /** The client closed the connection without waiting for a response. */
     CLIENT_LEFT,
-    /** A backend has its last byte, and executes it. */
+    /** A backend received the complete request and executes it. */
     EXECUTED,
-    /** A backend has rejected it, and has not executed it. */
+    /** A backend rejected the request without executing it. */
     NOT_EXECUTED;
 
-    /** Whether its client waits for nothing more. */
+    /** Returns whether the client waits for no response after this event. */
     boolean endsRequest() {
       return switch (this) {
         case SENT, EXECUTED, NOT_EXECUTED -> false;
@@ -40,7 +41,7 @@
     }
   }
 
-  /** Whether an attempt reached a backend, which executed it or rejected it. */
+  /** Returns whether the event is an attempt that reached a backend, executed or rejected. */
   boolean isAttempt() {
     return kind == Kind.EXECUTED || kind == Kind.NOT_EXECUTED;
   }
--- a/src/test/java/quotagateway/soak/LatenessMonitor.java
+++ b/src/test/java/quotagateway/soak/LatenessMonitor.java
@@ -6,8 +6,8 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * How late the threads of this process run. A check of a time whose stand-in itself ran late says
- * nothing of the gateway.
+ * Measures how late the threads of this process wake up. If the stand-ins run late, a time check on
+ * their events doesn't show whether the gateway was late.
  */
 final class LatenessMonitor implements AutoCloseable {
 
@@ -15,7 +15,7 @@
   private static final double NANOS_PER_MS = 1e6;
 
   private final DoubleSupplier nowMs;
-  private final ConcurrentSkipListMap<Double, Double> latenessByTime =
+  private final ConcurrentSkipListMap<Double, Double> latenessByTickMs =
       new ConcurrentSkipListMap<>();
   private volatile boolean closed;
 
@@ -28,23 +28,23 @@
 
   private void run() {
     while (!closed) {
-      double before = nowMs.getAsDouble();
+      double beforeMs = nowMs.getAsDouble();
       LockSupport.parkNanos((long) (TICK_MS * NANOS_PER_MS));
-      double after = nowMs.getAsDouble();
-      latenessByTime.put(after, after - before - TICK_MS);
+      double afterMs = nowMs.getAsDouble();
+      latenessByTickMs.put(afterMs, afterMs - beforeMs - TICK_MS);
     }
   }
 
-  /** The most by which a tick was late between those times, or reached into them. */
-  double mostBetween(double fromMs, double toMs) {
-    double most = 0;
-    for (Map.Entry<Double, Double> tick : latenessByTime.tailMap(fromMs, true).entrySet()) {
+  /** Returns the greatest lateness of the ticks whose delay overlaps the given span. */
+  double maxLatenessMs(double fromMs, double toMs) {
+    double maxMs = 0;
+    for (Map.Entry<Double, Double> tick : latenessByTickMs.tailMap(fromMs, true).entrySet()) {
       if (tick.getKey() - tick.getValue() > toMs) {
         break;
       }
-      most = Math.max(most, tick.getValue());
+      maxMs = Math.max(maxMs, tick.getValue());
     }
-    return most;
+    return maxMs;
   }
 
   @Override
--- a/src/test/java/quotagateway/soak/RejectionSpans.java
+++ b/src/test/java/quotagateway/soak/RejectionSpans.java
@@ -6,54 +6,58 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Finds spans in which a gateway rejected all that it got and tried no backend. */
+/** Finds spans in which a gateway rejected all requests without attempting a backend. */
 final class RejectionSpans {
 
   private static final int OK = 200;
 
-  /** One request of a gateway: when it was answered, and whether that cost a backend anything. */
-  private record Answer(double timeMs, boolean served) {}
+  /**
+   * A final response of a gateway.
+   *
+   * @param served whether the request was attempted at a backend, or succeeded
+   */
+  private record Response(double timeMs, boolean served) {}
 
   /**
-   * A span.
+   * A span in which a gateway rejected all requests.
    *
-   * @param rejections how many requests were rejected in it
+   * @param rejections number of requests rejected in the span
    */
   record Span(int gateway, double fromMs, double untilMs, int rejections) {}
 
-  private final Map<Integer, List<Answer>> answersByGateway = new TreeMap<>();
+  private final Map<Integer, List<Response>> responsesByGateway = new TreeMap<>();
 
-  /** Takes what was seen of a request, unless its customer may be over its limit. */
-  void add(History.Sent sent, List<HistoryEvent> events) {
+  /** Adds a request, unless its customer has a hard limit and may have exceeded it. */
+  void addRequest(History.Sent sent, List<HistoryEvent> events) {
     if (sent.customer() == Customer.HARD_LIMITED) {
       return;
     }
     boolean attempted = events.stream().anyMatch(HistoryEvent::isAttempt);
     events.stream()
         .filter(event -> event.kind() == HistoryEvent.Kind.ANSWERED)
-        .map(event -> new Answer(event.timeMs(), attempted || status(event) == OK))
+        .map(event -> new Response(event.timeMs(), attempted || status(event) == OK))
         .forEach(
-            answer ->
-                answersByGateway
+            response ->
+                responsesByGateway
                     .computeIfAbsent(sent.gateway(), gateway -> new ArrayList<>())
-                    .add(answer));
+                    .add(response));
   }
 
-  private static int status(HistoryEvent answered) {
-    return Integer.parseInt(answered.detail());
+  private static int status(HistoryEvent event) {
+    return Integer.parseInt(event.detail());
   }
 
-  /** The spans of at least that length with at least so many rejections. */
-  List<Span> longerThan(double minMs, int minRejections) {
+  /** Returns the spans that last at least {@code minMs} and have at least {@code minRejections}. */
+  List<Span> findSpans(double minMs, int minRejections) {
     List<Span> spans = new ArrayList<>();
-    answersByGateway.forEach(
-        (gateway, answers) -> {
-          answers.sort(Comparator.comparingDouble(Answer::timeMs));
-          int from = 0;
-          for (int at = 0; at <= answers.size(); at++) {
-            if (at == answers.size() || answers.get(at).served) {
-              addSpan(gateway, answers.subList(from, at), minMs, minRejections, spans);
-              from = at + 1;
+    responsesByGateway.forEach(
+        (gateway, responses) -> {
+          responses.sort(Comparator.comparingDouble(Response::timeMs));
+          int start = 0;
+          for (int index = 0; index <= responses.size(); index++) {
+            if (index == responses.size() || responses.get(index).served) {
+              addSpan(gateway, responses.subList(start, index), minMs, minRejections, spans);
+              start = index + 1;
             }
           }
         });
@@ -61,7 +65,7 @@
   }
 
   private static void addSpan(
-      int gateway, List<Answer> rejected, double minMs, int minRejections, List<Span> spans) {
+      int gateway, List<Response> rejected, double minMs, int minRejections, List<Span> spans) {
     if (rejected.size() < minRejections) {
       return;
     }
--- a/src/test/java/quotagateway/soak/RequestKind.java
+++ b/src/test/java/quotagateway/soak/RequestKind.java
@@ -1,12 +1,12 @@
 package quotagateway.soak;
 
-/** The classes of requests that clients send, as the protocol has them. */
+/** The request classes that clients use. */
 enum RequestKind {
-  /** May be executed any number of times. */
+  /** Requests that may be executed any number of times. */
   IDEMPOTENT("quote", "pure"),
-  /** May be sent again with its key. */
+  /** Requests that may be retried with the same idempotency key. */
   IDEMPOTENT_WITH_KEY("buy", "token"),
-  /** Must be executed once at most. */
+  /** Requests that must be executed at most once. */
   NOT_IDEMPOTENT("pay", "side_effect");
 
   private final String className;
@@ -17,18 +17,18 @@
     this.repeat = repeat;
   }
 
-  /** The class's name in the settings, and the first part of its path. */
+  /** Returns the name of the class in the settings, which is also the first segment of its path. */
   String className() {
     return className;
   }
 
-  /** How the settings say whether it may be repeated. */
+  /** Returns the value of {@code Repeat} for the class in the settings. */
   String repeat() {
     return repeat;
   }
 
-  /** A request of the class in its wire form. */
-  String request(String id, String customerHeaders, int timeoutMs, String body) {
+  /** Returns a request of this class in wire format. */
+  String formatRequest(String id, String customerHeaders, int timeoutMs, String body) {
     StringBuilder text = new StringBuilder();
     text.append(this == IDEMPOTENT ? "GET /" : "POST /")
         .append(className)
--- a/src/test/java/quotagateway/soak/SoakBackend.java
+++ b/src/test/java/quotagateway/soak/SoakBackend.java
@@ -10,18 +10,21 @@
 import quotagateway.testing.HttpMessage;
 import quotagateway.testing.TextStreams;
 
-/** A backend that answers each attempt as its seed has it for that request and attempt. */
+/**
+ * A fake backend. How it responds to an attempt is drawn from the seed, the backend's name, the
+ * request's identifier and the number of events recorded for the request so far.
+ */
 final class SoakBackend implements Closeable {
 
-  /** Longer than any client waits. */
+  /** Exceeds the time that any client waits for a response. */
   private static final long HANG_MS = 3_000;
 
   private static final int MAX_SERVICE_MS = 30;
 
-  /** Between a response and its second copy, where that comes late. */
-  private static final long COPY_DELAY_MS = 2;
+  /** Delay between a response and its second copy if the plan has late copies. */
+  private static final long SECOND_COPY_DELAY_MS = 2;
 
-  /** How an attempt is met. */
+  /** How the backend responds to an attempt. */
   private enum Behavior {
     ANSWER,
     ANSWER_IN_CHUNKS,
@@ -56,36 +59,37 @@
   private boolean respond(HttpMessage request, OutputStream out) throws IOException {
     server.received.clear();
     String id = request.header("Request-Id");
-    int attempt = history.of(id).size();
-    SplittableRandom random = plan.generator(name + id + attempt);
-    Behavior behavior = draw(random);
-    boolean executes = behavior != Behavior.REJECT;
-    history.add(
+    int earlierEvents = history.eventsOf(id).size();
+    SplittableRandom random = plan.newGenerator(name + id + earlierEvents);
+    Behavior behavior = drawBehavior(random);
+    boolean executed = behavior != Behavior.REJECT;
+    history.recordEvent(
         id,
-        executes ? HistoryEvent.Kind.EXECUTED : HistoryEvent.Kind.NOT_EXECUTED,
+        executed ? HistoryEvent.Kind.EXECUTED : HistoryEvent.Kind.NOT_EXECUTED,
         name,
         behavior.toString());
     pause(random.nextInt(MAX_SERVICE_MS));
-    return answer(behavior, ok(id), out);
+    return sendResponse(behavior, okResponse(id), out);
   }
 
-  private Behavior draw(SplittableRandom random) {
+  private Behavior drawBehavior(SplittableRandom random) {
     if (random.nextDouble() >= plan.backendFaultShare()) {
       return Behavior.ANSWER;
     }
-    Behavior[] all = Behavior.values();
-    return all[1 + random.nextInt(all.length - 1)];
+    Behavior[] behaviors = Behavior.values();
+    return behaviors[1 + random.nextInt(behaviors.length - 1)];
   }
 
-  private static String ok(String id) {
+  private static String okResponse(String id) {
     return "HTTP/1.1 200 OK\r\nContent-Length: " + id.length() + "\r\n\r\n" + id;
   }
 
-  private boolean answer(Behavior behavior, String ok, OutputStream out) throws IOException {
-    String id = ok.substring(ok.indexOf("\r\n\r\n") + 4);
+  private boolean sendResponse(Behavior behavior, String response, OutputStream out)
+      throws IOException {
+    String id = response.substring(response.indexOf("\r\n\r\n") + 4);
     switch (behavior) {
       case ANSWER:
-        return TextStreams.write(out, ok);
+        return TextStreams.write(out, response);
       case ANSWER_IN_CHUNKS:
         return TextStreams.write(
             out,
@@ -95,15 +99,18 @@
                 + id
                 + "\r\n0\r\n\r\n");
       case ANSWER_IN_PIECES:
-        for (int at = 0; at < ok.length(); at += 20) {
-          TextStreams.write(out, ok.substring(at, Math.min(ok.length(), at + 20)));
+        for (int start = 0; start < response.length(); start += 20) {
+          TextStreams.write(
+              out, response.substring(start, Math.min(response.length(), start + 20)));
           pause(2);
         }
         return true;
       case ANSWER_TWICE:
-        return plan.lateCopies() ? answerTwice(ok, out) : TextStreams.write(out, ok + ok);
+        return plan.lateCopies()
+            ? sendTwice(response, out)
+            : TextStreams.write(out, response + response);
       case ANSWER_THEN_CLOSE:
-        TextStreams.write(out, ok);
+        TextStreams.write(out, response);
         return false;
       case REJECT:
         return TextStreams.write(out, FakeBackend.NOT_STARTED_RESPONSE);
@@ -116,7 +123,7 @@
         TextStreams.write(out, "HTTP/1.1 2x0 OK\r\n\r\nno");
         return false;
       case CUT_OFF:
-        TextStreams.write(out, ok.substring(0, ok.length() - 1));
+        TextStreams.write(out, response.substring(0, response.length() - 1));
         return false;
       case CLOSE:
       default:
@@ -124,17 +131,21 @@
     }
   }
 
-  private boolean answerTwice(String ok, OutputStream out) throws IOException {
-    TextStreams.write(out, ok);
-    pause(COPY_DELAY_MS);
-    return TextStreams.write(out, ok);
+  private boolean sendTwice(String response, OutputStream out) throws IOException {
+    TextStreams.write(out, response);
+    pause(SECOND_COPY_DELAY_MS);
+    return TextStreams.write(out, response);
   }
 
-  /** Waits for the time, or until the run is over. */
+  /**
+   * Waits for the given time.
+   *
+   * @throws IOException if the run ends before
+   */
   private void pause(long ms) throws IOException {
     try {
       if (closed.await(ms, TimeUnit.MILLISECONDS)) {
-        throw new IOException("the run is over");
+        throw new IOException("the soak run has ended");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/test/java/quotagateway/soak/SoakClient.java
+++ b/src/test/java/quotagateway/soak/SoakClient.java
@@ -14,25 +14,26 @@
 import quotagateway.testing.TextStreams;
 
 /**
- * A client that asks one request behind another and goes on using its connection for as long as the
- * gateway leaves it open. Some write in pieces, some send several requests at once, some leave.
+ * A client that sends requests one after another and reuses its connection until the gateway closes
+ * it. At random, it writes requests in two parts, pipelines several requests, or disconnects
+ * without waiting for responses.
  */
 final class SoakClient implements Runnable {
 
-  /** How long beyond its time a request may be answered, as the rules have it. */
-  static final int SLACK_MS = 550;
+  /** How long after its timeout a request may still get its response. */
+  static final int RESPONSE_SLACK_MS = 550;
 
   private static final List<RequestKind> KINDS = List.of(RequestKind.values());
-  private static final int MAX_THINK_MS = 60;
-  private static final double LONG_REST_SHARE = 0.01;
-  private static final int LONG_REST_MS = 2_500;
-  private static final double PIECES_SHARE = 0.1;
-  private static final double PIPELINE_SHARE = 0.06;
-  private static final double LEAVE_SHARE = 0.05;
+  private static final int MAX_THINK_TIME_MS = 60;
+  private static final double LONG_PAUSE_SHARE = 0.01;
+  private static final int LONG_PAUSE_MS = 2_500;
+  private static final double SPLIT_WRITE_SHARE = 0.1;
+  private static final double PIPELINED_SHARE = 0.06;
+  private static final double DISCONNECT_SHARE = 0.05;
   private static final int MAX_PIPELINED = 4;
 
-  /** One client in so many asks for the customer with a hard limit. */
-  private static final int HARD_LIMITED_DIVISOR = 4;
+  /** One client out of this many sends requests for the customer with a hard limit. */
+  private static final int CLIENTS_PER_HARD_LIMITED_CLIENT = 4;
 
   private static final int MAX_BODY_BYTES = 3_000;
 
@@ -42,7 +43,7 @@
   private final History history;
   private final BooleanSupplier stopped;
   private final Customer customer;
-  private int requests;
+  private int requestCount;
 
   SoakClient(
       int number,
@@ -55,18 +56,20 @@
     this.gateways = gateways;
     this.history = history;
     this.stopped = stopped;
-    customer = number % HARD_LIMITED_DIVISOR == 0 ? Customer.HARD_LIMITED : Customer.UNLIMITED;
+    customer =
+        number % CLIENTS_PER_HARD_LIMITED_CLIENT == 0 ? Customer.HARD_LIMITED : Customer.UNLIMITED;
   }
 
   @Override
   public void run() {
     try {
       while (!stopped.getAsBoolean()) {
-        List<SoakGateway> admitted = gateways.stream().filter(SoakGateway::isAdmitted).toList();
-        if (admitted.isEmpty()) {
+        List<SoakGateway> accepting =
+            gateways.stream().filter(SoakGateway::acceptsConnections).toList();
+        if (accepting.isEmpty()) {
           TimeUnit.MILLISECONDS.sleep(10);
         } else {
-          SoakGateway gateway = admitted.get(random.nextInt(admitted.size()));
+          SoakGateway gateway = accepting.get(random.nextInt(accepting.size()));
           useConnection(gateway, gateways.indexOf(gateway));
         }
       }
@@ -75,31 +78,31 @@
     }
   }
 
-  /** Asks on a connection until it ends. */
-  private void useConnection(SoakGateway gateway, int gatewayNumber) throws InterruptedException {
+  /** Opens a connection and sends requests on it until the connection ends or the run stops. */
+  private void useConnection(SoakGateway gateway, int gatewayIndex) throws InterruptedException {
     try (Socket socket = new Socket(gateway.address().getAddress(), gateway.address().getPort())) {
       socket.setTcpNoDelay(true);
-      Connection connection = new Connection(socket, gatewayNumber);
+      Connection connection = new Connection(socket, gatewayIndex);
       while (!stopped.getAsBoolean() && connection.open) {
-        connection.ask();
-        rest();
+        connection.exchangeRequests();
+        pauseBetweenRequests();
       }
     } catch (IOException e) {
-      // It was refused, or its close failed: the next one is tried after a rest.
-      rest();
+      // The connection was refused, or closing it failed: pause before opening the next one.
+      pauseBetweenRequests();
     }
   }
 
-  private void rest() throws InterruptedException {
-    boolean restsLong = random.nextDouble() < LONG_REST_SHARE;
-    TimeUnit.MILLISECONDS.sleep(restsLong ? LONG_REST_MS : random.nextInt(MAX_THINK_MS));
+  private void pauseBetweenRequests() throws InterruptedException {
+    boolean longPause = random.nextDouble() < LONG_PAUSE_SHARE;
+    TimeUnit.MILLISECONDS.sleep(longPause ? LONG_PAUSE_MS : random.nextInt(MAX_THINK_TIME_MS));
   }
 
-  /** Counts what comes, so that the end of a connection shows how far a response had got. */
-  private static final class CountingStream extends FilterInputStream {
+  /** Counts the bytes read, which tells whether a connection ended before or within a response. */
+  private static final class CountingInputStream extends FilterInputStream {
     private long count;
 
-    CountingStream(InputStream in) {
+    CountingInputStream(InputStream in) {
       super(in);
     }
 
@@ -111,87 +114,91 @@
     }
 
     @Override
-    public int read(byte[] bytes, int offset, int length) throws IOException {
-      int read = super.read(bytes, offset, length);
+    public int read(byte[] buffer, int offset, int length) throws IOException {
+      int read = super.read(buffer, offset, length);
       count += Math.max(0, read);
       return read;
     }
   }
 
-  /** One connection. */
+  /** A connection to a gateway. */
   private final class Connection {
     private final Socket socket;
-    private final CountingStream in;
-    private final int gateway;
+    private final CountingInputStream in;
+    private final int gatewayIndex;
     private double idleSinceMs = history.nowMs();
-    private boolean first = true;
+    private boolean firstBatch = true;
     private boolean open = true;
 
-    Connection(Socket socket, int gateway) throws IOException {
+    Connection(Socket socket, int gatewayIndex) throws IOException {
       this.socket = socket;
-      this.gateway = gateway;
-      in = new CountingStream(socket.getInputStream());
+      this.gatewayIndex = gatewayIndex;
+      in = new CountingInputStream(socket.getInputStream());
     }
 
-    /** Sends one request or several, and reads their responses. */
-    void ask() {
-      int count = random.nextDouble() < PIPELINE_SHARE ? 2 + random.nextInt(MAX_PIPELINED - 1) : 1;
+    /** Sends one request or several pipelined ones, and reads their responses. */
+    void exchangeRequests() {
+      int count = random.nextDouble() < PIPELINED_SHARE ? 2 + random.nextInt(MAX_PIPELINED - 1) : 1;
       ArrayDeque<String> ids = new ArrayDeque<>();
       StringBuilder text = new StringBuilder();
       int timeoutMs = SoakGateway.DEADLINE_MS - random.nextInt(800);
       for (int i = 0; i < count; i++) {
         RequestKind kind = KINDS.get(random.nextInt(KINDS.size()));
-        String id = "c" + number + "-" + requests++;
+        String id = "c" + number + "-" + requestCount++;
         ids.add(id);
         double idleMs = history.nowMs() - idleSinceMs;
-        history.open(id, new History.Sent(kind, customer, gateway, timeoutMs, first, idleMs));
+        history.recordRequest(
+            id, new History.Sent(kind, customer, gatewayIndex, timeoutMs, firstBatch, idleMs));
         String body = "b".repeat(random.nextInt(MAX_BODY_BYTES));
-        text.append(kind.request(id, customer.headers(gateways.size()), timeoutMs, body));
+        text.append(kind.formatRequest(id, customer.headers(gateways.size()), timeoutMs, body));
       }
       try {
-        if (random.nextDouble() < LEAVE_SHARE) {
-          leave(ids, text.toString());
+        if (random.nextDouble() < DISCONNECT_SHARE) {
+          sendAndDisconnect(ids, text.toString());
         } else {
-          send(ids, text.toString());
+          sendAll(ids, text.toString());
           readResponses(ids, timeoutMs);
         }
       } catch (IOException e) {
         open = false;
       }
-      first = false;
+      firstBatch = false;
       idleSinceMs = history.nowMs();
     }
 
-    private void send(Iterable<String> ids, String text) throws IOException {
+    private void sendAll(Iterable<String> ids, String text) throws IOException {
       try {
-        if (random.nextDouble() < PIECES_SHARE) {
-          int middle = random.nextInt(text.length());
-          TextStreams.write(socket.getOutputStream(), text.substring(0, middle));
-          TextStreams.write(socket.getOutputStream(), text.substring(middle));
+        if (random.nextDouble() < SPLIT_WRITE_SHARE) {
+          int split = random.nextInt(text.length());
+          TextStreams.write(socket.getOutputStream(), text.substring(0, split));
+          TextStreams.write(socket.getOutputStream(), text.substring(split));
         } else {
           TextStreams.write(socket.getOutputStream(), text);
         }
       } catch (IOException e) {
-        note(ids, HistoryEvent.Kind.ENDED_UNANSWERED, "write failed");
+        recordForAll(ids, HistoryEvent.Kind.ENDED_UNANSWERED, "write failed");
         throw e;
       }
-      note(ids, HistoryEvent.Kind.SENT, "");
+      recordForAll(ids, HistoryEvent.Kind.SENT, "");
     }
 
-    /** Closes the connection somewhere in the requests, or behind them. */
-    private void leave(Iterable<String> ids, String text) throws IOException {
-      boolean whole = random.nextBoolean();
+    /** Closes the connection within the requests or after them. */
+    private void sendAndDisconnect(Iterable<String> ids, String text) throws IOException {
+      boolean complete = random.nextBoolean();
       TextStreams.write(
           socket.getOutputStream(),
-          whole ? text : text.substring(0, random.nextInt(text.length())));
-      note(ids, HistoryEvent.Kind.SENT, whole ? "leaves behind it" : "leaves within it");
-      pauseBeforeLeaving();
+          complete ? text : text.substring(0, random.nextInt(text.length())));
+      recordForAll(
+          ids,
+          HistoryEvent.Kind.SENT,
+          complete ? "disconnects after the request" : "disconnects within the request");
+      pauseBeforeDisconnect();
       open = false;
       socket.close();
-      note(ids, HistoryEvent.Kind.CLIENT_LEFT, "");
+      recordForAll(ids, HistoryEvent.Kind.CLIENT_LEFT, "");
     }
 
-    private void pauseBeforeLeaving() {
+    private void pauseBeforeDisconnect() {
       try {
         TimeUnit.MILLISECONDS.sleep(random.nextInt(20));
       } catch (InterruptedException e) {
@@ -200,53 +207,63 @@
     }
 
     private void readResponses(ArrayDeque<String> ids, int timeoutMs) throws IOException {
-      socket.setSoTimeout(timeoutMs + 2 * SLACK_MS);
-      long before = 0;
+      socket.setSoTimeout(timeoutMs + 2 * RESPONSE_SLACK_MS);
+      long bytesBefore = 0;
       try {
         while (!ids.isEmpty()) {
-          before = in.count;
+          bytesBefore = in.count;
           HttpMessage response = HttpMessage.read(in);
-          noteResponse(ids.poll(), response);
+          recordResponse(ids.poll(), response);
           if ("close".equalsIgnoreCase(response.header("Connection"))) {
             open = false;
-            note(ids, HistoryEvent.Kind.ENDED_UNANSWERED, "behind a last response");
+            recordForAll(
+                ids,
+                HistoryEvent.Kind.ENDED_UNANSWERED,
+                "pipelined after a response with Connection: close");
             return;
           }
         }
       } catch (SocketTimeoutException e) {
         open = false;
-        note(ids, HistoryEvent.Kind.NO_RESPONSE, "");
+        recordForAll(ids, HistoryEvent.Kind.NO_RESPONSE, "");
       } catch (IOException e) {
         open = false;
-        noteEnd(ids, in.count > before, String.valueOf(e.getMessage()));
+        recordConnectionEnd(ids, in.count > bytesBefore, String.valueOf(e.getMessage()));
       }
     }
 
-    private void noteResponse(String id, HttpMessage response) {
-      boolean own = response.status() != 200 || response.text().equals(id);
-      history.add(
+    private void recordResponse(String id, HttpMessage response) {
+      boolean matches = response.status() != 200 || response.text().equals(id);
+      history.recordEvent(
           id,
-          own ? HistoryEvent.Kind.ANSWERED : HistoryEvent.Kind.FOREIGN_RESPONSE,
+          matches ? HistoryEvent.Kind.ANSWERED : HistoryEvent.Kind.FOREIGN_RESPONSE,
           "client-" + number,
-          response.status() + (own ? "" : " " + response.text()));
+          response.status() + (matches ? "" : " " + response.text()));
     }
 
-    /** The first of the requests may have part of its response; the others have nothing. */
-    private void noteEnd(ArrayDeque<String> ids, boolean withinResponse, String reason) {
+    /**
+     * Records that the connection ended. Only the first of the outstanding requests can have
+     * received part of its response.
+     */
+    private void recordConnectionEnd(
+        ArrayDeque<String> ids, boolean withinResponse, String reason) {
       String id = ids.poll();
-      history.add(
+      history.recordEvent(
           id,
           withinResponse
               ? HistoryEvent.Kind.ENDED_WITHIN_RESPONSE
               : HistoryEvent.Kind.ENDED_UNANSWERED,
           "client-" + number,
           reason);
-      note(ids, HistoryEvent.Kind.ENDED_UNANSWERED, "behind another");
+      recordForAll(
+          ids,
+          HistoryEvent.Kind.ENDED_UNANSWERED,
+          "pipelined after a request without a complete response");
     }
 
-    private void note(Iterable<String> ids, HistoryEvent.Kind kind, String detail) {
+    private void recordForAll(Iterable<String> ids, HistoryEvent.Kind kind, String detail) {
       for (String id : ids) {
-        history.add(id, kind, "client-" + number, detail);
+        history.recordEvent(id, kind, "client-" + number, detail);
       }
     }
   }
--- a/src/test/java/quotagateway/soak/SoakCommand.java
+++ b/src/test/java/quotagateway/soak/SoakCommand.java
@@ -17,22 +17,22 @@
 import picocli.CommandLine.TypeConversionException;
 import quotagateway.testing.GatewayProcess;
 
-/** The command of the soak; deploy/soak.sh builds the jar and starts it. */
+/** Command line of the soak; {@code deploy/soak.sh} builds the jar and runs it. */
 @Command(
     name = "soak",
     mixinStandardHelpOptions = true,
     sortOptions = false,
     description =
-        "Plays seeded runs of real gateway processes and checks the rules of the service.")
+        "Runs real gateway processes on seeded plans and checks the guarantees of the service.")
 public final class SoakCommand implements Callable<Integer> {
 
   private static final int EXIT_VIOLATION = 1;
   private static final int EXIT_NOT_RUN = 3;
 
-  /** Seeds, the first and the last of them included. */
+  /** An inclusive range of seeds. */
   record SeedRange(long first, long last) {}
 
-  /** Reads {@code 7} and {@code 1-50}. */
+  /** Parses a single seed such as {@code 7} or a range such as {@code 1-50}. */
   static final class SeedRangeConverter implements ITypeConverter<SeedRange> {
     @Override
     public SeedRange convert(String value) {
@@ -44,9 +44,10 @@
           return range;
         }
       } catch (NumberFormatException e) {
-        // Told below, as for any other value that is no range.
+        // Reported below, like any other invalid value.
       }
-      throw new TypeConversionException("'" + value + "' is no range such as 1-50");
+      throw new TypeConversionException(
+          "'" + value + "' is neither a seed nor a range such as 1-50");
     }
   }
 
@@ -54,23 +55,26 @@
       names = "--seeds",
       defaultValue = "1-50",
       converter = SeedRangeConverter.class,
-      description = "Seeds to play, such as 7 or 1-50 (${DEFAULT-VALUE}).")
+      description = "Seeds to run, such as 7 or 1-50 (default: ${DEFAULT-VALUE}).")
   private SeedRange seeds;
 
   @Option(
       names = "--minutes",
       defaultValue = "60",
-      description = "No further seed is begun after so long (${DEFAULT-VALUE}).")
+      description =
+          "No further seed is started after this many minutes (default: ${DEFAULT-VALUE}).")
   private double minutes;
 
   @Option(
       names = "--late-copies",
       description =
-          "Second copies of responses come some milliseconds behind the first. Of those that come"
-              + " later than the gateway waits, not all can be told from the next response.")
+          "Duplicate responses are sent a few milliseconds after the original. If a duplicate"
+              + " arrives later than the gateway waits, it can't always be told from the next response.")
   private boolean lateCopies;
 
-  @Option(names = "--out", description = "Folder for a report of each seed; else standard output.")
+  @Option(
+      names = "--out",
+      description = "Folder for one report per seed; standard output if not given.")
   private Path out;
 
   public static void main(String[] arguments) {
@@ -79,49 +83,49 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    long untilNanos = System.nanoTime() + (long) (minutes * TimeUnit.MINUTES.toNanos(1));
+    long deadlineNanos = System.nanoTime() + (long) (minutes * TimeUnit.MINUTES.toNanos(1));
     List<SoakRun.Result> results = new ArrayList<>();
     for (long seed : LongStream.rangeClosed(seeds.first, seeds.last).toArray()) {
-      if (System.nanoTime() > untilNanos) {
+      if (System.nanoTime() > deadlineNanos) {
         break;
       }
       SoakPlan plan = SoakPlan.draw(seed, lateCopies);
-      results.add(play(plan, folder -> GatewayProcess.deployedCommand(), out));
+      results.add(runPlan(plan, folder -> GatewayProcess.deployedCommand(), out));
     }
-    return summarize(results);
+    return printSummary(results);
   }
 
-  /** Plays one seed and reports it: its time line, and each violation with its history. */
-  static SoakRun.Result play(SoakPlan plan, SoakGateway.Launcher launcher, Path reports)
+  /** Runs one plan and reports its steps, each violation with its history, and a summary line. */
+  static SoakRun.Result runPlan(SoakPlan plan, SoakGateway.Launcher launcher, Path reportFolder)
       throws IOException, InterruptedException {
-    if (reports == null) {
-      return play(plan, launcher, System.out);
+    if (reportFolder == null) {
+      return runPlan(plan, launcher, System.out);
     }
-    Files.createDirectories(reports);
-    Path report = reports.resolve("seed-" + plan.seed() + ".txt");
+    Files.createDirectories(reportFolder);
+    Path report = reportFolder.resolve("seed-" + plan.seed() + ".txt");
     try (PrintStream file = new PrintStream(report.toFile(), StandardCharsets.UTF_8)) {
-      return play(plan, launcher, file);
+      return runPlan(plan, launcher, file);
     }
   }
 
-  private static SoakRun.Result play(
+  private static SoakRun.Result runPlan(
       SoakPlan plan, SoakGateway.Launcher launcher, PrintStream report)
       throws IOException, InterruptedException {
     report.println(
         "seed " + plan.seed() + " gateways " + plan.gateways() + " clients " + plan.clients());
     report.printf(
-        "backends %d fault share %.2f crowd %d%n",
-        plan.backends(), plan.backendFaultShare(), plan.crowd());
+        "backends %d fault share %.2f idle connections %d%n",
+        plan.backends(), plan.backendFaultShare(), plan.idleConnections());
     plan.steps().forEach(step -> report.println("  " + step));
     try (SoakRun run = new SoakRun(plan, launcher)) {
-      SoakRun.Result result = run.play();
+      SoakRun.Result result = run.runPlan();
       result.violations().forEach(violation -> report.println("VIOLATION " + violation));
-      report.println(line(result));
+      report.println(summaryLine(result));
       return result;
     }
   }
 
-  private static String line(SoakRun.Result result) {
+  private static String summaryLine(SoakRun.Result result) {
     return "seed "
         + result.seed()
         + " requests "
@@ -134,12 +138,12 @@
         + result.voided()
         + " violations "
         + result.violations().size()
-        + (result.isVoid() ? " NOT RUN: too much is voided" : "");
+        + (result.isVoid() ? " NOT RUN: too many checks are voided" : "");
   }
 
-  private static int summarize(List<SoakRun.Result> results) {
+  private static int printSummary(List<SoakRun.Result> results) {
     System.out.println("---");
-    results.forEach(result -> System.out.println(line(result)));
+    results.forEach(result -> System.out.println(summaryLine(result)));
     if (results.stream().anyMatch(result -> !result.violations().isEmpty())) {
       return EXIT_VIOLATION;
     }
--- a/src/test/java/quotagateway/soak/SoakCounter.java
+++ b/src/test/java/quotagateway/soak/SoakCounter.java
@@ -6,57 +6,57 @@
 import java.util.concurrent.TimeUnit;
 import quotagateway.testing.FakeCounter;
 
-/** The shared counter, which a step of the plan disturbs for a while. */
+/** A fake shared counter that a step of the plan disrupts temporarily. */
 final class SoakCounter implements Closeable {
 
-  /** Longer than a call may take. */
-  private static final long LATE_MS = 120;
+  /** Exceeds the time limit of the gateways' calls to the counter. */
+  private static final long REPLY_DELAY_MS = 120;
 
-  /** How calls are replied to. */
+  /** How the counter replies to calls. */
   enum Mode {
-    COUNTS,
-    REJECTS,
-    LATE,
+    NORMAL,
+    BUSY,
+    DELAYED,
     MALFORMED,
-    SILENT
+    UNRESPONSIVE
   }
 
   private final FakeCounter server = new FakeCounter();
   private final CountDownLatch closed = new CountDownLatch(1);
-  private volatile Mode mode = Mode.COUNTS;
+  private volatile Mode mode = Mode.NORMAL;
 
   SoakCounter() {
-    server.replies = this::reply;
+    server.replies = this::replyTo;
   }
 
   int port() {
     return server.port();
   }
 
-  void become(Mode next) {
-    mode = next;
+  void setMode(Mode newMode) {
+    mode = newMode;
   }
 
-  private String reply(String line) {
+  private String replyTo(String line) {
     server.calls.clear();
     server.unanswered.clear();
     switch (mode) {
-      case REJECTS:
+      case BUSY:
         return "busy";
-      case LATE:
-        await(LATE_MS);
+      case DELAYED:
+        awaitOrClose(REPLY_DELAY_MS);
         return server.count(line);
       case MALFORMED:
         return "what?";
-      case SILENT:
+      case UNRESPONSIVE:
         return null;
-      case COUNTS:
+      case NORMAL:
       default:
         return server.count(line);
     }
   }
 
-  private void await(long ms) {
+  private void awaitOrClose(long ms) {
     try {
       closed.await(ms, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
--- a/src/test/java/quotagateway/soak/SoakDiscovery.java
+++ b/src/test/java/quotagateway/soak/SoakDiscovery.java
@@ -11,37 +11,40 @@
 import quotagateway.testing.EndpointListJson;
 
 /**
- * Discovery's agent with the list of backends, and since when each of them counts as notified to be
- * closed to new requests. Safe for all threads.
+ * A fake discovery agent that serves the list of backends and keeps the spans in which the gateways
+ * must know that a backend is closed to new requests. Thread-safe.
  */
 final class SoakDiscovery implements Closeable {
 
-  /** A change counts as notified at the latest this long after discovery had it. */
-  private static final double NOTIFIED_AFTER_MS = 6_000;
+  /** Gateways are assumed to have been notified of a change at the latest after this time. */
+  private static final double MAX_NOTIFICATION_DELAY_MS = 6_000;
 
-  /** A change that is written to an open watch is in force after this. */
-  private static final double IN_FORCE_AFTER_MS = 1_000;
+  /** A change sent on an open watch must be in effect after this time. */
+  private static final double MAX_APPLY_DELAY_MS = 1_000;
 
-  /** The gateways start with this version of the list. */
-  static final int FIRST_VERSION = 7;
+  /** The version of the endpoint list with which the gateways start. */
+  static final int INITIAL_VERSION = 7;
 
   private final History history;
   private final Map<Integer, Integer> ports = new TreeMap<>();
   private final Map<Integer, String> states = new TreeMap<>();
 
-  /** Since when requests to a backend break the rule, by its number; absent while it serves. */
+  /**
+   * The time from which an attempt at a backend is a violation, by the backend's index. Has no
+   * entry for a serving backend.
+   */
   private final Map<Integer, Double> closedFromMs = new ConcurrentHashMap<>();
 
-  /** Spans in which a backend was closed, that are over. */
+  /** Past spans in which a backend was closed to requests. */
   private final List<ClosedSpan> closedSpans = new ArrayList<>();
 
   private final DiscoveryAgent agent;
-  private int version = FIRST_VERSION;
+  private int version = INITIAL_VERSION;
 
-  /** Until when watches may still be broken by what was done to them. */
-  private double disturbedUntilMs = Double.NEGATIVE_INFINITY;
+  /** Until this time, a disruption may still keep watches from delivering changes. */
+  private double disruptedUntilMs = Double.NEGATIVE_INFINITY;
 
-  /** When a backend was closed to requests. */
+  /** A span in which an attempt at a backend is a violation. */
   record ClosedSpan(int backend, double fromMs, double untilMs) {}
 
   SoakDiscovery(History history, List<SoakBackend> backends) throws IOException {
@@ -50,94 +53,102 @@
       ports.put(i, backends.get(i).port());
       states.put(i, "active");
     }
-    agent = new DiscoveryAgent(wholeList() + "\n", version);
+    agent = new DiscoveryAgent(completeList() + "\n", version);
   }
 
   int port() {
     return agent.port();
   }
 
-  /** The list of those that are not left out, in discovery's form. */
-  synchronized String wholeList() {
+  /** Returns the complete list, without removed backends, in discovery's format. */
+  synchronized String completeList() {
     String[] entries =
         states.entrySet().stream()
             .filter(backend -> !backend.getValue().equals("left"))
-            .map(backend -> entry(backend.getKey()))
+            .map(backend -> formatEntry(backend.getKey()))
             .toArray(String[]::new);
     return EndpointListJson.list(version, true, entries);
   }
 
-  private String entry(int backend) {
+  private String formatEntry(int backend) {
     return EndpointListJson.entry("s-" + backend, ports.get(backend), states.get(backend));
   }
 
-  /** How many backends serve. */
-  synchronized int serving() {
+  /** Returns the number of serving backends. */
+  synchronized int servingCount() {
     return (int) states.values().stream().filter("active"::equals).count();
   }
 
-  synchronized boolean serves(int backend) {
+  synchronized boolean isServing(int backend) {
     return states.get(backend).equals("active");
   }
 
-  /** Tells all watches that a backend drains or serves. */
-  synchronized void change(int backend, String state) {
-    set(backend, state);
-    agent.become(wholeList() + "\n", version);
-    agent.tell(EndpointListJson.list(version, false, entry(backend)) + "\n");
+  /** Sends all watches a delta saying that a backend drains or serves. */
+  synchronized void sendState(int backend, String state) {
+    setState(backend, state);
+    agent.become(completeList() + "\n", version);
+    agent.tell(EndpointListJson.list(version, false, formatEntry(backend)) + "\n");
   }
 
-  /** Ends all watches; the next ones get a whole list without that backend. */
-  synchronized void leaveOut(int backend) {
-    disturbedUntilMs = history.nowMs() + NOTIFIED_AFTER_MS;
-    set(backend, "left");
-    agent.become(wholeList() + "\n", version);
+  /** Removes a backend from the list and ends all watches; new watches get the complete list. */
+  synchronized void removeBackend(int backend) {
+    disruptedUntilMs = history.nowMs() + MAX_NOTIFICATION_DELAY_MS;
+    setState(backend, "left");
+    agent.become(completeList() + "\n", version);
     agent.endWatches();
   }
 
-  private void set(int backend, String state) {
+  private void setState(int backend, String state) {
     version++;
     states.put(backend, state);
     if (state.equals("active")) {
-      Double from = closedFromMs.remove(backend);
-      if (from != null) {
-        closedSpans.add(new ClosedSpan(backend, from, history.nowMs()));
+      Double fromMs = closedFromMs.remove(backend);
+      if (fromMs != null) {
+        closedSpans.add(new ClosedSpan(backend, fromMs, history.nowMs()));
       }
     } else {
       double nowMs = history.nowMs();
-      double delayMs = nowMs < disturbedUntilMs ? NOTIFIED_AFTER_MS : IN_FORCE_AFTER_MS;
+      double delayMs = nowMs < disruptedUntilMs ? MAX_NOTIFICATION_DELAY_MS : MAX_APPLY_DELAY_MS;
       closedFromMs.putIfAbsent(backend, nowMs + delayMs);
     }
   }
 
-  /** All spans in which requests to a backend break the rule. */
+  /** Returns all spans in which an attempt at a backend is a violation, open ones included. */
   synchronized List<ClosedSpan> closedSpans() {
     List<ClosedSpan> spans = new ArrayList<>(closedSpans);
     closedFromMs.forEach(
-        (backend, from) -> spans.add(new ClosedSpan(backend, from, Double.POSITIVE_INFINITY)));
+        (backend, fromMs) -> spans.add(new ClosedSpan(backend, fromMs, Double.POSITIVE_INFINITY)));
     return spans;
   }
 
-  /** The open watches fall silent for good, and new ones get no answer while it lasts. */
-  synchronized void silence(boolean now) {
-    if (now) {
+  /**
+   * Starts or ends a silence of discovery. Watches that are open at its start stay silent for good;
+   * new ones get no response until it ends.
+   */
+  synchronized void setSilent(boolean silent) {
+    if (silent) {
       agent.abandonWatches();
     }
-    agent.silence(now);
-    postponeNotification(now);
+    agent.silence(silent);
+    postponeClosedSpans(silent);
   }
 
-  /** Watches end, and new ones are answered by errors while it lasts. */
-  synchronized void fail(boolean now) {
-    agent.fail(now);
-    postponeNotification(now);
+  /** Starts or ends a failure of discovery: watches end, and new ones get errors until it ends. */
+  synchronized void setFailing(boolean failing) {
+    agent.fail(failing);
+    postponeClosedSpans(failing);
   }
 
-  /** What discovery could not be asked for counts as notified 6 s after it can be again. */
-  private void postponeNotification(boolean disturbed) {
-    disturbedUntilMs = disturbed ? Double.POSITIVE_INFINITY : history.nowMs() + NOTIFIED_AFTER_MS;
+  /**
+   * Postpones the times by which gateways must know of a change. A change that a disruption may
+   * have held back is assumed to be known {@link #MAX_NOTIFICATION_DELAY_MS} after its end.
+   */
+  private void postponeClosedSpans(boolean disrupted) {
+    disruptedUntilMs =
+        disrupted ? Double.POSITIVE_INFINITY : history.nowMs() + MAX_NOTIFICATION_DELAY_MS;
     closedFromMs.replaceAll(
-        (backend, from) -> from > history.nowMs() ? history.nowMs() + NOTIFIED_AFTER_MS : from);
+        (backend, fromMs) ->
+            fromMs > history.nowMs() ? history.nowMs() + MAX_NOTIFICATION_DELAY_MS : fromMs);
   }
 
   @Override
--- a/src/test/java/quotagateway/soak/SoakGateway.java
+++ b/src/test/java/quotagateway/soak/SoakGateway.java
@@ -17,28 +17,29 @@
 import quotagateway.testing.TestClient;
 
 /**
- * One gateway at its address, through all of its processes: starts, signals, operators' calls, and
- * what of that a rule has to know. Its methods are called by the thread that plays the plan, but
- * for those that say otherwise.
+ * A gateway at a fixed address, across the successive processes that serve it. Starts and signals
+ * the processes, makes the operators' calls, and records the spans that the rules need to know. Its
+ * methods are called by the gateway's operator thread or before and after the steps, except for
+ * those that say otherwise.
  */
 final class SoakGateway implements Closeable {
 
-  /** How a gateway's processes are started. */
+  /** Builds the command that starts a gateway process. */
   interface Launcher {
     List<String> command(Path temporaryFolder) throws IOException;
   }
 
-  /** The longest deadline of the settings. */
+  /** The deadline of all request classes in the settings. */
   static final int DEADLINE_MS = 1_500;
 
-  /** SIGKILL comes this long after SIGTERM at the earliest. */
-  private static final long KILL_AFTER_MS = DEADLINE_MS + 700;
+  /** SIGKILL is sent no earlier than this after SIGTERM. */
+  private static final long MIN_TERM_TO_KILL_MS = DEADLINE_MS + 700;
 
-  /** For so long after SIGTERM, or a no to readiness, new connections keep coming. */
-  private static final double ADMITTED_AFTER_TERM_MS = 300;
+  /** Clients keep opening connections for this long after SIGTERM. */
+  private static final double CONNECTIONS_AFTER_TERM_MS = 300;
 
-  /** A client reads the end of its connection to a killed process by then. */
-  private static final double KILL_SEEN_MS = 1_000;
+  /** Clients notice the end of their connections to a killed process within this time. */
+  private static final double MAX_KILL_NOTICE_MS = 1_000;
 
   private static final long MAX_READY_MS = 30_000;
   private static final double MAX_READY_AFTER_UNDRAIN_MS = 2_000;
@@ -68,20 +69,20 @@
   private final InetSocketAddress listen;
   private final List<String> faults = new CopyOnWriteArrayList<>();
 
-  /** Spans in which it may end connections without a response, as it drains or ends. */
-  private final List<Leaving> leaving = new CopyOnWriteArrayList<>();
+  /** Spans in which the gateway may close connections unanswered as it drains or shuts down. */
+  private final List<Span> drainOrStopSpans = new CopyOnWriteArrayList<>();
 
-  /** Spans in which it was killed outright. */
-  private final List<Leaving> kills = new CopyOnWriteArrayList<>();
+  /** Spans in which a process was killed by SIGKILL and clients may not have noticed yet. */
+  private final List<Span> killSpans = new CopyOnWriteArrayList<>();
 
   private GatewayProcess process;
   private int adminPort;
   private int reloads;
   private int descriptorsWhenReady;
-  private volatile boolean admitted;
+  private volatile boolean acceptsConnections;
 
-  /** A span in which the gateway drains or ends; open ones have no end yet. */
-  record Leaving(double fromMs, double untilMs) {}
+  /** A span of time; its end is positive infinity while it lasts. */
+  record Span(double fromMs, double untilMs) {}
 
   SoakGateway(
       int number,
@@ -98,27 +99,27 @@
     this.discovery = discovery;
     this.counterPort = counterPort;
     folder = Files.createTempDirectory("soak-gateway");
-    listen = new InetSocketAddress(InetAddress.getLoopbackAddress(), freePort());
-    Files.writeString(configFile(), config());
+    listen = new InetSocketAddress(InetAddress.getLoopbackAddress(), findFreePort());
+    Files.writeString(configFile(), formatConfig());
   }
 
-  private static int freePort() throws IOException {
+  private static int findFreePort() throws IOException {
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return socket.getLocalPort();
     }
   }
 
-  /** Where clients connect; any thread may ask. */
+  /** Returns the address that clients connect to. Thread-safe. */
   InetSocketAddress address() {
     return listen;
   }
 
-  /** Whether new connections go there; any thread may ask. */
-  boolean isAdmitted() {
-    return admitted;
+  /** Returns whether clients should open new connections to this gateway. Thread-safe. */
+  boolean acceptsConnections() {
+    return acceptsConnections;
   }
 
-  /** Descriptors that its first process had open when it was ready, before any load. */
+  /** Returns how many descriptors the first process had open once ready, before any load. */
   int descriptorsWhenReady() {
     return descriptorsWhenReady;
   }
@@ -127,30 +128,31 @@
     return process;
   }
 
-  /** What it did that no gateway may do, whatever happens to it. */
+  /** Returns the faults found, which no step or fault of a peer excuses. */
   List<String> faults() {
     return faults;
   }
 
-  /** Whether it was draining or ending at that time. */
-  boolean wasLeaving(double timeMs) {
-    return leaving.stream().anyMatch(span -> timeMs >= span.fromMs && timeMs <= span.untilMs);
+  /** Returns whether the gateway was draining or shutting down at that time. Thread-safe. */
+  boolean wasDrainingOrStopping(double timeMs) {
+    return drainOrStopSpans.stream()
+        .anyMatch(span -> timeMs >= span.fromMs && timeMs <= span.untilMs);
   }
 
-  /** Whether it was killed outright at that time. */
+  /** Returns whether the gateway was killed by SIGKILL at that time. Thread-safe. */
   boolean wasKilled(double timeMs) {
-    return kills.stream().anyMatch(span -> timeMs >= span.fromMs && timeMs <= span.untilMs);
+    return killSpans.stream().anyMatch(span -> timeMs >= span.fromMs && timeMs <= span.untilMs);
   }
 
   private Path configFile() {
     return folder.resolve("config.json");
   }
 
-  private String config() {
-    StringBuilder classes = new StringBuilder();
+  private String formatConfig() {
+    StringBuilder requestClasses = new StringBuilder();
     for (RequestKind kind : RequestKind.values()) {
-      classes.append(classes.length() == 0 ? "" : ",");
-      classes.append(
+      requestClasses.append(requestClasses.length() == 0 ? "" : ",");
+      requestClasses.append(
           """
           {"Name":"%s","Repeat":"%s","AimMs":700,"DeadlineMs":%d,"Value":1,"Group":"all",
            "RepeatWindowMs":4000}"""
@@ -162,18 +164,18 @@
          "known":%s,
         """
             .formatted(
-                number, listen.getPort(), discovery.port(), counterPort, discovery.wholeList())
+                number, listen.getPort(), discovery.port(), counterPort, discovery.completeList())
         + SETTINGS.formatted(
             fleetSize,
             number,
-            classes,
+            requestClasses,
             400 + reloads,
             HardLimitRule.UNITS_PER_SECOND,
             HardLimitRule.BURST_UNITS,
             HardLimitRule.SLACK_UNITS);
   }
 
-  /** Starts a process, and returns once it may get connections. */
+  /** Starts a process and waits until it is ready or failed to start. */
   void start() throws IOException, InterruptedException {
     GatewayProcess started = launch();
     process = started;
@@ -181,12 +183,12 @@
     if (ready && descriptorsWhenReady == 0) {
       descriptorsWhenReady = started.descriptors();
     }
-    admitted = ready;
+    acceptsConnections = ready;
   }
 
   private GatewayProcess launch() throws IOException {
-    Files.writeString(configFile(), config());
-    adminPort = freePort();
+    Files.writeString(configFile(), formatConfig());
+    adminPort = findFreePort();
     return new GatewayProcess(
         launcher.command(folder),
         Map.of(
@@ -200,23 +202,23 @@
   }
 
   private boolean awaitReady(GatewayProcess started) throws InterruptedException {
-    double from = history.nowMs();
+    double fromMs = history.nowMs();
     while (started.isAlive()) {
-      if (operator("GET /ready") == 200) {
+      if (callOperator("GET /ready") == 200) {
         return true;
       }
-      if (history.nowMs() - from > MAX_READY_MS) {
-        faults.add("gateway " + number + " was not ready in " + MAX_READY_MS + " ms");
+      if (history.nowMs() - fromMs > MAX_READY_MS) {
+        faults.add("gateway " + number + " was not ready within " + MAX_READY_MS + " ms");
         return false;
       }
       TimeUnit.MILLISECONDS.sleep(READY_POLL_MS);
     }
-    faults.add("gateway " + number + " ended while it started");
+    faults.add("gateway " + number + " exited during startup");
     return false;
   }
 
-  /** The status of the response to an operator's call; 0 where there is none. */
-  int operator(String call) {
+  /** Makes an operator's call and returns the response status, or 0 if there is no response. */
+  int callOperator(String call) {
     try (TestClient caller =
         new TestClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), adminPort))) {
       return caller.ask(call + " HTTP/1.1\r\nHost: x\r\n\r\n").status();
@@ -225,96 +227,97 @@
     }
   }
 
-  /** Puts other settings into force. */
+  /** Writes changed settings and sends SIGHUP. */
   void reload() throws IOException, InterruptedException {
     reloads++;
-    Files.writeString(configFile(), config());
+    Files.writeString(configFile(), formatConfig());
     process.signal("HUP");
   }
 
-  /** Signals upon signals, one of them upon a file that is not whole. */
-  void reloadSeries() throws IOException, InterruptedException {
+  /** Sends SIGHUP three times in quick succession, the second time for a truncated file. */
+  void reloadRepeatedly() throws IOException, InterruptedException {
     reload();
-    String whole = config();
-    Files.writeString(configFile(), whole.substring(0, whole.length() / 2));
+    String complete = formatConfig();
+    Files.writeString(configFile(), complete.substring(0, complete.length() / 2));
     process.signal("HUP");
     reload();
   }
 
   /**
-   * Ends the process by signals and starts another.
+   * Ends the process with signals and starts another one.
    *
-   * @param signals sent at once, one behind another
+   * @param signals signals to send, without a pause between them
    */
   void restart(List<String> signals) throws IOException, InterruptedException {
-    double from = history.nowMs();
+    double fromMs = history.nowMs();
     for (String signal : signals) {
       process.signal(signal);
     }
-    awaitEndOf(process, from);
-    leaving.add(new Leaving(from, history.nowMs()));
+    awaitTermination(process, fromMs);
+    drainOrStopSpans.add(new Span(fromMs, history.nowMs()));
     start();
   }
 
-  /** SIGTERM has been sent; returns when the process has ended, by itself or by SIGKILL. */
-  private void awaitEndOf(GatewayProcess ending, double termAtMs) throws InterruptedException {
-    leaving.add(new Leaving(termAtMs, Double.POSITIVE_INFINITY));
-    TimeUnit.MILLISECONDS.sleep((long) ADMITTED_AFTER_TERM_MS);
+  /** Waits until a process that got SIGTERM has exited, and kills it if that takes too long. */
+  private void awaitTermination(GatewayProcess ending, double termSentAtMs)
+      throws InterruptedException {
+    drainOrStopSpans.add(new Span(termSentAtMs, Double.POSITIVE_INFINITY));
+    TimeUnit.MILLISECONDS.sleep((long) CONNECTIONS_AFTER_TERM_MS);
     if (ending == process) {
-      admitted = false;
+      acceptsConnections = false;
     }
-    long untilKillMs = (long) (termAtMs + KILL_AFTER_MS - history.nowMs());
-    if (!ending.awaitEnd(Math.max(0, untilKillMs))) {
+    long timeToKillMs = (long) (termSentAtMs + MIN_TERM_TO_KILL_MS - history.nowMs());
+    if (!ending.awaitEnd(Math.max(0, timeToKillMs))) {
       ending.close();
     } else if (ending.exitStatus() != 0 && ending.exitStatus() != 143) {
-      faults.add("gateway " + number + " ended with status " + ending.exitStatus());
+      faults.add("gateway " + number + " exited with status " + ending.exitStatus());
     }
-    leaving.removeIf(span -> span.untilMs == Double.POSITIVE_INFINITY);
+    drainOrStopSpans.removeIf(span -> span.untilMs == Double.POSITIVE_INFINITY);
   }
 
-  /** Kills the process and starts another. */
+  /** Sends SIGKILL and starts another process. */
   void kill() throws IOException, InterruptedException {
-    double from = history.nowMs();
-    admitted = false;
+    double fromMs = history.nowMs();
+    acceptsConnections = false;
     process.close();
-    kills.add(new Leaving(from, history.nowMs() + KILL_SEEN_MS));
+    killSpans.add(new Span(fromMs, history.nowMs() + MAX_KILL_NOTICE_MS));
     start();
   }
 
-  /** Drains it, and takes that back. */
+  /** Drains the gateway and undrains it after the given time. */
   void drainThenUndrain(long ms) throws InterruptedException {
-    double from = history.nowMs();
-    leaving.add(new Leaving(from, Double.POSITIVE_INFINITY));
-    expect(200, "POST /drain");
-    admitted = false;
+    double fromMs = history.nowMs();
+    drainOrStopSpans.add(new Span(fromMs, Double.POSITIVE_INFINITY));
+    expectStatus(200, "POST /drain");
+    acceptsConnections = false;
     TimeUnit.MILLISECONDS.sleep(ms);
-    expect(200, "POST /undrain");
-    leaving.removeIf(span -> span.untilMs == Double.POSITIVE_INFINITY);
-    leaving.add(new Leaving(from, history.nowMs()));
-    awaitReadyAgain();
+    expectStatus(200, "POST /undrain");
+    drainOrStopSpans.removeIf(span -> span.untilMs == Double.POSITIVE_INFINITY);
+    drainOrStopSpans.add(new Span(fromMs, history.nowMs()));
+    awaitReadyAfterUndrain();
   }
 
-  /** The drain has been taken back. */
-  private void awaitReadyAgain() throws InterruptedException {
+  /** Waits until the gateway is ready after an undrain. */
+  private void awaitReadyAfterUndrain() throws InterruptedException {
     double untilMs = history.nowMs() + MAX_READY_AFTER_UNDRAIN_MS;
-    while (operator("GET /ready") != 200) {
+    while (callOperator("GET /ready") != 200) {
       if (history.nowMs() > untilMs) {
-        faults.add("gateway " + number + " was not ready after its drain was taken back");
+        faults.add("gateway " + number + " did not become ready after undrain");
         return;
       }
       TimeUnit.MILLISECONDS.sleep(READY_POLL_MS);
     }
-    admitted = true;
+    acceptsConnections = true;
   }
 
-  private void expect(int status, String call) {
-    int came = operator(call);
-    if (came != status) {
-      faults.add("gateway " + number + " answered " + came + " to " + call);
+  private void expectStatus(int expected, String call) {
+    int actual = callOperator(call);
+    if (actual != expected) {
+      faults.add("gateway " + number + " responded with status " + actual + " to " + call);
     }
   }
 
-  /** Starts a new process beside the old one, which then ends. */
+  /** Starts a new process while the old one runs, then sends SIGTERM to the old one. */
   void upgrade() throws IOException, InterruptedException {
     GatewayProcess old = process;
     GatewayProcess next = launch();
@@ -322,16 +325,16 @@
     if (!awaitReady(next)) {
       return;
     }
-    double from = history.nowMs();
+    double fromMs = history.nowMs();
     old.signal("TERM");
-    awaitEndOf(old, from);
-    leaving.add(new Leaving(from, history.nowMs()));
+    awaitTermination(old, fromMs);
+    drainOrStopSpans.add(new Span(fromMs, history.nowMs()));
   }
 
-  /** Notes what its log and its state tell of faults. */
-  void inspect() {
+  /** Records a fault if the process has exited, and one for each severe line in its log. */
+  void checkProcessAndLog() {
     if (!process.isAlive()) {
-      faults.add("gateway " + number + " ended by itself with " + process.exitStatus());
+      faults.add("gateway " + number + " exited unexpectedly with status " + process.exitStatus());
     }
     try (var lines = Files.lines(folder.resolve("log"))) {
       lines
--- a/src/test/java/quotagateway/soak/SoakPlan.java
+++ b/src/test/java/quotagateway/soak/SoakPlan.java
@@ -6,16 +6,18 @@
 import java.util.SplittableRandom;
 
 /**
- * All that happens in one run, drawn from its seed alone.
+ * The plan of one run: its size, its faults and its steps, all drawn from the seed.
  *
- * @param seed of the run
- * @param gateways processes of the fleet
- * @param clients that ask all the time
- * @param backends that serve them
- * @param backendFaultShare of the attempts that a backend does not just answer
- * @param lateCopies whether second copies of responses come some milliseconds behind the first
- * @param crowd idle connections that clients hold at a gateway from a step on
- * @param steps in the order of their times
+ * @param seed seed of the run
+ * @param gateways number of gateways in the fleet
+ * @param clients number of clients that send requests throughout the run
+ * @param backends number of backends
+ * @param backendFaultShare probability that a backend responds to an attempt other than by a plain
+ *     response
+ * @param lateCopies whether duplicate responses are sent a few milliseconds after the original
+ *     rather than together with it
+ * @param idleConnections number of idle connections opened to one gateway at the first step
+ * @param steps steps in the order of their times
  */
 record SoakPlan(
     long seed,
@@ -24,60 +26,61 @@
     int backends,
     double backendFaultShare,
     boolean lateCopies,
-    int crowd,
+    int idleConnections,
     List<Step> steps) {
 
-  /** For how long the clients ask, in milliseconds. */
+  /** How long the clients send requests. */
   static final double DURATION_MS = 12_000;
 
-  /** Trouble begins after this, and later in some runs. */
-  private static final double MIN_QUIET_MS = 700;
+  /** Least value of the time, drawn for each run, before which no step begins. */
+  private static final double MIN_FIRST_STEP_MS = 700;
 
-  private static final double MAX_QUIET_MS = 2_500;
+  private static final double MAX_FIRST_STEP_MS = 2_500;
 
-  /** No trouble begins later, so that what it does is seen. */
-  private static final double LAST_STEP_MS = 9_500;
+  /** No step begins later, so that its effects fall within the run. */
+  private static final double MAX_STEP_MS = 9_500;
 
   private static final int MAX_STEPS = 7;
-  private static final double CROWD_SHARE_OF_RUNS = 0.2;
-  private static final int CROWD_CONNECTIONS = 150;
+  private static final double IDLE_CONNECTIONS_PROBABILITY = 0.2;
+  private static final int IDLE_CONNECTIONS = 150;
 
-  /** What happens at one moment. */
+  /** What a step does. */
   enum Action {
-    /** The file is changed, then SIGHUP. */
+    /** The configuration file is changed, then the gateway gets SIGHUP. */
     RELOAD,
-    /** Three times SIGHUP within some milliseconds, one of them upon a broken file. */
+    /** SIGHUP is sent three times within a few milliseconds, once for a truncated file. */
     RELOAD_SERIES,
-    /** SIGTERM, SIGKILL at the earliest moment, a new process. */
+    /** SIGTERM, then SIGKILL as early as is allowed if needed, then a new process. */
     RESTART,
-    /** SIGHUP and at once SIGTERM; then as a restart. */
+    /** SIGHUP and immediately SIGTERM, then as for {@link #RESTART}. */
     RELOAD_THEN_RESTART,
-    /** SIGTERM twice; then as a restart. */
+    /** SIGTERM twice, then as for {@link #RESTART}. */
     RESTART_WITH_SECOND_SIGTERM,
-    /** SIGKILL and a new process. */
+    /** SIGKILL, then a new process. */
     KILL,
-    /** An operator drains, and takes it back a second later. */
+    /** An operator drains the gateway and undrains it a second later. */
     DRAIN_THEN_UNDRAIN,
-    /** A new process beside the old one, which then gets SIGTERM. */
+    /** A new process starts while the old one runs; the old one then gets SIGTERM. */
     UPGRADE,
-    /** Discovery says that a backend drains, or that it serves again. */
+    /** Discovery reports that a backend drains, or that it serves again. */
     DRAIN_BACKEND,
-    /** Discovery's whole list leaves a backend out, and its watches end. */
+    /** Discovery removes a backend from its complete list and ends all watches. */
     REMOVE_BACKEND,
-    /** All watches fall silent, and discovery with them, for one to four seconds. */
+    /** Open watches go silent for good; new ones get no response for one to four seconds. */
     SILENCE_DISCOVERY,
-    /** Discovery answers errors with a list as their body, for one to three seconds. */
+    /** Discovery responds with errors that have a list as their body, for one to three seconds. */
     FAIL_DISCOVERY,
-    /** The counter rejects, is late, brings malformed replies, or none, for a second. */
+    /** The counter rejects calls, replies late, malformed or not at all, for one second. */
     DISTURB_COUNTER
   }
 
   /**
-   * One thing that happens.
+   * A step of the plan.
    *
-   * @param atMs since the clients began
-   * @param target number of the gateway or backend, counting round
-   * @param choice of the variant, where the action has variants
+   * @param atMs time since the clients started
+   * @param target index of the gateway that the step acts on
+   * @param choice random number from 0 to 1 that selects the backend, duration or variant of an
+   *     action
    */
   record Step(double atMs, Action action, int target, double choice) {
     @Override
@@ -86,18 +89,18 @@
     }
   }
 
-  /** Draws the run of a seed. */
+  /** Draws the plan of a seed. */
   static SoakPlan draw(long seed, boolean lateCopies) {
     SplittableRandom random = new SplittableRandom(seed);
     int gateways = 2 + random.nextInt(2);
-    double from = random.nextDouble(MIN_QUIET_MS, MAX_QUIET_MS);
-    int count = 3 + random.nextInt(MAX_STEPS - 2);
+    double earliestStepMs = random.nextDouble(MIN_FIRST_STEP_MS, MAX_FIRST_STEP_MS);
+    int stepCount = 3 + random.nextInt(MAX_STEPS - 2);
     Action[] actions = Action.values();
     List<Step> steps = new ArrayList<>();
-    for (int i = 0; i < count; i++) {
+    for (int i = 0; i < stepCount; i++) {
       steps.add(
           new Step(
-              random.nextDouble(from, LAST_STEP_MS),
+              random.nextDouble(earliestStepMs, MAX_STEP_MS),
               actions[random.nextInt(actions.length)],
               random.nextInt(gateways),
               random.nextDouble()));
@@ -110,12 +113,15 @@
         3 + random.nextInt(3),
         random.nextDouble() < 0.2 ? 0 : random.nextDouble(0.25),
         lateCopies,
-        random.nextDouble() < CROWD_SHARE_OF_RUNS ? CROWD_CONNECTIONS : 0,
+        random.nextDouble() < IDLE_CONNECTIONS_PROBABILITY ? IDLE_CONNECTIONS : 0,
         steps);
   }
 
-  /** A generator of its own for each part of the run, so that none depends on another's timing. */
-  SplittableRandom generator(String part) {
+  /**
+   * Returns a random generator for one part of the run. Each part has its own, so that its draws
+   * don't depend on the timing of the others.
+   */
+  SplittableRandom newGenerator(String part) {
     return new SplittableRandom(seed * 1_000_003 + part.hashCode());
   }
 }
--- a/src/test/java/quotagateway/soak/SoakRun.java
+++ b/src/test/java/quotagateway/soak/SoakRun.java
@@ -13,20 +13,23 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 
-/** Plays one plan: the fleet, its peers and clients, the steps at their times, and the checks. */
+/**
+ * Runs one plan: starts the gateways, their peers and clients, executes the steps at their times,
+ * and checks the result.
+ */
 final class SoakRun implements Closeable {
 
-  /** What is left over of a run has ended by then: deadlines, idle connections, drained watches. */
+  /** Time in which requests, idle connections and abandoned watches of a run must be closed. */
   private static final long SETTLE_MS = 8_000;
 
   private static final long SETTLE_POLL_MS = 100;
 
-  /** Descriptors that a gateway may have beyond those at its start: reconnections, files. */
-  private static final int SPARE_DESCRIPTORS = 8;
+  /** Descriptors that a gateway may hold beyond those at its start: reconnections and files. */
+  private static final int EXTRA_DESCRIPTORS = 8;
 
   private static final long UNDRAIN_AFTER_MS = 1_000;
-  private static final long DISTURBANCE_MS = 1_000;
-  private static final int WAIT_SECONDS = 60;
+  private static final long COUNTER_DISRUPTION_MS = 1_000;
+  private static final int SHUTDOWN_TIMEOUT_SECONDS = 60;
 
   private final SoakPlan plan;
   private final History history = new History();
@@ -34,28 +37,31 @@
   private final SoakCounter counter = new SoakCounter();
   private final SoakDiscovery discovery;
   private final List<SoakGateway> gateways = new ArrayList<>();
-  private final List<Socket> crowd = new CopyOnWriteArrayList<>();
-  private final ExecutorService clients = Executors.newCachedThreadPool(SoakRun::daemon);
+  private final List<Socket> idleConnections = new CopyOnWriteArrayList<>();
+  private final ExecutorService clients = Executors.newCachedThreadPool(SoakRun::newDaemonThread);
 
-  /** One thread for each gateway, so that a restart does not delay the next step. */
+  /** One thread for each gateway, so that a restart doesn't delay the steps of other gateways. */
   private final List<ExecutorService> operators = new ArrayList<>();
 
-  /** One thread for each peer that is disturbed for a while, so that steps keep their times. */
+  /**
+   * One thread for each peer that steps disrupt, so that a disruption doesn't delay later steps.
+   */
   private final ExecutorService discoveryOperator =
-      Executors.newSingleThreadExecutor(SoakRun::daemon);
+      Executors.newSingleThreadExecutor(SoakRun::newDaemonThread);
 
   private final ExecutorService counterOperator =
-      Executors.newSingleThreadExecutor(SoakRun::daemon);
+      Executors.newSingleThreadExecutor(SoakRun::newDaemonThread);
 
   private volatile boolean stopped;
 
   /**
-   * What came of a run.
+   * The result of a run.
    *
-   * @param requests that clients sent
-   * @param outcomes how many of them ended how, by status or by what their client saw
-   * @param checks that were made on the history
-   * @param voided of them, as a stand-in itself ran late
+   * @param requests number of requests that clients sent
+   * @param outcomes number of requests by outcome: the response status, or the event that its
+   *     client recorded instead
+   * @param checks number of checks made on the history
+   * @param voided number of failed checks that don't count because this process was delayed
    */
   record Result(
       long seed,
@@ -65,7 +71,7 @@
       int voided,
       List<Violation> violations) {
 
-    /** Whether too much was voided for the run to say anything. */
+    /** Returns whether so many checks are voided that the run is inconclusive. */
     boolean isVoid() {
       return voided * 10 > checks;
     }
@@ -80,103 +86,104 @@
     for (int i = 0; i < plan.gateways(); i++) {
       gateways.add(
           new SoakGateway(i, plan.gateways(), launcher, history, discovery, counter.port()));
-      operators.add(Executors.newSingleThreadExecutor(SoakRun::daemon));
+      operators.add(Executors.newSingleThreadExecutor(SoakRun::newDaemonThread));
     }
   }
 
-  private static Thread daemon(Runnable work) {
-    Thread thread = new Thread(work, "soak");
+  private static Thread newDaemonThread(Runnable task) {
+    Thread thread = new Thread(task, "soak");
     thread.setDaemon(true);
     return thread;
   }
 
-  /** Plays the plan and checks what was seen. */
-  Result play() throws IOException, InterruptedException {
+  /** Runs the plan and checks the recorded history and the gateways. */
+  Result runPlan() throws IOException, InterruptedException {
     for (SoakGateway gateway : gateways) {
       gateway.start();
     }
-    double from = history.nowMs();
+    double startMs = history.nowMs();
     for (int i = 0; i < plan.clients(); i++) {
       clients.execute(
-          new SoakClient(i, plan.generator("client" + i), gateways, history, () -> stopped));
+          new SoakClient(i, plan.newGenerator("client" + i), gateways, history, () -> stopped));
     }
     for (SoakPlan.Step step : plan.steps()) {
-      sleepUntil(from + step.atMs());
-      play(step);
+      sleepUntil(startMs + step.atMs());
+      execute(step);
     }
-    sleepUntil(from + SoakPlan.DURATION_MS);
+    sleepUntil(startMs + SoakPlan.DURATION_MS);
     stopped = true;
-    end(clients);
+    shutDownAndAwait(clients);
     operators.add(discoveryOperator);
     operators.add(counterOperator);
     for (ExecutorService operator : operators) {
-      end(operator);
+      shutDownAndAwait(operator);
     }
-    return check();
+    return checkRun();
   }
 
   private void sleepUntil(double timeMs) throws InterruptedException {
     TimeUnit.MILLISECONDS.sleep(Math.max(0, (long) (timeMs - history.nowMs())));
   }
 
-  private static void end(ExecutorService executor) throws InterruptedException {
+  private static void shutDownAndAwait(ExecutorService executor) throws InterruptedException {
     executor.shutdown();
-    if (!executor.awaitTermination(WAIT_SECONDS, TimeUnit.SECONDS)) {
-      throw new IllegalStateException("a part of the run did not end");
+    if (!executor.awaitTermination(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+      throw new IllegalStateException("an executor did not terminate in time");
     }
   }
 
-  private interface Work {
+  private interface Task {
     void run() throws IOException, InterruptedException;
   }
 
-  private interface GatewayWork {
+  private interface GatewayTask {
     void run(SoakGateway gateway) throws IOException, InterruptedException;
   }
 
-  private void play(SoakPlan.Step step) {
+  private void execute(SoakPlan.Step step) {
     switch (step.action()) {
-      case RELOAD -> onGateway(step, SoakGateway::reload);
-      case RELOAD_SERIES -> onGateway(step, SoakGateway::reloadSeries);
-      case RESTART -> onGateway(step, gateway -> gateway.restart(List.of("TERM")));
+      case RELOAD -> runOnGateway(step, SoakGateway::reload);
+      case RELOAD_SERIES -> runOnGateway(step, SoakGateway::reloadRepeatedly);
+      case RESTART -> runOnGateway(step, gateway -> gateway.restart(List.of("TERM")));
       case RELOAD_THEN_RESTART ->
-          onGateway(step, gateway -> gateway.restart(List.of("HUP", "TERM")));
+          runOnGateway(step, gateway -> gateway.restart(List.of("HUP", "TERM")));
       case RESTART_WITH_SECOND_SIGTERM ->
-          onGateway(step, gateway -> gateway.restart(List.of("TERM", "TERM")));
-      case KILL -> onGateway(step, SoakGateway::kill);
+          runOnGateway(step, gateway -> gateway.restart(List.of("TERM", "TERM")));
+      case KILL -> runOnGateway(step, SoakGateway::kill);
       case DRAIN_THEN_UNDRAIN ->
-          onGateway(step, gateway -> gateway.drainThenUndrain(UNDRAIN_AFTER_MS));
-      case UPGRADE -> onGateway(step, SoakGateway::upgrade);
-      case DRAIN_BACKEND -> drainBackend(backend(step));
-      case REMOVE_BACKEND -> removeBackend(backend(step));
+          runOnGateway(step, gateway -> gateway.drainThenUndrain(UNDRAIN_AFTER_MS));
+      case UPGRADE -> runOnGateway(step, SoakGateway::upgrade);
+      case DRAIN_BACKEND -> toggleBackendDrain(backendIndex(step));
+      case REMOVE_BACKEND -> removeBackend(backendIndex(step));
       case SILENCE_DISCOVERY ->
-          on(
+          runOn(
               discoveryOperator,
               step,
               () -> silenceDiscovery(1_000 + (long) (3_000 * step.choice())));
       case FAIL_DISCOVERY ->
-          on(discoveryOperator, step, () -> failDiscovery(1_000 + (long) (2_000 * step.choice())));
-      case DISTURB_COUNTER -> on(counterOperator, step, () -> disturbCounter(step.choice()));
+          runOn(
+              discoveryOperator, step, () -> failDiscovery(1_000 + (long) (2_000 * step.choice())));
+      case DISTURB_COUNTER -> runOn(counterOperator, step, () -> disruptCounter(step.choice()));
     }
-    if (plan.crowd() > 0 && crowd.isEmpty()) {
-      openCrowd(gateways.get(step.target()));
+    if (plan.idleConnections() > 0 && idleConnections.isEmpty()) {
+      openIdleConnections(gateways.get(step.target()));
     }
   }
 
-  private int backend(SoakPlan.Step step) {
+  private int backendIndex(SoakPlan.Step step) {
     return (int) (step.choice() * plan.backends());
   }
 
-  private void onGateway(SoakPlan.Step step, GatewayWork work) {
+  private void runOnGateway(SoakPlan.Step step, GatewayTask task) {
     SoakGateway gateway = gateways.get(step.target());
-    on(operators.get(step.target()), step, () -> work.run(gateway));
+    runOn(operators.get(step.target()), step, () -> task.run(gateway));
   }
 
-  private void on(ExecutorService operator, SoakPlan.Step step, Work work) {
+  private void runOn(ExecutorService operator, SoakPlan.Step step, Task task) {
     operator.execute(
         () -> {
           try {
-            work.run();
+            task.run();
           } catch (IOException e) {
             gateways.get(step.target()).faults().add(step + " failed: " + e);
           } catch (InterruptedException e) {
@@ -185,79 +192,80 @@
         });
   }
 
-  private void drainBackend(int backend) {
-    if (!discovery.serves(backend)) {
-      discovery.change(backend, "active");
-    } else if (discovery.serving() > 1) {
-      discovery.change(backend, "leaving");
+  private void toggleBackendDrain(int backend) {
+    if (!discovery.isServing(backend)) {
+      discovery.sendState(backend, "active");
+    } else if (discovery.servingCount() > 1) {
+      discovery.sendState(backend, "leaving");
     }
   }
 
   private void removeBackend(int backend) {
-    if (discovery.serves(backend) && discovery.serving() > 1) {
-      discovery.leaveOut(backend);
+    if (discovery.isServing(backend) && discovery.servingCount() > 1) {
+      discovery.removeBackend(backend);
     }
   }
 
   private void silenceDiscovery(long ms) throws InterruptedException {
-    discovery.silence(true);
+    discovery.setSilent(true);
     TimeUnit.MILLISECONDS.sleep(ms);
-    discovery.silence(false);
+    discovery.setSilent(false);
   }
 
   private void failDiscovery(long ms) throws InterruptedException {
-    discovery.fail(true);
+    discovery.setFailing(true);
     TimeUnit.MILLISECONDS.sleep(ms);
-    discovery.fail(false);
+    discovery.setFailing(false);
   }
 
-  private void disturbCounter(double choice) throws InterruptedException {
+  private void disruptCounter(double choice) throws InterruptedException {
     SoakCounter.Mode[] modes = SoakCounter.Mode.values();
-    counter.become(modes[1 + (int) (choice * (modes.length - 1))]);
-    TimeUnit.MILLISECONDS.sleep(DISTURBANCE_MS);
-    counter.become(SoakCounter.Mode.COUNTS);
+    counter.setMode(modes[1 + (int) (choice * (modes.length - 1))]);
+    TimeUnit.MILLISECONDS.sleep(COUNTER_DISRUPTION_MS);
+    counter.setMode(SoakCounter.Mode.NORMAL);
   }
 
-  private void openCrowd(SoakGateway gateway) {
-    for (int i = 0; i < plan.crowd(); i++) {
+  private void openIdleConnections(SoakGateway gateway) {
+    for (int i = 0; i < plan.idleConnections(); i++) {
       try {
-        crowd.add(new Socket(gateway.address().getAddress(), gateway.address().getPort()));
+        idleConnections.add(
+            new Socket(gateway.address().getAddress(), gateway.address().getPort()));
       } catch (IOException e) {
-        // It accepts no more.
+        // The gateway accepts no more connections.
         return;
       }
     }
   }
 
-  private Result check() throws IOException, InterruptedException {
-    for (Socket idle : crowd) {
-      idle.close();
+  private Result checkRun() throws IOException, InterruptedException {
+    for (Socket socket : idleConnections) {
+      socket.close();
     }
-    HistoryChecker checker = new HistoryChecker(history, new RunCircumstances());
+    HistoryChecker checker = new HistoryChecker(history, new SoakRunContext());
     List<Violation> violations = new ArrayList<>(checker.check());
     for (SoakGateway gateway : gateways) {
-      gateway.inspect();
+      gateway.checkProcessAndLog();
       for (String fault : gateway.faults()) {
         violations.add(new Violation("fault", fault, List.of()));
       }
     }
-    violations.addAll(leftOver());
+    violations.addAll(findDescriptorLeaks());
     return new Result(
         plan.seed(),
         history.requests().size(),
-        outcomes(),
+        countOutcomes(),
         checker.checks(),
         checker.voided(),
         violations);
   }
 
-  private Map<String, Long> outcomes() {
+  private Map<String, Long> countOutcomes() {
     return history.requests().keySet().stream()
-        .map(id -> outcome(history.of(id)))
+        .map(id -> outcomeOf(history.eventsOf(id)))
         .collect(Collectors.groupingBy(outcome -> outcome, TreeMap::new, Collectors.counting()));
   }
 
-  private static String outcome(List<HistoryEvent> events) {
+  private static String outcomeOf(List<HistoryEvent> events) {
     return events.stream()
         .filter(event -> event.kind().endsRequest())
         .findFirst()
@@ -269,37 +277,39 @@
         .orElse("none");
   }
 
-  /** What a gateway still holds of the load after a while, beside what it held at its start. */
-  private List<Violation> leftOver() throws IOException, InterruptedException {
-    List<Violation> found = new ArrayList<>();
+  /**
+   * Finds gateways that still hold too many descriptors {@link #SETTLE_MS} after the load ended.
+   */
+  private List<Violation> findDescriptorLeaks() throws IOException, InterruptedException {
+    List<Violation> leaks = new ArrayList<>();
     for (SoakGateway gateway : gateways) {
       if (!gateway.process().isAlive()) {
         continue;
       }
       double untilMs = history.nowMs() + SETTLE_MS;
-      int allowed = gateway.descriptorsWhenReady() + SPARE_DESCRIPTORS;
+      int allowed = gateway.descriptorsWhenReady() + EXTRA_DESCRIPTORS;
       int descriptors = gateway.process().descriptors();
       while (descriptors > allowed && history.nowMs() < untilMs) {
         TimeUnit.MILLISECONDS.sleep(SETTLE_POLL_MS);
         descriptors = gateway.process().descriptors();
       }
       if (descriptors > allowed) {
-        found.add(
+        leaks.add(
             new Violation(
-                "descriptors left over",
+                "descriptor leak",
                 "gateway at " + gateway.address(),
                 List.of(descriptors + " open, " + allowed + " allowed")));
       }
     }
-    return found;
+    return leaks;
   }
 
-  /** What the run knows that rules depend on. */
-  private final class RunCircumstances implements HistoryChecker.Circumstances {
+  /** Gives the rules access to the state of this run. */
+  private final class SoakRunContext implements HistoryChecker.RunContext {
 
     @Override
-    public boolean wasLeaving(int gateway, double timeMs) {
-      return gateways.get(gateway).wasLeaving(timeMs);
+    public boolean wasDrainingOrStopping(int gateway, double timeMs) {
+      return gateways.get(gateway).wasDrainingOrStopping(timeMs);
     }
 
     @Override
@@ -313,19 +323,19 @@
     }
 
     @Override
-    public boolean crowded() {
-      return plan.crowd() > 0;
+    public boolean exhaustsDescriptors() {
+      return plan.idleConnections() > 0;
     }
   }
 
   @Override
   public void close() throws IOException {
     stopped = true;
-    history.lateness().close();
+    history.latenessMonitor().close();
     clients.shutdownNow();
     operators.forEach(ExecutorService::shutdownNow);
-    for (Socket idle : crowd) {
-      idle.close();
+    for (Socket socket : idleConnections) {
+      socket.close();
     }
     for (SoakGateway gateway : gateways) {
       gateway.close();
--- a/src/test/java/quotagateway/soak/SoakTest.java
+++ b/src/test/java/quotagateway/soak/SoakTest.java
@@ -12,22 +12,26 @@
 import quotagateway.policy.GatewayPolicy;
 import quotagateway.testing.GatewayProcess;
 
-/** The soak in short, on fixed seeds; deploy/soak.sh plays more of them. */
+/** A short soak on fixed seeds; {@code deploy/soak.sh} runs more of them. */
 @Timeout(120)
 class SoakTest {
 
-  /** Gateways break a rule under signals, faults of their peers, and clients that leave. */
+  /**
+   * Guards against violations of the service's guarantees under signals, faults of the gateways'
+   * peers, and clients that disconnect.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void seededRunKeepsTheRules(long seed) throws Exception {
-    SoakRun.Result result = SoakCommand.play(SoakPlan.draw(seed, false), SoakTest::command, null);
+  void seededRunHasNoViolations(long seed) throws Exception {
+    SoakRun.Result result =
+        SoakCommand.runPlan(SoakPlan.draw(seed, false), SoakTest::command, null);
     assertEquals(List.of(), result.violations());
-    assertFalse(result.isVoid(), () -> "not run: " + result);
+    assertFalse(result.isVoid(), () -> "too many checks are voided: " + result);
   }
 
   private static List<String> command(Path temporaryFolder) throws IOException {
-    String classes =
+    String classPath =
         GatewayPolicy.class.getProtectionDomain().getCodeSource().getLocation().getPath();
-    return GatewayProcess.commandOf(classes, temporaryFolder);
+    return GatewayProcess.commandOf(classPath, temporaryFolder);
   }
 }
--- a/src/test/java/quotagateway/soak/Violation.java
+++ b/src/test/java/quotagateway/soak/Violation.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * A rule that was broken.
+ * A violation of a guarantee of the service.
  *
- * @param rule its name
- * @param subject the request or gateway
- * @param history what was seen, a line each
+ * @param rule name of the violated rule, or a short description of the fault
+ * @param subject what violated the rule, such as a request's identifier or a gateway
+ * @param history evidence, one line each
  */
 record Violation(String rule, String subject, List<String> history) {
 
--- a/src/test/java/quotagateway/soak/package-info.java
+++ b/src/test/java/quotagateway/soak/package-info.java
@@ -1,5 +1,7 @@
 /**
- * Soak of real gateway processes between stand-ins of their peers. What happens is drawn from a
- * seed; what every stand-in saw is kept as a history by request, on which the rules are checked.
+ * Soak test of real gateway processes whose clients, backends, shared counter and discovery agent
+ * are stand-ins. The steps and faults of a run are drawn from a seed. The clients and backends
+ * record the events of each request in a history, which is then checked against the rules of the
+ * service.
  */
 package quotagateway.soak;
