--- a/src/test/java/quotagateway/DeployFileTest.java
+++ b/src/test/java/quotagateway/DeployFileTest.java
@@ -14,25 +14,25 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The deploy file and the sources agree. */
+/** Checks that {@code deploy/balancer.toml} matches the sources. */
 class DeployFileTest {
 
   private static final Path SOURCES = Path.of("src/main/java/quotagateway");
 
   /**
-   * The deploy file names the files that make decisions one by one: a folder counts as not there,
-   * and so does a new file that nobody has added.
+   * The deploy file must list each file of the decision code by name. An entry for a folder counts
+   * as missing, and a new file is not covered until it is added.
    */
   @Test
-  void policyListsEachFileThatDecides() throws IOException {
+  void policyListsEveryFileOfDecisionCode() throws IOException {
     Set<String> files = new TreeSet<>();
     files.addAll(sourcesIn(SOURCES.resolve("policy")));
     files.addAll(sourcesIn(SOURCES.resolve("endpoint")));
     assertFalse(files.isEmpty());
-    assertEquals(files, listed("policy"));
+    assertEquals(files, listedFiles("policy"));
   }
 
-  /** Sources without declarations, as package descriptions, decide nothing. */
+  /** Returns the source files below a folder without package-info files, which have no code. */
   private static Set<String> sourcesIn(Path folder) throws IOException {
     Set<String> files = new TreeSet<>();
     try (Stream<Path> paths = Files.walk(folder)) {
@@ -44,15 +44,15 @@
     return files;
   }
 
-  private static Set<String> listed(String key) throws IOException {
+  private static Set<String> listedFiles(String key) throws IOException {
     String deployFile = Files.readString(Path.of("deploy/balancer.toml"));
-    Pattern list = Pattern.compile("^" + key + " = \\[([^\\]]*)\\]", Pattern.MULTILINE);
-    Matcher lists = list.matcher(deployFile);
-    assertTrue(lists.find(), "no list " + key);
+    Pattern listPattern = Pattern.compile("^" + key + " = \\[([^\\]]*)\\]", Pattern.MULTILINE);
+    Matcher listMatcher = listPattern.matcher(deployFile);
+    assertTrue(listMatcher.find(), "no list named " + key);
     Set<String> entries = new TreeSet<>();
-    Matcher names = Pattern.compile("\"([^\"]*)\"").matcher(lists.group(1));
-    while (names.find()) {
-      entries.add(names.group(1));
+    Matcher entryMatcher = Pattern.compile("\"([^\"]*)\"").matcher(listMatcher.group(1));
+    while (entryMatcher.find()) {
+      entries.add(entryMatcher.group(1));
     }
     return entries;
   }
--- a/src/test/java/quotagateway/architecture/LayeringTest.java
+++ b/src/test/java/quotagateway/architecture/LayeringTest.java
@@ -18,15 +18,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The packages depend on those of lower layers only, as docs/ARCHITECTURE.md shows them. A rule
- * that is broken once is broken for good: the next class finds its way through the same hole. As
- * packages of one layer do not see each other, no package depends on itself through others.
+ * Checks that packages depend on packages of lower layers only, as docs/ARCHITECTURE.md shows them.
+ * A single violation makes further ones likely, as later classes can follow the same path. As
+ * packages of the same layer don't depend on each other, there are no cycles between packages.
  */
 class LayeringTest {
 
   private static final String ROOT = "quotagateway.";
 
-  /** From the top down; packages of one line do not see each other. */
+  /** The layers from top to bottom; packages of one layer must not depend on each other. */
   private static final List<List<String>> LAYERS =
       List.of(
           List.of("server", "simulator"),
@@ -45,14 +45,14 @@
           List.of("policy.action", "policy.settings"),
           List.of("endpoint"));
 
-  /** Dependencies that break the layering today, by class; there should be none. */
+  /** Known dependencies that violate the layering, by class; there should be none. */
   private static final Set<String> KNOWN_VIOLATIONS = Set.of();
 
-  private static JavaClasses program;
+  private static JavaClasses classes;
 
   @BeforeAll
-  static void importProgram() {
-    program =
+  static void importClasses() {
+    classes =
         new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
             .importPackages("quotagateway");
@@ -61,7 +61,7 @@
   @Test
   void packagesDependOnLowerLayersOnly() {
     Set<String> violations = new TreeSet<>();
-    for (JavaClass origin : program) {
+    for (JavaClass origin : classes) {
       for (Dependency dependency : origin.getDirectDependenciesFromSelf()) {
         String target = dependency.getTargetClass().getPackageName();
         if (target.startsWith(ROOT) && !mayDependOn(origin.getPackageName(), target)) {
@@ -74,23 +74,24 @@
   }
 
   @Test
-  void everyPackageHasALayer() {
-    for (JavaClass one : program) {
-      String name = one.getPackageName();
-      assertTrue(name.equals("quotagateway") || layerOf(name) >= 0, "no layer for " + name);
+  void everyPackageBelongsToALayer() {
+    for (JavaClass javaClass : classes) {
+      String name = javaClass.getPackageName();
+      assertTrue(
+          name.equals("quotagateway") || layerOf(name) >= 0, "package without a layer: " + name);
     }
   }
 
-  /** Decisions are played on the simulator, with its time and without sockets. */
+  /** The decision code also runs on the simulator, which has its own clock and no sockets. */
   @Test
-  void decisionsSeeNoSocketsNoJsonAndNoSystemClock() {
+  void decisionCodeDoesNotUseSocketsJsonOrSystemClock() {
     ArchRuleDefinition.noClasses()
         .that(resideInAnyPackage(ROOT + "policy..", ROOT + "endpoint.."))
         .should()
         .dependOnClassesThat(
             resideInAnyPackage(
                 "io.netty..", "com.fasterxml..", "java.net..", "java.nio..", "java.time.."))
-        .check(program);
+        .check(classes);
     ArchRuleDefinition.noClasses()
         .that(resideInAnyPackage(ROOT + "policy..", ROOT + "endpoint.."))
         .should()
@@ -100,19 +101,19 @@
                 call ->
                     call.getTargetOwner().isEquivalentTo(System.class)
                         && Set.of("nanoTime", "currentTimeMillis").contains(call.getName())))
-        .check(program);
+        .check(classes);
   }
 
   private static boolean mayDependOn(String from, String to) {
     return from.equals("quotagateway") || from.equals(to) || layerOf(from) < layerOf(to);
   }
 
-  /** The line that a package is in, from 0 at the top, or -1. */
+  /** Returns the index of a package's layer, from 0 at the top, or -1 if it has none. */
   private static int layerOf(String packageName) {
     String name = packageName.substring(Math.min(packageName.length(), ROOT.length()));
-    for (int line = 0; line < LAYERS.size(); line++) {
-      if (LAYERS.get(line).contains(name)) {
-        return line;
+    for (int layer = 0; layer < LAYERS.size(); layer++) {
+      if (LAYERS.get(layer).contains(name)) {
+        return layer;
       }
     }
     return -1;
