--- a/deploy/scale.sh
+++ b/deploy/scale.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
 # Runs the scale tests (package quotagateway.scale, test sources); "deploy/scale.sh --help" lists the options.
-# One collector thread and the first compiler tier alone, as in the run line of deploy/balancer.toml.
+# Uses the serial garbage collector and only the first compiler tier, like the run line of deploy/balancer.toml.
 set -e
 cd "$(dirname "$0")/.."
 mvn -q -B test-compile dependency:build-classpath -Dmdep.includeScope=test \
--- a/deploy/soak.sh
+++ b/deploy/soak.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Plays the soak (package quotagateway.soak, test sources) with the built jar by the run line of deploy/balancer.toml;
-# "deploy/soak.sh --help" lists the options.
+# Runs the soak (package quotagateway.soak, test sources). Builds the jar and starts it with the run line of
+# deploy/balancer.toml; "deploy/soak.sh --help" lists the options.
 set -e
 cd "$(dirname "$0")/.."
 sh deploy/build.sh
--- a/deploy/test.sh
+++ b/deploy/test.sh
@@ -1,13 +1,13 @@
 #!/bin/sh
-# Builds and tests everything: unit tests, formatter, linters. Tests that KNOWN-RED.txt lists (lines
-# "test: Class#method") may fail: such failures are printed and passed over, any other one fails the run.
+# Builds the project and runs all tests, the format check and the linters. Tests listed in KNOWN-RED.txt (lines
+# "test: Class#method") may fail: their failures are printed but don't fail the run; any other failure does.
 set -e
 cd "$(dirname "$0")/.."
 reports=target/surefire-reports
 rm -rf "$reports"
 mvn -B verify -Dmaven.test.failure.ignore=true "$@"
 verdict=0
-# A test process that dies is a failure that Maven ignores too: its classes then have no report.
+# Maven also ignores the crash of a test process, so a test class without a report counts as a failure.
 for class in $(find src/test/java -name '*Test.java' | sed 's#src/test/java/##; s#/#.#g; s#\.java$##'); do
   [ -f "$reports/TEST-$class.xml" ] || { echo "NOT RUN: $class" >&2; verdict=1; }
 done
