--- a/src/main/java/quotagateway/server/ConfigReload.java
+++ b/src/main/java/quotagateway/server/ConfigReload.java
@@ -9,55 +9,50 @@
 import quotagateway.config.InvalidConfigurationException;
 
 /**
- * Replaces the configuration of a running gateway, whole or not at all. What its sockets were set
- * up with (limits, its own addresses, time limits of connections) stays until the next start.
+ * Replaces the configuration of a running gateway, either completely or not at all. Settings that the sockets were created with (resource limits, the gateway's own addresses, connection timeouts) take effect only at the next start.
  */
 final class ConfigReload {
 
   private static final Logger LOG = Logger.getLogger(ConfigReload.class.getName());
 
   private final EventLoop loop;
-  private final GatewayComponents gateway;
+  private final GatewayComponents components;
   private volatile GatewayConfig inUse;
 
-  ConfigReload(EventLoop loop, GatewayComponents gateway, GatewayConfig inUse) {
+  ConfigReload(EventLoop loop, GatewayComponents components, GatewayConfig inUse) {
     this.loop = loop;
-    this.gateway = gateway;
+    this.components = components;
     this.inUse = inUse;
   }
 
-  /** The configuration in use; any thread may ask. */
+  /** Returns the configuration in use. Thread-safe. */
   GatewayConfig inUse() {
     return inUse;
   }
 
   /**
-   * Reads and checks the file on the caller's thread, as the event loop has clients waiting, and
-   * applies it on the loop's.
-   *
-   * <p>Prevents a gateway that serves by half of a configuration: whatever is wrong with the file,
-   * nothing of it is in use, and the log says why. Cost: none.
+   * Reads and validates the file on the caller's thread, so that the event loop stays free for clients, and applies it on the event loop. <p>If anything in the file is invalid, none of it is applied, and the log states why. The gateway therefore never serves with part of a configuration.
    */
   synchronized void reload(Path file) {
     try {
-      GatewayConfig read = ConfigurationFile.reread(file, inUse);
-      inUse = read;
-      loop.execute(() -> apply(read));
+      GatewayConfig newConfig = ConfigurationFile.reread(file, inUse);
+      inUse = newConfig;
+      loop.execute(() -> apply(newConfig));
       LOG.info("configuration reloaded file=" + file);
     } catch (InvalidConfigurationException e) {
       LOG.warning("configuration rejected file=" + file + " reason=" + e.getMessage());
     } catch (RuntimeException e) {
-      // A loop that has shut down takes no tasks, and the process is about to end; a fault of the
-      // program in reading leaves the configuration in use as it is.
+      // Either the event loop has shut down and rejects the task, as the process is about to end, or
+      // a bug made reading fail, which leaves the configuration in use unchanged.
       LOG.warning("configuration not applied file=" + file + " reason=" + e);
     }
   }
 
-  /** In one turn of the event loop, so that no request is served by a part of it. */
+  /** Applies the configuration in one turn of the event loop, so that no request sees part of it. */
   private void apply(GatewayConfig config) {
-    gateway.counter().changeAddress(config.counterAddress());
-    gateway.discovery().changeAddress(config.discoveryAddress());
-    gateway.driver().onSettingsChanged(config.settings());
-    gateway.clients().replaceRequestReader(new RequestReader(config.settings()));
+    components.counter().changeAddress(config.counterAddress());
+    components.discovery().changeAddress(config.discoveryAddress());
+    components.driver().onSettingsChanged(config.settings());
+    components.clients().replaceRequestReader(new RequestReader(config.settings()));
   }
 }
--- a/src/main/java/quotagateway/server/GatewayComponents.java
+++ b/src/main/java/quotagateway/server/GatewayComponents.java
@@ -15,30 +15,28 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * The running parts of one gateway. All belong to its event loop, on whose thread their methods are
- * called, except where they say otherwise.
+ * Holds the running components of one gateway. They are confined to the gateway's event loop: their methods are called on its thread unless documented otherwise.
  */
 record GatewayComponents(
     PolicyDriver driver, ClientServer clients, CounterClient counter, DiscoveryClient discovery) {
 
-  /** How soon descriptors are shared with a second process that has started. */
+  /** Interval between checks for a second process, with which this one shares its descriptors. */
   private static final long OTHER_PROCESS_CHECK_INTERVAL_MS = 500;
 
   /**
-   * Creates the parts and has them connect to the counter and to discovery; clients are not
-   * accepted yet. To be called on the event loop's thread.
+   * Creates the components and connects them to the shared counter and to discovery; clients are not accepted yet. Must be called on the event loop's thread.
    *
-   * @param started which processes of this gateway have started
+   * @param startedProcesses locks that tell which processes of this gateway have started
    */
   static GatewayComponents start(
       GatewayConfig config,
       EventLoop loop,
       MonotonicClock clock,
       Lifecycle lifecycle,
-      UpgradeCoordinator started) {
+      UpgradeCoordinator startedProcesses) {
     ConnectionBudget budget = new ConnectionBudget(config.limits().connections());
     loop.scheduleWithFixedDelay(
-        () -> shareDescriptors(budget, config.limits(), started),
+        () -> shareDescriptors(budget, config.limits(), startedProcesses),
         0,
         OTHER_PROCESS_CHECK_INTERVAL_MS,
         TimeUnit.MILLISECONDS);
@@ -54,25 +52,25 @@
             config.settings().capabilities().counterTimeoutMs(),
             path.driver()::onCounterReplied);
     counter.start();
-    EndpointUpdate known = EndpointUpdate.fromConfiguration(config.knownEndpoints());
-    path.driver().start(counter, known);
+    EndpointUpdate configuredEndpoints = EndpointUpdate.fromConfiguration(config.knownEndpoints());
+    path.driver().start(counter, configuredEndpoints);
     DiscoveryClient discovery =
         new DiscoveryClient(
             loop,
             clock,
             DiscoveryClient.dialer(loop),
             config.discoveryAddress(),
-            known.version(),
+            configuredEndpoints.version(),
             config.limits().endpoints(),
             path.driver()::onEndpointUpdate);
     discovery.start();
     return new GatewayComponents(path.driver(), path.clients(), counter, discovery);
   }
 
-  /** While a second process runs beside this one, each has half of the descriptors. */
+  /** Leaves half of the descriptors to a second process of this gateway while one runs. */
   private static void shareDescriptors(
-      ConnectionBudget budget, ResourceLimits limits, UpgradeCoordinator started) {
-    int shared = started.isOtherProcessPresent() ? limits.connectionsDuringUpgrade() : 0;
-    budget.shareWithOtherProcess(shared);
+      ConnectionBudget budget, ResourceLimits limits, UpgradeCoordinator startedProcesses) {
+    int sharedLimit = startedProcesses.isOtherProcessPresent() ? limits.connectionsDuringUpgrade() : 0;
+    budget.shareWithOtherProcess(sharedLimit);
   }
 }
--- a/src/main/java/quotagateway/server/GatewayServer.java
+++ b/src/main/java/quotagateway/server/GatewayServer.java
@@ -20,8 +20,7 @@
 import quotagateway.transport.SocketTransport;
 
 /**
- * One gateway in this process, from its start to its shutdown. All that clients, backends, the
- * counter and discovery need is done on one event loop; operators have one of their own.
+ * Runs one gateway in this process, from startup to shutdown. A single event loop serves clients, backends, the shared counter and discovery; the admin server has an event loop of its own.
  */
 public final class GatewayServer {
 
@@ -32,44 +31,43 @@
   public final EventLoop loop = group.next();
   private final MonotonicClock clock = new MonotonicClock();
   private final Lifecycle lifecycle = new Lifecycle(clock);
-  private final UpgradeCoordinator started;
-  private final UpgradeCoordinator serving;
+  private final UpgradeCoordinator startedProcesses;
+  private final UpgradeCoordinator servingProcesses;
 
-  /** Null until the parts run; the admin server, which opens before, reads it on its thread. */
+  /** Null until the components are started. Volatile because the admin server opens earlier and reads this field on its own thread. */
   private volatile GatewayComponents components;
 
   private ConfigReload configReload;
   private Channel listener;
 
-  /** Null where the configuration names no address for operators, or it cannot be listened on. */
+  /** Null if the configuration has no admin address, or if the address cannot be bound. */
   private AdminServer admin;
 
-  /** What is done once the parts run and before clients are accepted. */
-  interface Preparation {
-    void prepare(GatewayServer server) throws IOException;
+  /** Runs after the components have started and before the gateway accepts clients. */
+  interface StartupHook {
+    void run(GatewayServer server) throws IOException;
   }
 
   private GatewayServer(Path sharedFolder) {
-    started = new UpgradeCoordinator(sharedFolder, UpgradeCoordinator.STARTED);
-    serving = new UpgradeCoordinator(sharedFolder, UpgradeCoordinator.SERVING);
+    startedProcesses = new UpgradeCoordinator(sharedFolder, UpgradeCoordinator.STARTED);
+    servingProcesses = new UpgradeCoordinator(sharedFolder, UpgradeCoordinator.SERVING);
   }
 
   /**
-   * Starts a gateway and returns when it serves.
+   * Starts a gateway and returns once it accepts clients.
    *
-   * @param sharedFolder which all processes of this gateway share
-   * @throws IOException where it cannot listen for clients
+   * @param sharedFolder folder for lock files, shared by all processes of this gateway @throws IOException if the client address cannot be bound
    */
   public static GatewayServer start(GatewayConfig config, Path sharedFolder)
       throws IOException, InterruptedException {
     return start(config, sharedFolder, server -> {});
   }
 
-  static GatewayServer start(GatewayConfig config, Path sharedFolder, Preparation preparation)
+  static GatewayServer start(GatewayConfig config, Path sharedFolder, StartupHook beforeListening)
       throws IOException, InterruptedException {
     GatewayServer server = new GatewayServer(sharedFolder);
     try {
-      server.open(config, preparation);
+      server.open(config, beforeListening);
     } catch (IOException | InterruptedException | RuntimeException e) {
       server.stop();
       throw e;
@@ -77,22 +75,22 @@
     return server;
   }
 
-  private void open(GatewayConfig config, Preparation preparation)
+  private void open(GatewayConfig config, StartupHook beforeListening)
       throws IOException, InterruptedException {
-    started.announce();
+    startedProcesses.announce();
     openAdmin(config);
     loop.submit(
             () -> {
-              components = GatewayComponents.start(config, loop, clock, lifecycle, started);
+              components = GatewayComponents.start(config, loop, clock, lifecycle, startedProcesses);
             })
         .sync();
     configReload = new ConfigReload(loop, components, config);
-    preparation.prepare(this);
-    // The first log line takes a tenth of a second of a core, which nobody waits for before the
-    // port is open.
+    beforeListening.run(this);
+    // Initializing the logging framework takes 0.1 s of one core. Logging the first line before the
+    // port is open keeps clients from waiting for it.
     LOG.info("listening address=" + config.listenAddress());
     listen(config.listenAddress());
-    serving.announce();
+    servingProcesses.announce();
     lifecycle.startServing();
   }
 
@@ -108,7 +106,7 @@
     listener = bound.channel();
   }
 
-  /** A gateway that operators cannot reach serves its clients all the same. */
+  /** Opens the admin server. A failure is logged and does not stop the gateway, which can serve clients without it. */
   private void openAdmin(GatewayConfig config) {
     if (config.adminAddress() == null) {
       return;
@@ -125,38 +123,38 @@
     return running != null && running.clients().isReady();
   }
 
-  /** Where clients connect. */
+  /** Returns the address that clients connect to. */
   public SocketAddress address() {
     return listener.localAddress();
   }
 
-  /** Where operators connect. */
+  /** Returns the address that operators connect to. */
   public SocketAddress adminAddress() {
     return admin.address();
   }
 
-  /** The running part that accepts clients; for tests, which also look at it on the event loop. */
+  /** Returns the component that accepts clients. For tests, which also inspect it on the event loop. */
   public ClientServer clients() {
     return components.clients();
   }
 
-  /** The state that the running parts read; for tests. */
+  /** Returns the state that the components read. For tests. */
   public Lifecycle lifecycle() {
     return lifecycle;
   }
 
-  /** Replaces the configuration by the file's; see {@link ConfigReload}. */
+  /** Replaces the configuration in use with the contents of the file; see {@link ConfigReload}. */
   void reload(Path file) {
     configReload.reload(file);
   }
 
-  /** Ends the service without losing a request, and returns when it has ended. */
+  /** Shuts down without losing an accepted request, and returns when the shutdown is complete. */
   public void shutDownGracefully() {
-    new GracefulShutdown(loop, lifecycle, components, serving).run(configReload.inUse().settings());
+    new GracefulShutdown(loop, lifecycle, components, servingProcesses).run(configReload.inUse().settings());
     stop();
   }
 
-  /** Closes all connections at once. */
+  /** Closes all connections immediately, without waiting for open requests. */
   public void stop() {
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     if (admin != null) {
--- a/src/main/java/quotagateway/server/GracefulShutdown.java
+++ b/src/main/java/quotagateway/server/GracefulShutdown.java
@@ -9,63 +9,56 @@
 import quotagateway.policy.settings.RequestClass;
 
 /**
- * Ends the service of a gateway without losing a request: accepts connections a little longer,
- * responds to all that was accepted, then closes what is left. Runs on a thread of its own, beside
- * the event loop's.
+ * Shuts a gateway down without losing an accepted request: continues to accept connections for a short time, responds to all accepted requests, then closes the remaining connections. Runs on a thread other than the event loop's.
  */
 final class GracefulShutdown {
 
   /**
-   * For how long connections are still accepted: after SIGTERM new ones go on coming for up to 0.4
-   * s, until the upstream load balancer has noticed.
+   * How long connections are still accepted. After SIGTERM, new connections arrive for up to 0.4 s, until the upstream load balancer has noticed that this gateway is not ready.
    */
   private static final long ACCEPT_MS = (long) ClientServer.DRAIN_NOTICE_MS;
 
   /**
-   * How long after the longest deadline requests may be open: SIGKILL comes no sooner than that
-   * deadline and 0.7 s after SIGTERM.
+   * How long requests may stay open beyond the longest deadline. SIGKILL follows SIGTERM no earlier than that deadline plus 0.7 s.
    */
   private static final long RESPONSE_GRACE_MS = 300;
 
-  /** SIGKILL waits for no longer deadline than this. */
-  private static final double MAX_DEADLINE_MS = 3_000;
+  /** The longest deadline that the delay before SIGKILL allows for. */
+  private static final double MAX_AWAITED_DEADLINE_MS = 3_000;
 
   /**
-   * For how long clients may read their last responses, when no more is accepted; SIGKILL is
-   * further off.
+   * How long clients have to read their last responses after open requests have failed. SIGKILL comes later than that.
    */
-  private static final long LAST_RESPONSES_MS = 330;
+  private static final long LAST_RESPONSE_READ_MS = 330;
 
   private static final long IDLE_CHECK_INTERVAL_MS = 10;
 
   private final EventLoop loop;
   private final Lifecycle lifecycle;
-  private final GatewayComponents gateway;
-  private final UpgradeCoordinator serving;
+  private final GatewayComponents components;
+  private final UpgradeCoordinator servingProcesses;
   private final CountDownLatch idle = new CountDownLatch(1);
 
   /**
-   * @param serving which processes of this gateway serve
+   * @param servingProcesses locks that tell which processes of this gateway serve clients
    */
   GracefulShutdown(
-      EventLoop loop, Lifecycle lifecycle, GatewayComponents gateway, UpgradeCoordinator serving) {
+      EventLoop loop, Lifecycle lifecycle, GatewayComponents components, UpgradeCoordinator servingProcesses) {
     this.loop = loop;
     this.lifecycle = lifecycle;
-    this.gateway = gateway;
-    this.serving = serving;
+    this.components = components;
+    this.servingProcesses = servingProcesses;
   }
 
   /**
-   * Returns once no client is connected, or what is left has been closed.
-   *
-   * @param settings in use, whose longest deadline is waited for
+   * Shuts down and returns once no client is connected or the remaining connections have been closed. @param settings the settings in use, whose longest deadline bounds the wait
    */
   void run(PolicySettings settings) {
     lifecycle.shutDown();
     stopAccepting();
-    watchForIdle();
+    pollForIdle();
     try {
-      if (!idle.await(longestResponseMs(settings), TimeUnit.MILLISECONDS)) {
+      if (!idle.await(responseTimeoutMs(settings), TimeUnit.MILLISECONDS)) {
         closeRemaining();
       }
     } catch (InterruptedException e) {
@@ -74,19 +67,17 @@
   }
 
   /**
-   * Where another process serves at the same address, it gets all new connections as soon as this
-   * one stops accepting, and it is the one that the upstream load balancer asks; so there is
-   * nothing to wait for.
+   * Schedules the end of accepting connections: at once if another process serves at the same address, otherwise after {@link #ACCEPT_MS}. The other process gets all new connections as soon as this one stops accepting, and it is the one that the upstream load balancer checks.
    */
   private void stopAccepting() {
-    long delayMs = serving.isOtherProcessPresent() ? 0 : ACCEPT_MS;
-    loop.schedule(gateway.clients()::stopAccepting, delayMs, TimeUnit.MILLISECONDS);
+    long delayMs = servingProcesses.isOtherProcessPresent() ? 0 : ACCEPT_MS;
+    loop.schedule(components.clients()::stopAccepting, delayMs, TimeUnit.MILLISECONDS);
   }
 
-  private void watchForIdle() {
+  private void pollForIdle() {
     loop.scheduleWithFixedDelay(
         () -> {
-          if (gateway.clients().hasNoConnections()) {
+          if (components.clients().hasNoConnections()) {
             idle.countDown();
           }
         },
@@ -95,17 +86,17 @@
         TimeUnit.MILLISECONDS);
   }
 
-  private static long longestResponseMs(PolicySettings settings) {
+  private static long responseTimeoutMs(PolicySettings settings) {
     double longestDeadlineMs =
         settings.requestClasses().stream().mapToDouble(RequestClass::deadlineMs).max().orElse(0);
-    return RESPONSE_GRACE_MS + (long) Math.min(MAX_DEADLINE_MS, longestDeadlineMs);
+    return RESPONSE_GRACE_MS + (long) Math.min(MAX_AWAITED_DEADLINE_MS, longestDeadlineMs);
   }
 
-  /** Fails open requests; a response that is being streamed goes on for as long as it takes. */
+  /** Fails open requests and waits for clients to read their last responses. Responses that are being streamed continue until they are complete, without a time limit. */
   private void closeRemaining() throws InterruptedException {
-    loop.submit(gateway.clients()::shutDown).sync();
+    loop.submit(components.clients()::shutDown).sync();
     do {
-      idle.await(LAST_RESPONSES_MS, TimeUnit.MILLISECONDS);
-    } while (loop.submit(gateway.driver()::streamingResponseCount).sync().getNow() > 0);
+      idle.await(LAST_RESPONSE_READ_MS, TimeUnit.MILLISECONDS);
+    } while (loop.submit(components.driver()::streamingResponseCount).sync().getNow() > 0);
   }
 }
--- a/src/main/java/quotagateway/server/ReloadSignal.java
+++ b/src/main/java/quotagateway/server/ReloadSignal.java
@@ -5,15 +5,13 @@
 import java.lang.reflect.Proxy;
 
 /**
- * SIGHUP, which asks for a reload of the configuration and would end the JVM where nothing handles
- * it. The JDK's one interface to signals is reached by reflection, as the compiler warns of every
- * other use of it, and warnings are errors here.
+ * Handles SIGHUP, which requests a reload of the configuration; without a handler it would end the JVM. The JDK's only API for signals, {@code sun.misc.Signal}, is accessed by reflection: the compiler warns about direct use, and this build treats warnings as errors.
  */
 final class ReloadSignal {
 
   private static final String NAME = "HUP";
 
-  /** The signal cannot be handled in this process. */
+  /** Thrown if SIGHUP cannot be handled in this process. */
   static final class UnavailableException extends IOException {
 
     private static final long serialVersionUID = 1;
@@ -26,15 +24,9 @@
   private ReloadSignal() {}
 
   /**
-   * Runs the action on each SIGHUP from now on, on a thread of the JVM's own.
+   * Runs the action on each SIGHUP from now on, on a JVM thread. <p>Startup fails if the JVM does not handle the signal. Otherwise a reload would be silently ignored, leaving the gateway on an old configuration, or it would end the process.
    *
-   * <p>Prevents a gateway that serves by an old configuration for good: where the JVM leaves the
-   * signal alone, a reload would be ignored in silence, or end the process. Cost: such a gateway
-   * does not start.
-   *
-   * @throws UnavailableException where the JVM leaves the signal alone: where it was ignored when
-   *     the process started, which a process inherits (as from nohup), or where the JVM's options
-   *     forbid handlers
+   * @throws UnavailableException if the JVM does not handle the signal: because it was ignored when the process started, a disposition that processes inherit (for example from nohup), or because JVM options forbid signal handlers
    */
   static void handle(Runnable reload) throws UnavailableException {
     if (install(reload) == ignoringHandler()) {
@@ -44,12 +36,12 @@
     }
   }
 
-  /** Installs the action as the handler; returns the handler before it. */
+  /** Installs the action as the signal handler and returns the previous handler. */
   private static Object install(Runnable reload) throws UnavailableException {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
-      Class<?> handler = handlerType();
-      Object handling =
+      Class<?> handler = handlerInterface();
+      Object reloadHandler =
           Proxy.newProxyInstance(
               ReloadSignal.class.getClassLoader(),
               new Class<?>[] {handler},
@@ -59,27 +51,26 @@
               });
       return signal
           .getMethod("handle", signal, handler)
-          .invoke(null, signal.getConstructor(String.class).newInstance(NAME), handling);
+          .invoke(null, signal.getConstructor(String.class).newInstance(NAME), reloadHandler);
     } catch (InvocationTargetException e) {
       throw new UnavailableException(e.getCause().getMessage(), e.getCause());
     } catch (ReflectiveOperationException e) {
-      throw new UnavailableException("this Java has no interface to signals", e);
+      throw new UnavailableException("this JVM has no signal API", e);
     }
   }
 
   /**
-   * What HotSpot returns as the handler before where the process inherited the signal as ignored;
-   * it then installs nothing and reports no error.
+   * Returns the handler that stands for an ignored signal. HotSpot returns it as the previous handler if the process inherited the signal as ignored; in this case it installs nothing and reports no error.
    */
   private static Object ignoringHandler() throws UnavailableException {
     try {
-      return handlerType().getField("SIG_IGN").get(null);
+      return handlerInterface().getField("SIG_IGN").get(null);
     } catch (ReflectiveOperationException e) {
-      throw new UnavailableException("this Java has no interface to signals", e);
+      throw new UnavailableException("this JVM has no signal API", e);
     }
   }
 
-  private static Class<?> handlerType() throws ClassNotFoundException {
+  private static Class<?> handlerInterface() throws ClassNotFoundException {
     return Class.forName("sun.misc.SignalHandler");
   }
 }
--- a/src/main/java/quotagateway/server/RequestPath.java
+++ b/src/main/java/quotagateway/server/RequestPath.java
@@ -13,19 +13,14 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * The parts that a request passes between its client and a backend. They belong to one event loop.
- *
- * @param driver of the policy
- * @param clients accepts requests, and gives them to the driver
+ * Holds the components that process a request between its client and a backend. They are confined to one event loop. @param driver runs the policy @param clients accepts requests and passes them to the driver
  */
 record RequestPath(PolicyDriver driver, ClientServer clients) {
 
   /**
-   * Creates the parts; the driver is not started yet.
-   *
-   * @param seed of the policy's random draws
+   * Creates the components; the caller starts the driver. @param seed seed of the policy's random generator
    * @param backendDialer opens connections to backends
-   * @param budget shared by the connections of clients and to backends
+   * @param budget shared by client and backend connections
    */
   static RequestPath create(
       GatewayConfig config,
@@ -36,16 +31,16 @@
       ConnectionBudget budget,
       Lifecycle lifecycle) {
     GatewayPolicy policy = new GatewayPolicy(config.settings(), seed);
-    BackendConnectionPool backends =
+    BackendConnectionPool backendPool =
         new BackendConnectionPool(
             loop, clock, backendDialer, config.idleTimeoutMs(), budget, policy.servingEndpoints());
-    PolicyDriver driver = new PolicyDriver(loop, clock, policy, backends);
+    PolicyDriver driver = new PolicyDriver(loop, clock, policy, backendPool);
     ClientServer clients =
         new ClientServer(
             loop,
             clock,
             driver,
-            backends,
+            backendPool,
             new RequestReader(config.settings()),
             config.limits(),
             budget,
--- a/src/main/java/quotagateway/server/ServeCommand.java
+++ b/src/main/java/quotagateway/server/ServeCommand.java
@@ -8,8 +8,7 @@
 import quotagateway.config.InvalidConfigurationException;
 
 /**
- * The command that serves clients until the process is told to end: the one place that knows the
- * environment and handles signals. SIGHUP reloads the configuration; SIGTERM shuts down gracefully.
+ * Implements the command that serves clients until the process is terminated. Only this class reads the environment and registers signal handlers: SIGHUP reloads the configuration, and SIGTERM shuts down gracefully.
  */
 public final class ServeCommand {
 
@@ -21,25 +20,23 @@
   /**
    * Starts the gateway and returns; its threads keep the process alive.
    *
-   * @param environment of the process
-   * @throws InvalidConfigurationException where the configuration cannot be read or served by
-   * @throws IOException where SIGHUP cannot be handled, or the address cannot be listened on
+   * @param environment the environment variables of the process @throws InvalidConfigurationException if the configuration cannot be read or is invalid @throws IOException if SIGHUP cannot be handled or the client address cannot be bound
    */
   public static void run(Map<String, String> environment)
       throws IOException, InterruptedException, InvalidConfigurationException {
-    String fileName = environment.get(CONFIGURATION_VARIABLE);
-    if (fileName == null) {
+    String configFileName = environment.get(CONFIGURATION_VARIABLE);
+    if (configFileName == null) {
       throw new InvalidConfigurationException(CONFIGURATION_VARIABLE, "is not set");
     }
-    Path file = Path.of(fileName);
+    Path file = Path.of(configFileName);
     GatewayConfig config =
         ConfigurationFile.read(file).withAdminAddress(environment.get(ADMIN_ADDRESS_VARIABLE));
     Path sharedFolder = Path.of(System.getProperty("java.io.tmpdir"));
-    GatewayServer.start(config, sharedFolder, server -> prepare(server, file, config));
+    GatewayServer.start(config, sharedFolder, server -> installHandlersAndWarmUp(server, file, config));
   }
 
-  /** Before clients are accepted, so that their requests are safe from the first one on. */
-  private static void prepare(GatewayServer server, Path file, GatewayConfig config)
+  /** Installs the signal handlers and warms up before clients are accepted, so that no accepted request is lost to a signal. */
+  private static void installHandlersAndWarmUp(GatewayServer server, Path file, GatewayConfig config)
       throws IOException {
     ReloadSignal.handle(() -> server.reload(file));
     Runtime.getRuntime().addShutdownHook(new Thread(server::shutDownGracefully, "shutdown"));
--- a/src/main/java/quotagateway/server/UpgradeCoordinator.java
+++ b/src/main/java/quotagateway/server/UpgradeCoordinator.java
@@ -8,24 +8,19 @@
 import java.util.logging.Logger;
 
 /**
- * Whether another process of this gateway has come as far as this one, as during an upgrade. Each
- * holds a lock on a file in the folder that both share.
- *
- * <p>Prevents a process that was killed from being taken for one that runs, by which a shutdown
- * would refuse connections that nobody else accepts: a lock ends with its holder, while the content
- * of a file may be stale. Cost: a file is opened for each look.
+ * Detects whether another process of this gateway has reached the same state, as during an upgrade. Each process holds a lock on a file in a folder that both share. <p>A lock is released when its holder dies, whereas the content of a file may be stale. Without locks, a killed process could be mistaken for a running one, and a shutdown would refuse connections that no other process accepts. The drawback is that each check opens a file.
  */
 final class UpgradeCoordinator {
 
   private static final Logger LOG = Logger.getLogger(UpgradeCoordinator.class.getName());
 
-  /** The lock says that a process has started. */
+  /** State of a process that has started. */
   static final String STARTED = "started";
 
-  /** The lock says that a process serves clients. */
+  /** State of a process that serves clients. */
   static final String SERVING = "serving";
 
-  /** An old process and the new one beside it. */
+  /** The old process and the new one during an upgrade. */
   private static final int MAX_PROCESSES = 2;
 
   private static final int NO_SLOT = -1;
@@ -34,19 +29,18 @@
   private final String state;
   private int ownSlot = NO_SLOT;
 
-  /** Never closed: the lock lives as long as the process. */
+  /** Never closed, so that the lock is held until the process ends. */
   private FileChannel ownLock;
 
   /**
-   * @param folder that the processes share
-   * @param state what the lock says of its holder
+   * @param folder the folder that the processes share @param state the state that a lock stands for
    */
   UpgradeCoordinator(Path folder, String state) {
     this.folder = folder;
     this.state = state;
   }
 
-  /** Lets other processes know from now on that this one is in the state. */
+  /** Acquires a lock to tell other processes that this one has reached the state. A failure is logged. */
   void announce() {
     for (int slot = 0; slot < MAX_PROCESSES && ownSlot == NO_SLOT; slot++) {
       try {
@@ -60,7 +54,7 @@
     }
   }
 
-  /** Whether another process is in the state; false where this one is not in it itself. */
+  /** Returns whether another process has reached the state; always false if this process holds no lock itself. */
   boolean isOtherProcessPresent() {
     if (ownSlot == NO_SLOT) {
       return false;
@@ -74,7 +68,7 @@
     return present;
   }
 
-  /** What cannot be locked for another cause than a lock has no holder. */
+  /** Returns whether another process holds the lock; an I/O error counts as not locked. */
   private boolean isLocked(int slot) {
     try {
       FileChannel lock = tryLock(slot);
@@ -85,7 +79,7 @@
     }
   }
 
-  /** The locked file, or null where it is locked already. */
+  /** Returns the locked file, or null if it is locked already. */
   private FileChannel tryLock(int slot) throws IOException {
     FileChannel file =
         FileChannel.open(
@@ -97,7 +91,7 @@
         return file;
       }
     } catch (OverlappingFileLockException e) {
-      // Locked, by this process.
+      // This process already holds the lock.
     } catch (IOException e) {
       close(file);
       throw e;
--- a/src/main/java/quotagateway/server/WarmUp.java
+++ b/src/main/java/quotagateway/server/WarmUp.java
@@ -27,27 +27,21 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * Serves made-up requests by a gateway of its own, without sockets, so that the code is loaded and
- * compiled before the first client comes.
- *
- * <p>Prevents a start that lasts into service where CPU is short: cold code needs some ten times
- * the CPU for a request, so the first ones would be served late. Cost: the start takes longer, by
- * the time limit at most, and for so long a restarted gateway is missed.
+ * Serves synthetic requests with a separate gateway that has no sockets, so that the code is loaded and compiled before the first client connects. <p>Cold code needs about ten times the CPU for a request. Without a warm-up, the first requests would be served late where CPU is short. The drawback is a longer startup, by the time limit at most, during which a restarted gateway is unavailable.
  */
 final class WarmUp {
 
   private static final Logger LOG = Logger.getLogger(WarmUp.class.getName());
 
-  /** Ten times what the compiler counts to before it compiles a method: 20, by the deploy file. */
+  /** Ten times the compiler's invocation threshold, which the deploy file sets to 20. */
   static final int REQUESTS = 200;
 
   /**
-   * The most CPU that a start may spend on it, as a restarted gateway is missed meanwhile; the
-   * requests need some 500 ms of it.
+   * The CPU time that a warm-up may use, since a restarted gateway is unavailable meanwhile. The requests need about 500 ms of it.
    */
   private static final double MAX_CPU_MS = 1_200;
 
-  /** A smaller part of a core counts as this, which bounds the time limit. */
+  /** Lower bound for the available share of a core, which bounds the time limit. */
   private static final double MIN_CORES = 0.1;
 
   private static final int BACKENDS = 8;
@@ -62,42 +56,41 @@
   private final GatewayConfig config;
   private final MonotonicClock clock = new MonotonicClock();
 
-  /** Its timers never run, and nothing keeps it alive afterwards. */
+  /** Timers on this loop never run, and no reference keeps it alive after the warm-up. */
   private final EventLoop loop = new EmbeddedChannel().eventLoop();
 
-  /** The ends of the gateway's connections to its peers. */
+  /** The backends' ends of the gateway's connections. */
   private final List<EmbeddedChannel> backends = new ArrayList<>();
 
   private final List<EmbeddedChannel> counters = new ArrayList<>();
-  private int served;
+  private int servedRequests;
 
   WarmUp(GatewayConfig config) {
     this.config = config;
   }
 
   /**
-   * The time in which the most CPU is to be had from the part of a core that this gateway gets, in
-   * milliseconds.
+   * Returns the wall-clock time, in milliseconds, in which the available share of a core provides {@link #MAX_CPU_MS} of CPU time.
    */
   double timeLimitMs() {
     double cores = Math.min(1, Math.max(MIN_CORES, config.limits().cores()));
     return MAX_CPU_MS / cores;
   }
 
-  /** Stops after the time limit in any case; gives how many requests were served. */
+  /** Serves the synthetic requests until all are served or the time limit has passed. Returns how many succeeded. */
   int run(double timeLimitMs) {
     try {
       serveRequests(clock.now() + timeLimitMs);
     } catch (RuntimeException e) {
-      // A fault of the program, or settings that make no request that it serves. The gateway that
-      // clients use is another one, so it starts all the same, only colder.
-      LOG.log(Level.WARNING, "warm-up failed served=" + served, e);
+      // Either a bug, or settings for which no valid request can be built. Clients use another gateway
+      // instance, so startup continues with code that is less warm.
+      LOG.log(Level.WARNING, "warm-up failed served=" + servedRequests, e);
     }
-    return served;
+    return servedRequests;
   }
 
   private void serveRequests(double endAtMs) {
-    ClientServer clients = createGateway();
+    ClientServer clients = createClientServer();
     for (int i = 0; i < REQUESTS && clock.now() < endAtMs; i += REQUESTS_PER_CONNECTION) {
       serveConnection(clients, i);
     }
@@ -105,7 +98,7 @@
     counters.forEach(Channel::close);
   }
 
-  private ClientServer createGateway() {
+  private ClientServer createClientServer() {
     ConnectionBudget unlimited = new ConnectionBudget(Integer.MAX_VALUE / 2);
     RequestPath path =
         RequestPath.create(
@@ -139,11 +132,11 @@
               }
             });
     for (int i = 0; i < REQUESTS_PER_CONNECTION; i++) {
-      client.writeInbound(text(request(firstRequest + i)));
+      client.writeInbound(ascii(request(firstRequest + i)));
       respond(counters, COUNTER_REPLY);
       respond(backends, BACKEND_RESPONSE);
       if (readsSuccess(client)) {
-        served++;
+        servedRequests++;
       }
     }
     client.close();
@@ -166,17 +159,17 @@
     return channel.newSucceededFuture();
   }
 
-  /** Responds on each connection on which something was asked. */
+  /** Sends the response on each connection that has received a request, and forgets closed ones. */
   private static void respond(List<EmbeddedChannel> peers, String response) {
     for (EmbeddedChannel channel : List.copyOf(peers)) {
       if (channel.releaseOutbound()) {
-        channel.writeInbound(text(response));
+        channel.writeInbound(ascii(response));
       }
     }
     peers.removeIf(channel -> !channel.isActive());
   }
 
-  private static ByteBuf text(String text) {
+  private static ByteBuf ascii(String text) {
     return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
   }
 
