--- a/src/main/java/quotagateway/server/GatewayComponents.java
+++ b/src/main/java/quotagateway/server/GatewayComponents.java
@@ -26,6 +26,7 @@
   /**
    * Creates the components and connects them to the shared counter and to discovery; clients are not accepted yet. Must be called on the event loop's thread.
    *
+   *
    * @param startedProcesses locks that tell which processes of this gateway have started
    */
   static GatewayComponents start(
--- a/src/main/java/quotagateway/server/GatewayServer.java
+++ b/src/main/java/quotagateway/server/GatewayServer.java
@@ -56,7 +56,9 @@
   /**
    * Starts a gateway and returns once it accepts clients.
    *
-   * @param sharedFolder folder for lock files, shared by all processes of this gateway @throws IOException if the client address cannot be bound
+   *
+   * @param sharedFolder folder for lock files, shared by all processes of this gateway
+   * @throws IOException if the client address cannot be bound
    */
   public static GatewayServer start(GatewayConfig config, Path sharedFolder)
       throws IOException, InterruptedException {
--- a/src/main/java/quotagateway/server/GracefulShutdown.java
+++ b/src/main/java/quotagateway/server/GracefulShutdown.java
@@ -40,6 +40,7 @@
   private final CountDownLatch idle = new CountDownLatch(1);
 
   /**
+   *
    * @param servingProcesses locks that tell which processes of this gateway serve clients
    */
   GracefulShutdown(
@@ -51,7 +52,8 @@
   }
 
   /**
-   * Shuts down and returns once no client is connected or the remaining connections have been closed. @param settings the settings in use, whose longest deadline bounds the wait
+   * Shuts down and returns once no client is connected or the remaining connections have been closed.
+   * @param settings the settings in use, whose longest deadline bounds the wait
    */
   void run(PolicySettings settings) {
     lifecycle.shutDown();
--- a/src/main/java/quotagateway/server/ReloadSignal.java
+++ b/src/main/java/quotagateway/server/ReloadSignal.java
@@ -26,6 +26,7 @@
   /**
    * Runs the action on each SIGHUP from now on, on a JVM thread. <p>Startup fails if the JVM does not handle the signal. Otherwise a reload would be silently ignored, leaving the gateway on an old configuration, or it would end the process.
    *
+   *
    * @throws UnavailableException if the JVM does not handle the signal: because it was ignored when the process started, a disposition that processes inherit (for example from nohup), or because JVM options forbid signal handlers
    */
   static void handle(Runnable reload) throws UnavailableException {
--- a/src/main/java/quotagateway/server/ServeCommand.java
+++ b/src/main/java/quotagateway/server/ServeCommand.java
@@ -20,7 +20,10 @@
   /**
    * Starts the gateway and returns; its threads keep the process alive.
    *
-   * @param environment the environment variables of the process @throws InvalidConfigurationException if the configuration cannot be read or is invalid @throws IOException if SIGHUP cannot be handled or the client address cannot be bound
+   *
+   * @param environment the environment variables of the process
+   * @throws InvalidConfigurationException if the configuration cannot be read or is invalid
+   * @throws IOException if SIGHUP cannot be handled or the client address cannot be bound
    */
   public static void run(Map<String, String> environment)
       throws IOException, InterruptedException, InvalidConfigurationException {
--- a/src/main/java/quotagateway/server/UpgradeCoordinator.java
+++ b/src/main/java/quotagateway/server/UpgradeCoordinator.java
@@ -33,7 +33,9 @@
   private FileChannel ownLock;
 
   /**
-   * @param folder the folder that the processes share @param state the state that a lock stands for
+   *
+   * @param folder the folder that the processes share
+   * @param state the state that a lock stands for
    */
   UpgradeCoordinator(Path folder, String state) {
     this.folder = folder;
--- a/src/test/java/quotagateway/server/GatewayServerTest.java
+++ b/src/test/java/quotagateway/server/GatewayServerTest.java
@@ -32,7 +32,7 @@
 import quotagateway.testing.TestRequests;
 import quotagateway.testing.TextStreams;
 
-/** The gateway between small peers on loopback: what clients get, and what backends are sent. */
+/** Tests the gateway with fake peers on loopback: what clients receive and what backends are sent. */
 @Timeout(30)
 class GatewayServerTest {
 
@@ -55,19 +55,19 @@
                     + request.body().length
                     + "\r\n\r\n"
                     + request.text());
-    HttpMessage answer = fixture.client().ask(TestRequests.post("r1", body));
-    HttpMessage sent = TestQueues.next(fixture.backend.received);
-    assertEquals("POST /buy/9 HTTP/1.1", sent.firstLine());
-    assertEquals("r1", sent.header("Request-Id"));
-    assertEquals("key-r1", sent.header("Idempotency-Key"));
-    assertTrue(Integer.parseInt(sent.header("Request-Timeout-Ms")) <= 3000);
-    assertArrayEquals(body.getBytes(StandardCharsets.ISO_8859_1), sent.body());
-    assertEquals(200, answer.status());
-    assertArrayEquals(sent.body(), answer.body());
+    HttpMessage response = fixture.client().ask(TestRequests.post("r1", body));
+    HttpMessage forwarded = TestQueues.next(fixture.backend.received);
+    assertEquals("POST /buy/9 HTTP/1.1", forwarded.firstLine());
+    assertEquals("r1", forwarded.header("Request-Id"));
+    assertEquals("key-r1", forwarded.header("Idempotency-Key"));
+    assertTrue(Integer.parseInt(forwarded.header("Request-Timeout-Ms")) <= 3000);
+    assertArrayEquals(body.getBytes(StandardCharsets.ISO_8859_1), forwarded.body());
+    assertEquals(200, response.status());
+    assertArrayEquals(forwarded.body(), response.body());
   }
 
   @Test
-  void connectionsOfClientsAndToBackendsAreReused() throws Exception {
+  void reusesClientAndBackendConnections() throws Exception {
     AtomicInteger connections = new AtomicInteger();
     int port =
         fixture
@@ -87,7 +87,7 @@
       assertEquals("fine", client.ask(TestRequests.get("r" + i, 3000)).text());
       assertEquals(
           "GET /quote/17?a=%20b&c HTTP/1.1", TestQueues.next(fixture.backend.received).firstLine());
-      // A connection is used again only once it is seen that nothing follows the answer.
+      // The pool reuses a connection only after verifying that nothing follows the response.
       TimeUnit.MILLISECONDS.sleep(30);
     }
     assertEquals(1, connections.get());
@@ -108,41 +108,40 @@
     }
   }
 
-  /** A backend that rejects has executed nothing: the gateway may retry what is not idempotent. */
+  /** A backend that rejects an attempt has not executed it, so the gateway may retry a request that is not idempotent. */
   @Test
   void rejectedAttemptIsRetried() throws Exception {
     fixture.start();
-    AtomicInteger asked = new AtomicInteger();
+    AtomicInteger attempts = new AtomicInteger();
     fixture.backend.responder =
         (request, out) ->
             TextStreams.write(
                 out,
-                asked.incrementAndGet() == 1
+                attempts.incrementAndGet() == 1
                     ? FakeBackend.NOT_STARTED_RESPONSE
                     : FakeBackend.OK_RESPONSE);
     assertEquals(200, fixture.client().ask(TestRequests.post("r1", "b")).status());
-    assertEquals(2, asked.get());
+    assertEquals(2, attempts.get());
   }
 
   /**
-   * A connection that breaks behind the request leaves open whether it was executed. The retry must
-   * carry the same idempotency key, or the backend would execute it twice.
+   * If the connection breaks after the request was sent, the backend may have executed it. Without the same idempotency key, the backend would execute the retry a second time.
    */
   @Test
-  void attemptWhoseConnectionBreaksIsRetriedWithTheSameIdempotencyKey() throws Exception {
+  void retriesWithSameIdempotencyKeyAfterConnectionBreaks() throws Exception {
     fixture.start();
-    AtomicInteger asked = new AtomicInteger();
+    AtomicInteger attempts = new AtomicInteger();
     fixture.backend.responder =
         (request, out) ->
-            asked.incrementAndGet() > 1 && TextStreams.write(out, FakeBackend.OK_RESPONSE);
+            attempts.incrementAndGet() > 1 && TextStreams.write(out, FakeBackend.OK_RESPONSE);
     assertEquals(200, fixture.client().ask(TestRequests.post("r1", "b")).status());
     assertEquals("key-r1", TestQueues.next(fixture.backend.received).header("Idempotency-Key"));
     assertEquals("key-r1", TestQueues.next(fixture.backend.received).header("Idempotency-Key"));
   }
 
-  /** A backend that dies in the middle of a response must not look like a success. */
+  /** A backend fails in the middle of a response; the client must not receive a success. */
   @Test
-  void truncatedResponseIsNotPassedOnAsSuccess() throws Exception {
+  void truncatedResponseIsNotForwardedAsSuccess() throws Exception {
     fixture.start();
     fixture.backend.responder =
         (request, out) -> {
@@ -152,58 +151,56 @@
     assertNotEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
   }
 
-  /** A backend that speaks no HTTP costs its connection, not the requests. */
+  /** A backend responds with something other than HTTP. Its connection is lost, but the request is retried. */
   @Test
   void malformedResponseIsRetriedAndLaterRequestsAreServed() throws Exception {
     fixture.start();
-    AtomicInteger asked = new AtomicInteger();
+    AtomicInteger attempts = new AtomicInteger();
     fixture.backend.responder =
         (request, out) ->
             TextStreams.write(
                 out,
-                asked.incrementAndGet() == 1 ? "no http at all\r\n\r\n" : FakeBackend.OK_RESPONSE);
+                attempts.incrementAndGet() == 1 ? "no http at all\r\n\r\n" : FakeBackend.OK_RESPONSE);
     assertEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
     assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
   }
 
-  /** No backend listens: nothing was executed, and the client may repeat its request harmlessly. */
+  /** No backend listens. The request was not executed, so the client may safely send it again. */
   @Test
-  void requestIsRejectedWhereNoConnectionComesUp() throws Exception {
+  void rejectsRequestWhenNoBackendAcceptsConnections() throws Exception {
     fixture.backend.stopListening();
     fixture.start();
     assertEquals(503, fixture.client().ask(TestRequests.post("r1", "b")).status());
   }
 
   /**
-   * A host that has vanished answers no connect. The connect has a timeout of its own, far below
-   * the client's deadline.
+   * A vanished host does not respond to a connect. The connect timeout is far shorter than the client's deadline.
    */
   @Test
-  void connectWithoutReplyEndsByTheConnectTimeout() throws Exception {
-    try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      List<SocketChannel> fill = new ArrayList<>();
+  void unansweredConnectFailsAfterConnectTimeout() throws Exception {
+    try (ServerSocket blockedServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      List<SocketChannel> fillingChannels = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
-        SocketChannel c = SocketChannel.open();
-        c.configureBlocking(false);
-        c.connect(full.getLocalSocketAddress());
-        fill.add(c);
+        SocketChannel channel = SocketChannel.open();
+        channel.configureBlocking(false);
+        channel.connect(blockedServer.getLocalSocketAddress());
+        fillingChannels.add(channel);
       }
-      fixture.start(fixture.config(EndpointListJson.entry("s-1", full.getLocalPort(), "active")));
-      long from = System.nanoTime();
+      fixture.start(fixture.config(EndpointListJson.entry("s-1", blockedServer.getLocalPort(), "active")));
+      long startNanos = System.nanoTime();
       assertEquals(503, fixture.client().ask(TestRequests.post("r1", "b")).status());
-      assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(2_900));
-      for (SocketChannel c : fill) {
-        c.close();
+      assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(2_900));
+      for (SocketChannel channel : fillingChannels) {
+        channel.close();
       }
     }
   }
 
   /**
-   * A backend takes a request and never responds. Its connection is closed, as a late response on
-   * it would be taken for the next one's, and the client gets an error before its deadline.
+   * A backend accepts a request and never responds. Its connection is closed, as a late response could be mistaken for the response to the next request, and the client receives an error before its deadline.
    */
   @Test
-  void attemptWithoutResponseEndsInTimeAndItsConnectionIsClosed() throws Exception {
+  void unansweredAttemptFailsBeforeDeadlineAndItsConnectionIsClosed() throws Exception {
     CountDownLatch closed = new CountDownLatch(1);
     int port =
         fixture
@@ -217,129 +214,127 @@
                 })
             .port();
     fixture.start(fixture.config(EndpointListJson.entry("s-1", port, "active")));
-    long from = System.nanoTime();
+    long startNanos = System.nanoTime();
     assertNotEquals(200, fixture.client().ask(TestRequests.get("r1", 900)).status());
-    assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(950));
+    assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(950));
     assertTrue(closed.await(10, TimeUnit.SECONDS));
   }
 
   @Test
-  void invalidRequestsAreRejectedWithoutAnAttempt() throws Exception {
+  void invalidRequestsAreRejectedWithoutContactingABackend() throws Exception {
     fixture.start();
     TestClient client = fixture.client();
-    String good = TestRequests.get("r1", 3000);
-    for (String bad :
+    String validRequest = TestRequests.get("r1", 3000);
+    for (String invalidRequest :
         new String[] {
-          good.replace("quote", "other"),
-          good.replace("basic", "gold"),
-          good.replace("Request-Id: r1\r\n", ""),
-          good.replace("units=2", "units=x"),
-          good.replace("units=2,", ""),
-          good.replace("00000000b4d65521", "-1"),
-          good.replace("3000", "0"),
-          good.replace("GET", "POST"),
+          validRequest.replace("quote", "other"),
+          validRequest.replace("basic", "gold"),
+          validRequest.replace("Request-Id: r1\r\n", ""),
+          validRequest.replace("units=2", "units=x"),
+          validRequest.replace("units=2,", ""),
+          validRequest.replace("00000000b4d65521", "-1"),
+          validRequest.replace("3000", "0"),
+          validRequest.replace("GET", "POST"),
           TestRequests.post("r1", "").replace("Idempotency-Key: key-r1\r\n", ""),
-          good.replace("/quote/17", "/\u00fcquote")
+          validRequest.replace("/quote/17", "/\u00fcquote")
         }) {
-      assertEquals(400, client.ask(bad).status(), bad);
+      assertEquals(400, client.ask(invalidRequest).status(), invalidRequest);
     }
-    assertEquals(200, client.ask(good).status());
+    assertEquals(200, client.ask(validRequest).status());
     TestQueues.next(fixture.backend.received);
     assertNull(fixture.backend.received.poll());
   }
 
   @Test
-  void malformedAndOversizedRequestsEndTheirConnections() throws Exception {
+  void malformedAndOversizedRequestsCloseTheirConnections() throws Exception {
     fixture.start();
     TestClient malformed = fixture.client();
     assertEquals(400, malformed.ask("GET /quote HTTP/1.1\r\nbroken header\r\n\r\n").status());
     assertTrue(malformed.ended());
-    TestClient large = fixture.client();
+    TestClient oversized = fixture.client();
     assertEquals(
         413,
-        large
+        oversized
             .ask(
                 TestRequests.post("r1", "")
                     .replace("Content-Length: 0", "Content-Length: 40000000"))
             .status());
-    large.socket.shutdownOutput();
-    assertTrue(large.ended());
+    oversized.socket.shutdownOutput();
+    assertTrue(oversized.ended());
     assertEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
   }
 
   @Test
-  void readinessIsReportedToGetOnly() throws Exception {
+  void readinessPathAcceptsOnlyGet() throws Exception {
     fixture.start();
-    String up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
-    assertEquals(200, fixture.client().ask(up).status());
-    assertEquals(405, fixture.client().ask(up.replace("GET", "PUT")).status());
+    String readinessRequest = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
+    assertEquals(200, fixture.client().ask(readinessRequest).status());
+    assertEquals(405, fixture.client().ask(readinessRequest.replace("GET", "PUT")).status());
   }
 
-  /** A gateway that starts while discovery is away knows no backend, and could only reject. */
+  /** A gateway that starts while discovery is unavailable knows no backend and could only reject requests. */
   @Test
-  void withoutBackendsItIsNotReadyUntilDiscoveryReportsOne() throws Exception {
+  void isNotReadyUntilDiscoveryReportsABackend() throws Exception {
     fixture.start(fixture.config());
-    String up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
+    String readinessRequest = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
     TestClient client = fixture.client();
-    assertEquals(503, client.ask(up).status());
+    assertEquals(503, client.ask(readinessRequest).status());
     TestQueues.next(fixture.discovery.watches);
     fixture.discovery.send(
         EndpointListJson.list(
                 8, true, EndpointListJson.entry("s-1", fixture.backend.port(), "active"))
             + "\n");
-    while (client.ask(up).status() != 200) {
+    while (client.ask(readinessRequest).status() != 200) {
       Thread.onSpinWait();
     }
   }
 
   /**
-   * A client disconnects while its attempt is in flight. It gets nothing; the policy still gets the
-   * attempt's outcome, and later requests are served.
+   * A client disconnects while its attempt is in flight. The client receives nothing, the policy still receives the attempt's outcome, and later requests are served.
    */
   @Test
-  void disconnectOfAClientInTheMiddleHarmsNobodyElse() throws Exception {
+  void clientDisconnectDuringAttemptDoesNotAffectLaterRequests() throws Exception {
     fixture.start();
-    CountDownLatch left = new CountDownLatch(1);
+    CountDownLatch clientDisconnected = new CountDownLatch(1);
     fixture.backend.responder =
         (request, out) -> {
-          await(left);
+          await(clientDisconnected);
           return TextStreams.write(out, FakeBackend.OK_RESPONSE);
         };
     TestClient client = fixture.client();
     client.send(TestRequests.get("r1", 3000));
     TestQueues.next(fixture.backend.received);
     client.close();
-    left.countDown();
+    clientDisconnected.countDown();
     assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
   }
 
   /**
-   * A restart is planned while a request is open. It gets its response, which announces the end of
-   * its connection; idle connections are closed, and the shutdown returns.
+   * A graceful shutdown begins while a request is open. The request receives its response, which announces the end of the connection; idle connections are closed, and the shutdown completes.
    */
   @Test
-  void gracefulShutdownLosesNoRequest() throws Exception {
+  void gracefulShutdownCompletesOpenRequest() throws Exception {
     GatewayServer gateway = fixture.start();
-    CountDownLatch shuttingDown = new CountDownLatch(1);
+    CountDownLatch shutdownStarted = new CountDownLatch(1);
     fixture.backend.responder =
         (request, out) -> {
-          await(shuttingDown);
+          await(shutdownStarted);
           return TextStreams.write(out, FakeBackend.OK_RESPONSE);
         };
     TestClient idle = fixture.client();
     TestClient busy = fixture.client();
     busy.send(TestRequests.get("r1", 3000));
     TestQueues.next(fixture.backend.received);
-    Thread end = new Thread(gateway::shutDownGracefully);
-    end.start();
+    Thread shutdownThread = new Thread(gateway::shutDownGracefully);
+    shutdownThread.start();
     assertTrue(idle.ended());
-    shuttingDown.countDown();
-    HttpMessage answer = busy.receive();
-    assertEquals(200, answer.status());
-    assertEquals("close", answer.header("Connection"));
+    shutdownStarted.countDown();
+    HttpMessage response = busy.receive();
+    assertEquals(200, response.status());
+    assertEquals("close", response.header("Connection"));
     assertTrue(busy.ended());
-    end.join(10_000);
-    assertTrue(!end.isAlive());
+    shutdownThread.join(10_000);
+    assertTrue(!shutdownThread.isAlive());
   }
 
   private static void await(CountDownLatch latch) throws IOException {
@@ -351,24 +346,23 @@
   }
 
   /**
-   * Setting logging up takes long on a share of a core. A first log line behind the start of
-   * listening would hold up every request that is there by then.
+   * Initializing the logging framework is slow on a fraction of a core. Writing the first log line after the gateway has started listening would delay all requests that have arrived by then.
    */
   @Test
-  void firstLogLineIsWrittenBeforeClientsAreAccepted() throws Exception {
+  void writesFirstLogLineBeforeAcceptingClients() throws Exception {
     int port;
-    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      port = free.getLocalPort();
+    try (ServerSocket reservedPort = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      port = reservedPort.getLocalPort();
     }
-    List<Boolean> listeningAtLine = new CopyOnWriteArrayList<>();
+    List<Boolean> listeningAtLogLine = new CopyOnWriteArrayList<>();
     try (LogCapture log = new LogCapture(GatewayServer.class, Level.ALL)) {
-      log.onMessage(line -> listeningAtLine.add(connects(port)));
+      log.onMessage(line -> listeningAtLogLine.add(connects(port)));
       fixture.start(
           fixture
               .config(EndpointListJson.entry("s-1", fixture.backend.port(), "active"))
               .replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + port + "\""));
     }
-    assertEquals(List.of(false), listeningAtLine);
+    assertEquals(List.of(false), listeningAtLogLine);
     assertTrue(connects(port));
   }
 
--- a/src/test/java/quotagateway/server/MisbehavingClientTest.java
+++ b/src/test/java/quotagateway/server/MisbehavingClientTest.java
@@ -26,12 +26,12 @@
 import quotagateway.testing.TextStreams;
 import quotagateway.transport.ConnectionBudget;
 
-/** Clients that hold connections, never finish, or send what could be read in two ways. */
+/** Tests clients that hold connections, never complete a request, or send ambiguous requests. */
 @Timeout(40)
 class MisbehavingClientTest {
 
-  private static final long OWED_NANOS = TimeUnit.SECONDS.toNanos(3);
-  private static final int PLACES =
+  private static final long MAX_RESPONSE_NANOS = TimeUnit.SECONDS.toNanos(3);
+  private static final int MAX_CLIENT_CONNECTIONS =
       new ConnectionBudget(ResourceLimits.of(GatewayFixture.FEW_DESCRIPTORS, 128, 1).connections())
           .maxClientConnections();
 
@@ -43,59 +43,55 @@
   }
 
   /**
-   * Without a bound on connections a crowd takes all descriptors, and nobody is served any more.
-   * Over the bound one connection is rejected with a 503 and closed; those within it keep working.
+   * Without a limit on connections, many clients could use up all descriptors, and no client would be served. A connection over the limit is rejected with a 503 and closed; those within the limit keep working.
    */
   @Test
-  void connectionOverTheBudgetIsRejectedWhileTheOthersAreServed() throws Exception {
+  void connectionOverTheLimitIsRejectedWhileOthersAreServed() throws Exception {
     fixture.start(fixture.smallConfig());
     String request = TestRequests.get("r1", 3000);
-    TestClient taken;
-    TestClient tooMany;
+    TestClient accepted;
+    TestClient overLimit;
     int n = 0;
     do {
-      // Again if the machine stood still: those that send no whole request may be ended after a
-      // while.
-      for (int i = 1; i < PLACES; i++) {
+      // Repeats if the machine stalled: connections with an incomplete request may be closed on
+      // timeout.
+      for (int i = 1; i < MAX_CLIENT_CONNECTIONS; i++) {
         fixture.client().send(request.substring(0, 20));
       }
-      taken = fixture.client();
-      taken.send(request.substring(0, 20));
-      tooMany = fixture.client();
-    } while (tooMany.ask(TestRequests.get("t" + n++, 3000)).status() != 503);
-    assertTrue(tooMany.ended());
-    assertEquals(200, taken.ask(request.substring(20)).status());
+      accepted = fixture.client();
+      accepted.send(request.substring(0, 20));
+      overLimit = fixture.client();
+    } while (overLimit.ask(TestRequests.get("t" + n++, 3000)).status() != 503);
+    assertTrue(overLimit.ended());
+    assertEquals(200, accepted.ask(request.substring(20)).status());
   }
 
   /**
-   * Clients send one request each and keep their connection for good. Twice as many as there are
-   * places connect one after another: each is served, as connections end with their responses when
-   * places get scarce.
+   * Clients send one request each and never close their connections. Twice as many clients as the connection limit connect one after another. Each is served, as connections are closed with their responses when few are left.
    */
   @Test
-  void crowdOfIdleClientsLocksNobodyOut() throws Exception {
+  void idleClientsDoNotLockOutNewClients() throws Exception {
     fixture.start(fixture.smallConfig());
     assertNull(fixture.client().ask(TestRequests.get("first", 3000)).header("Connection"));
-    HttpMessage answer = null;
-    for (int i = 0; i < 2 * PLACES; i++) {
-      answer = fixture.client().ask(TestRequests.get("r" + i, 3000));
-      assertEquals(200, answer.status());
+    HttpMessage response = null;
+    for (int i = 0; i < 2 * MAX_CLIENT_CONNECTIONS; i++) {
+      response = fixture.client().ask(TestRequests.get("r" + i, 3000));
+      assertEquals(200, response.status());
     }
-    assertEquals("close", answer.header("Connection"));
+    assertEquals("close", response.header("Connection"));
   }
 
   /**
-   * A slow client has sent half of its request when another needs its place. Closed without a
-   * response, it would have to take its request for lost.
+   * A slow client has sent half of its request when its connection is evicted for another client. Without a response, the client would not know what became of its request.
    */
   @Test
-  void halfReceivedRequestIsRejectedWhenItsPlaceIsTaken() throws Exception {
+  void partialRequestIsRejectedWhenItsConnectionIsEvicted() throws Exception {
     fixture.start(fixture.smallConfig());
-    String half = TestRequests.get("half", 3000).substring(0, 20);
+    String partialRequest = TestRequests.get("half", 3000).substring(0, 20);
     TestClient slow = fixture.client();
-    slow.send(half);
-    for (int i = 1; i < PLACES; i++) {
-      fixture.client().send(half);
+    slow.send(partialRequest);
+    for (int i = 1; i < MAX_CLIENT_CONNECTIONS; i++) {
+      fixture.client().send(partialRequest);
     }
     TimeUnit.MILLISECONDS.sleep(500);
     fixture.client();
@@ -104,53 +100,48 @@
   }
 
   /**
-   * Clients connect, send nothing and stay, as many as there are places. Once they have been silent
-   * for a while, the oldest is evicted for a new one: that one may still be rejected, as the
-   * evicted one ends behind it, but the next one finds a place.
+   * As many clients as the connection limit connect and send nothing. After a period of silence, the oldest is evicted for a new client. That client may still be rejected, as the evicted connection ends after it has arrived, but the next one is accepted.
    */
   @Test
-  void silentConnectionIsEvictedWhenPlacesAreTaken() throws Exception {
+  void silentConnectionIsEvictedAtTheConnectionLimit() throws Exception {
     fixture.start(fixture.smallConfig());
-    for (int i = 0; i < PLACES; i++) {
+    for (int i = 0; i < MAX_CLIENT_CONNECTIONS; i++) {
       fixture.client();
     }
     TimeUnit.MILLISECONDS.sleep(500);
-    TestClient first = fixture.client();
-    first.ask(TestRequests.get("first", 3000));
-    assertTrue(first.ended());
+    TestClient evicting = fixture.client();
+    evicting.ask(TestRequests.get("first", 3000));
+    assertTrue(evicting.ended());
     assertEquals(200, fixture.client().ask(TestRequests.get("second", 3000)).status());
   }
 
   /**
-   * Connections of clients and to backends share the descriptors. Clients fill their part; backends
-   * get what was kept for them and no more; and either gets back what the other gives up.
+   * Client and backend connections share the descriptors. Clients fill their share, backends get only what is reserved for them, and each side gets back what the other releases.
    */
   @Test
-  void budgetIsSharedByClientsAndBackendsAndNeverExceeded() {
-    ConnectionBudget places = new ConnectionBudget(100);
-    int crowd = places.maxClientConnections();
-    places.addClientConnections(crowd);
-    int backends = 0;
-    while (places.hasRoomForBackendConnection()) {
-      places.addBackendConnections(1);
-      backends++;
+  void connectionBudgetIsSharedAndNeverExceeded() {
+    ConnectionBudget budget = new ConnectionBudget(100);
+    int clientConnections = budget.maxClientConnections();
+    budget.addClientConnections(clientConnections);
+    int backendConnections = 0;
+    while (budget.hasRoomForBackendConnection()) {
+      budget.addBackendConnections(1);
+      backendConnections++;
     }
-    assertEquals(100, crowd + backends);
-    assertTrue(places.maxClientConnections() < crowd);
-    places.addClientConnections(-crowd);
-    assertTrue(places.hasRoomForBackendConnection());
+    assertEquals(100, clientConnections + backendConnections);
+    assertTrue(budget.maxClientConnections() < clientConnections);
+    budget.addClientConnections(-clientConnections);
+    assertTrue(budget.hasRoomForBackendConnection());
   }
 
   /**
-   * An event loop never again runs a periodic task that has thrown: one faulty connection would let
-   * all overdue ones hold their places for good. One connection throws at its check; a silent one
-   * is closed all the same, and new clients are served.
+   * An event loop never again runs a periodic task that has thrown, so one faulty connection could keep all overdue connections from being closed. One connection throws when it is checked; a silent one must still be closed, and new clients are served.
    */
   @Test
-  void overdueConnectionsAreClosedThoughTheCheckOfAnotherThrows() throws Exception {
+  void overdueConnectionIsClosedAlthoughCheckOfAnotherThrows() throws Exception {
     GatewayServer gateway = fixture.start();
-    TestClient silent = fixture.client();
-    FailingChannel failing =
+    TestClient silentClient = fixture.client();
+    FailingChannel failingChannel =
         gateway
             .loop
             .submit(
@@ -166,36 +157,34 @@
                 })
             .sync()
             .getNow();
-    assertTrue(failing.asked.await(10, TimeUnit.SECONDS));
-    assertTrue(silent.ended());
+    assertTrue(failingChannel.checked.await(10, TimeUnit.SECONDS));
+    assertTrue(silentClient.ended());
     assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
   }
 
-  /** One that throws when it is asked whether it reads. */
+  /** A channel that throws when its configuration is read, as the check does. */
   private static final class FailingChannel extends EmbeddedChannel {
-    final CountDownLatch asked = new CountDownLatch(1);
+    final CountDownLatch checked = new CountDownLatch(1);
     boolean fails;
 
     @Override
     public ChannelConfig config() {
       if (fails) {
-        asked.countDown();
-        throw new IllegalStateException("as a test has it");
+        checked.countDown();
+        throw new IllegalStateException("thrown by the test");
       }
       return super.config();
     }
   }
 
   /**
-   * A client sends one header after another and never ends the request. It gets its error within
-   * the 3 s that misbehaving clients are owed: the time counts from the beginning, not from the
-   * last bytes.
+   * A client sends one header after another and never ends the request. It must receive an error within 3 s: the time counts from the beginning of the request, not from the last bytes.
    */
   @Test
-  void trickledHeadIsAnsweredWith408InTime() throws Exception {
+  void trickledRequestHeadIsRejectedWith408WithinThreeSeconds() throws Exception {
     fixture.start();
     TestClient client = fixture.client();
-    long from = System.nanoTime();
+    long startNanos = System.nanoTime();
     client.send("GET /quote/17 HTTP/1.1\r\n");
     client.socket.setSoTimeout(50);
     while (true) {
@@ -203,36 +192,33 @@
         assertEquals(408, client.receive().status());
         break;
       } catch (IOException e) {
-        assertTrue(System.nanoTime() - from < OWED_NANOS, "neither an error nor a close in time");
+        assertTrue(System.nanoTime() - startNanos < MAX_RESPONSE_NANOS, "neither an error nor a close within 3 s");
         client.send("X-Pad: 1\r\n");
       }
     }
-    assertTrue(System.nanoTime() - from < OWED_NANOS);
+    assertTrue(System.nanoTime() - startNanos < MAX_RESPONSE_NANOS);
   }
 
   /**
-   * A client connects and sends nothing. Its connection is closed within the 3 s that misbehaving
-   * clients are owed.
+   * A client connects and sends nothing. Its connection must be closed within 3 s.
    */
   @Test
-  void silentConnectionIsClosedInTime() throws Exception {
+  void silentConnectionIsClosedWithinThreeSeconds() throws Exception {
     fixture.start();
-    long from = System.nanoTime();
+    long startNanos = System.nanoTime();
     assertTrue(fixture.client().ended());
-    assertTrue(System.nanoTime() - from < OWED_NANOS);
+    assertTrue(System.nanoTime() - startNanos < MAX_RESPONSE_NANOS);
   }
 
   /**
-   * Request smuggling: two lengths, or an odd one, let one reader see a second request in what is a
-   * body to another. Such a request gets a 400 and the connection ends; the hidden one reaches no
-   * backend.
+   * Request smuggling: with two lengths, or a malformed one, one parser sees a second request in what another parser treats as a body. Such a request is rejected with a 400 and the connection is closed; the hidden request reaches no backend.
    */
   @Test
   void requestWithAmbiguousFramingIsRejectedAndTheConnectionCloses() throws Exception {
     fixture.start();
     String hidden = TestRequests.get("hidden", 3000);
     String post = TestRequests.post("r1", "");
-    for (String invalid :
+    for (String invalidRequest :
         new String[] {
           post.replace("Content-Length: 0", "Content-Length: 5\r\nTransfer-Encoding: chunked")
               + "0\r\n\r\n"
@@ -250,10 +236,10 @@
           post.replace("X-Quota:", "X-Quota: units=1,spread=2,first=1\r\nX-Quota:")
         }) {
       TestClient client = fixture.client();
-      client.send(invalid);
-      assertEquals(400, client.receive().status(), invalid);
+      client.send(invalidRequest);
+      assertEquals(400, client.receive().status(), invalidRequest);
       client.socket.shutdownOutput();
-      assertTrue(client.ended(), invalid);
+      assertTrue(client.ended(), invalidRequest);
     }
     assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
     assertEquals("r2", TestQueues.next(fixture.backend.received).header("Request-Id"));
@@ -261,34 +247,33 @@
   }
 
   /**
-   * A value out of range, in whomever's name, is no request: a customer's account would move by
-   * what another one sent. It gets a 400, and neither a backend nor the counter hears of it.
+   * A request with a header value out of range is rejected with a 400 and reaches neither a backend nor the counter. Otherwise one client could change the account of another customer.
    */
   @Test
   void headerValuesOutOfRangeReachNeitherBackendNorCounter() throws Exception {
     fixture.start();
-    String good = TestRequests.get("r1", 3000);
+    String validRequest = TestRequests.get("r1", 3000);
     TestClient client = fixture.client();
-    for (String invalid :
+    for (String invalidRequest :
         new String[] {
-          good.replace("units=2", "units=9"),
-          good.replace("units=2", "units=-1"),
-          good.replace("units=2", "units=2.5"),
-          good.replace("spread=2", "spread=3"),
-          good.replace("spread=2", "spread=0"),
-          good.replace("first=1", "first=2"),
-          good.replace("first=1", "first=-1"),
-          good.replace(",first=1", ""),
-          good.replace("units=2", "units=99999999999999999999"),
-          good.replace(": 3000", ": 4001"),
-          good.replace(": 3000", ": 3e3"),
-          good.replace(": 3000", ": soon"),
-          good.replace("00000000b4d65521", "0000000200000000"),
-          good.replace("00000000b4d65521", "ffffffffffffffff")
+          validRequest.replace("units=2", "units=9"),
+          validRequest.replace("units=2", "units=-1"),
+          validRequest.replace("units=2", "units=2.5"),
+          validRequest.replace("spread=2", "spread=3"),
+          validRequest.replace("spread=2", "spread=0"),
+          validRequest.replace("first=1", "first=2"),
+          validRequest.replace("first=1", "first=-1"),
+          validRequest.replace(",first=1", ""),
+          validRequest.replace("units=2", "units=99999999999999999999"),
+          validRequest.replace(": 3000", ": 4001"),
+          validRequest.replace(": 3000", ": 3e3"),
+          validRequest.replace(": 3000", ": soon"),
+          validRequest.replace("00000000b4d65521", "0000000200000000"),
+          validRequest.replace("00000000b4d65521", "ffffffffffffffff")
         }) {
-      assertEquals(400, client.ask(invalid).status(), invalid);
+      assertEquals(400, client.ask(invalidRequest).status(), invalidRequest);
     }
-    assertEquals(200, client.ask(good).status());
+    assertEquals(200, client.ask(validRequest).status());
     assertTrue(TestQueues.next(fixture.counter.calls).startsWith("incr "));
     assertNull(fixture.counter.calls.poll());
     TestQueues.next(fixture.backend.received);
@@ -296,41 +281,38 @@
   }
 
   /**
-   * A client announces 60 MB, or sends as much in chunks. It gets its error, or a close, before the
-   * body has come; nothing of it is executed, and other clients are served.
+   * A client announces a body of 60 MB, or sends as much in chunks. It receives an error, or its connection is closed, before the body has arrived; the request is not executed, and other clients are served.
    */
   @Test
-  void bodyOverTheLimitIsAnsweredWith413BeforeItHasCome() throws Exception {
+  void oversizedBodyIsRejectedWith413BeforeItHasArrived() throws Exception {
     fixture.start();
     TestClient client = fixture.client();
     client.send(
         TestRequests.post("r1", "").replace("Content-Length: 0", "Content-Length: 60000000"));
     assertEquals(413, client.receive().status());
-    TestClient chunked = fixture.client();
-    chunked.send(
+    TestClient chunkedClient = fixture.client();
+    chunkedClient.send(
         TestRequests.post("cut", "").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
     String chunk = "8000\r\n" + "x".repeat(0x8000) + "\r\n";
     try {
       for (int i = 0; i < 2_000; i++) {
-        chunked.send(chunk);
+        chunkedClient.send(chunk);
       }
     } catch (SocketException e) {
-      // The gateway has closed the connection, which the client sees as well as the error.
+      // The gateway has closed the connection, which tells the client as much as the error.
     }
     assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
     assertEquals(
         "r2",
         TestQueues.next(fixture.backend.received).header("Request-Id"),
-        "none came whole before");
+        "the oversized requests reached no backend");
   }
 
   /**
-   * A client goes on sending a body that has been answered with an error. A close over unread bytes
-   * resets the connection, and the reset may drop the error before the client has read it. So the
-   * gateway ends its sending and reads on for a while: the client sees the error and a regular end.
+   * A client continues to send a body after it was rejected with an error. Closing a socket with unread bytes resets the connection, and the reset may discard the error before the client has read it. The gateway therefore shuts down only its output and continues to read for a limited time: the client sees the error and an orderly close.
    */
   @Test
-  void clientThatGoesOnSendingReadsItsErrorAndARegularEnd() throws Exception {
+  void clientThatKeepsSendingReadsTheErrorAndAnOrderlyClose() throws Exception {
     fixture.start();
     TestClient client = fixture.client();
     client.send(
@@ -340,16 +322,14 @@
       client.send("x".repeat(1_000));
       TimeUnit.MILLISECONDS.sleep(20);
     }
-    assertEquals(0, client.rest(), "bytes behind the error");
+    assertEquals(0, client.rest(), "bytes after the error");
   }
 
   /**
-   * A client completes its request just after that was answered with a time-out, while the gateway
-   * still reads on so that the error is not lost. Forwarded, the request would be executed without
-   * a response; unread, its client sends it again.
+   * A client completes its request just after the gateway has rejected it with a 408, while the gateway still reads so that the error is not lost. The client will send the request again, so it must not be forwarded and executed without a response.
    */
   @Test
-  void requestCompletedBehindItsTimeoutIsNotForwarded() throws Exception {
+  void requestCompletedAfterItsTimeoutIsNotForwarded() throws Exception {
     fixture.start();
     String request = TestRequests.get("late", 3000);
     TestClient client = fixture.client();
@@ -362,24 +342,22 @@
   }
 
   /**
-   * A client sends requests with bodies behind one with which its connection ends. They are dropped
-   * with the connection; kept in the account of held bytes, they would add up until all requests
-   * are rejected for lack of memory.
+   * A client pipelines requests with bodies after a request that closes the connection. They are dropped with the connection. If they still counted as buffered bytes, they would add up until all requests are rejected for lack of memory.
    */
   @Test
-  void requestsBehindAnEndReleaseTheirMemory() throws Exception {
+  void requestsPipelinedAfterConnectionCloseReleaseTheirMemory() throws Exception {
     fixture.start();
     fixture.backend.responder =
         (request, out) -> {
-          // Until what is behind the request has been read.
+          // Gives the gateway time to read the pipelined requests.
           LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(150));
           return TextStreams.write(out, FakeBackend.OK_RESPONSE);
         };
-    String last = TestRequests.get("last", 3000).replace("X-Plan", "Connection: close\r\nX-Plan");
-    String behind = TestRequests.post("behind", "x".repeat(64_000)).repeat(15);
+    String closingRequest = TestRequests.get("last", 3000).replace("X-Plan", "Connection: close\r\nX-Plan");
+    String pipelinedRequests = TestRequests.post("behind", "x".repeat(64_000)).repeat(15);
     for (int i = 0; i < 12; i++) {
       TestClient client = fixture.client();
-      client.send(last.replace("last", "last" + i) + behind);
+      client.send(closingRequest.replace("last", "last" + i) + pipelinedRequests);
       assertEquals(200, client.receive().status());
       client.close();
     }
@@ -387,26 +365,25 @@
   }
 
   /**
-   * A client sends 200 requests at once on one connection, which would all be kept in memory. Those
-   * within the limit are answered, and then the connection ends.
+   * A client pipelines 200 requests on one connection, all of which would be held in memory. Those within the limit receive responses, and then the connection is closed.
    */
   @Test
   void pipelinedRequestsBeyondTheLimitGetNoResponse() throws Exception {
     fixture.start();
-    StringBuilder flood = new StringBuilder();
+    StringBuilder requests = new StringBuilder();
     for (int i = 0; i < 200; i++) {
-      flood.append(TestRequests.get("r" + i, 3000));
+      requests.append(TestRequests.get("r" + i, 3000));
     }
     TestClient client = fixture.client();
-    client.send(flood.toString());
-    int answers = 0;
+    client.send(requests.toString());
+    int responses = 0;
     try {
       while (client.receive().status() == 200) {
-        answers++;
+        responses++;
       }
     } catch (IOException e) {
-      // The end of the connection.
+      // The connection is closed.
     }
-    assertTrue(answers > 0 && answers < 200, "answers: " + answers);
+    assertTrue(responses > 0 && responses < 200, "responses:  " + responses);
   }
 }
--- a/src/test/java/quotagateway/server/StreamingTest.java
+++ b/src/test/java/quotagateway/server/StreamingTest.java
@@ -28,14 +28,14 @@
 import quotagateway.testing.TestRequests;
 import quotagateway.testing.TextStreams;
 
-/** Bodies and responses that are too large to be kept, slow ones, and the forms of HTTP/1.1. */
+/** Tests request bodies and responses that are too large to buffer, slow ones, and the syntax variants of HTTP/1.1. */
 @Timeout(60)
 class StreamingTest {
 
-  /** For how long a response may stop, before any of it went to the client, and be waited for. */
+  /** How long the gateway waits for a stalled response of which nothing has reached the client. */
   private static final long MAX_STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
-  private static final int LARGE = 20 << 20;
+  private static final int LARGE_BODY_BYTES = 20 << 20;
 
   private final GatewayFixture fixture = new GatewayFixture();
 
@@ -44,16 +44,16 @@
     fixture.close();
   }
 
-  private static byte[] bytes(int size) {
-    byte[] bytes = new byte[size];
-    new Random(size).nextBytes(bytes);
-    return bytes;
+  private static byte[] randomBytes(int size) {
+    byte[] randomBytes = new byte[size];
+    new Random(size).nextBytes(randomBytes);
+    return randomBytes;
   }
 
   private static void writeChunked(OutputStream out, byte[] body, String trailer)
       throws IOException {
-    for (int at = 0; at < body.length; at += 30_000) {
-      byte[] chunk = Arrays.copyOfRange(body, at, Math.min(body.length, at + 30_000));
+    for (int offset = 0; offset < body.length; offset += 30_000) {
+      byte[] chunk = Arrays.copyOfRange(body, offset, Math.min(body.length, offset + 30_000));
       TextStreams.write(out, Integer.toHexString(chunk.length) + ";ext=1\r\n");
       out.write(chunk);
       TextStreams.write(out, "\r\n");
@@ -64,7 +64,7 @@
   @Test
   void largeResponsesAreStreamedUnchanged() throws Exception {
     fixture.start();
-    byte[] body = bytes(LARGE);
+    byte[] body = randomBytes(LARGE_BODY_BYTES);
     TestClient client = fixture.client();
     fixture.backend.responder =
         (request, out) -> {
@@ -86,7 +86,7 @@
   @Test
   void largeBodiesAreStreamedUnchanged() throws Exception {
     fixture.start();
-    byte[] body = bytes(LARGE);
+    byte[] body = randomBytes(LARGE_BODY_BYTES);
     TestClient client = fixture.client();
     client.send(TestRequests.post("r1", "").replace("Length: 0", "Length: " + body.length));
     client.socket.getOutputStream().write(body);
@@ -100,11 +100,10 @@
   }
 
   /**
-   * The end of a body just too large to be kept comes with the bytes at which reading pauses.
-   * Nobody would ask for more of that body, and the connection would never be read again.
+   * The end of a body just over the buffer size arrives in the read after which reading pauses. Nothing then requests more of that body, and without a special case the connection would never be read again.
    */
   @Test
-  void connectionIsReadOnAfterABodyJustOverTheBuffer() throws Exception {
+  void connectionIsStillReadAfterBodyJustOverBufferSize() throws Exception {
     fixture.start();
     TestClient client = fixture.client();
     assertEquals(
@@ -116,43 +115,41 @@
   }
 
   /**
-   * A client does not read its large response. Without back pressure all of it would be kept here
-   * for as long as the client likes; so the backend is stopped until the client reads on.
+   * A client does not read its large response. Without back pressure the gateway would buffer all of it for as long as the client stalls; instead, the gateway stops reading from the backend until the client reads on.
    */
   @Test
-  void responseIsReadNoFasterThanItsClientReads() throws Exception {
+  void responseIsReadNoFasterThanTheClientReadsIt() throws Exception {
     fixture.start();
     AtomicLong written = new AtomicLong();
     int size = 64 << 20;
-    byte[] piece = bytes(1 << 16);
+    byte[] block = randomBytes(1 << 16);
     fixture.backend.responder =
         (request, out) -> {
           TextStreams.write(out, "HTTP/1.1 200 OK\r\nContent-Length: " + size + "\r\n\r\n");
-          for (int i = 0; i < size / piece.length; i++) {
-            out.write(piece);
-            written.addAndGet(piece.length);
+          for (int i = 0; i < size / block.length; i++) {
+            out.write(block);
+            written.addAndGet(block.length);
           }
           return true;
         };
     TestClient client = fixture.client();
     client.send(TestRequests.get("r1", 3000));
-    for (long before = -1;
-        written.get() == 0 || written.get() > before;
+    for (long previous = -1;
+        written.get() == 0 || written.get() > previous;
         TimeUnit.MILLISECONDS.sleep(500)) {
-      before = written.get();
+      previous = written.get();
     }
-    assertTrue(written.get() < size / 2, "the kernel's buffers hold " + written);
+    assertTrue(written.get() < size / 2, "bytes written without a reading client:  " + written);
     assertEquals(size, client.receive().body().length);
     assertEquals(
         200, fixture.client().ask(TestRequests.get("r2", 3000).replace("r2", "next")).status());
   }
 
   /**
-   * A backend breaks off a response that its client has a part of. The client has to see that it is
-   * not whole, and no second response may follow the first part.
+   * A backend aborts a response of which the client has received a part. The client must be able to detect that the response is incomplete, and no second response may follow the first part.
    */
   @Test
-  void brokenStreamedResponseIsVisiblyIncompleteAndNotRetried() throws Exception {
+  void abortedStreamedResponseIsDetectablyIncompleteAndNotRetried() throws Exception {
     fixture.start();
     for (String framing : new String[] {"Content-Length: 1000000", "Transfer-Encoding: chunked"}) {
       fixture.backend.responder =
@@ -163,16 +160,15 @@
           };
       assertThrows(IOException.class, () -> fixture.client().ask(TestRequests.get("r1", 3000)));
       TestQueues.next(fixture.backend.received);
-      assertNull(fixture.backend.received.poll(300, TimeUnit.MILLISECONDS), "no further attempt");
+      assertNull(fixture.backend.received.poll(300, TimeUnit.MILLISECONDS), "no further attempt expected");
     }
   }
 
   /**
-   * Where a backend announces it, the end of the connection is the end of the response. A reset is
-   * the end of none: the part before it must not be served.
+   * The end of the connection is the end of a response if the backend announces it. A reset never ends a response: the part received before it must not be served.
    */
   @Test
-  void responseMayEndWithItsConnectionButNotWithAReset() throws Exception {
+  void responseMayEndWithConnectionCloseButNotWithReset() throws Exception {
     fixture.start();
     int n = 0;
     for (int size : new int[] {0, 9, 300_000}) {
@@ -202,27 +198,24 @@
   }
 
   /**
-   * A response comes in slow pieces, for longer than the stall limit of one. It is slow rather than
-   * broken: it is served, and no second attempt is made. On a busy machine the backend's thread can
-   * itself stand still for longer than that limit, and then the gateway may give the response up;
-   * StalledResponseTest holds the limit in time that it advances.
+   * A response arrives in small pieces and takes longer in total than the stall limit for a single pause. Such a response is slow rather than broken: it is served, and no second attempt is made. On a busy machine the fake backend's thread can itself stall for longer than the limit, and the gateway may then abandon the response. StalledResponseTest checks the limit with a clock that the test advances.
    */
   @Test
   void slowResponsesAreServedByTheirFirstAttempt() throws Exception {
     fixture.start();
-    AtomicInteger asked = new AtomicInteger();
+    AtomicInteger attempts = new AtomicInteger();
     AtomicLong longestPauseNanos = new AtomicLong();
     for (String framing : new String[] {"Content-Length: 8", "Transfer-Encoding: chunked"}) {
       fixture.backend.responder =
           (request, out) -> {
-            asked.incrementAndGet();
+            attempts.incrementAndGet();
             TextStreams.write(out, "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n");
             boolean chunked = framing.startsWith("T");
             for (int i = 0; i < 8; i++) {
-              long from = System.nanoTime();
+              long startNanos = System.nanoTime();
               pause(100);
               TextStreams.write(out, chunked ? "1\r\nx\r\n" : "x");
-              longestPauseNanos.accumulateAndGet(System.nanoTime() - from, Math::max);
+              longestPauseNanos.accumulateAndGet(System.nanoTime() - startNanos, Math::max);
             }
             return TextStreams.write(out, chunked ? "0\r\n\r\n" : "");
           };
@@ -232,24 +225,22 @@
       }
     }
     if (longestPauseNanos.get() < MAX_STALL_NANOS) {
-      assertEquals(2, asked.get());
+      assertEquals(2, attempts.get());
     }
   }
 
   /**
-   * A backend breaks off while a large body is streamed to it. What was streamed is gone: the
-   * client can send it again, the gateway cannot. The request has never been executed, so it is
-   * rejected with a 503.
+   * A backend closes the connection while a large request body is streamed to it. The gateway no longer has the streamed part, so only the client can send it again. The request was never executed, so it is rejected with a 503.
    */
   @Test
   void streamedBodyIsNotRetried() throws Exception {
-    AtomicInteger asked = new AtomicInteger();
+    AtomicInteger attempts = new AtomicInteger();
     int port =
         fixture
             .listen(
                 50,
                 (in, out, socket) -> {
-                  asked.incrementAndGet();
+                  attempts.incrementAndGet();
                   in.readNBytes(200_000);
                   socket.close();
                 })
@@ -258,26 +249,25 @@
     TestClient client = fixture.client();
     client.send(
         TestRequests.post("r1", "").replace("Length: 0", "Length: 1000000") + "x".repeat(300_000));
-    HttpMessage answer = client.receive();
-    assertEquals(503, answer.status(), "it has never run");
-    assertEquals("close", answer.header("Connection"));
-    assertEquals(1, asked.get());
+    HttpMessage response = client.receive();
+    assertEquals(503, response.status(), "the request was never executed");
+    assertEquals("close", response.header("Connection"));
+    assertEquals(1, attempts.get());
   }
 
   /**
-   * The first backend of a large body refuses the connection. Nothing of the body has been streamed
-   * yet, so it goes to another backend.
+   * The first backend for a request with a large body refuses the connection. Nothing of the body has been streamed yet, so the request goes to another backend.
    */
   @Test
-  void largeBodyIsRetriedWhereNoConnectionCameUp() throws Exception {
-    ScriptedServer gone = fixture.listen(50, (in, out, socket) -> {});
+  void largeBodyIsRetriedWhenConnectionIsRefused() throws Exception {
+    ScriptedServer unreachable = fixture.listen(50, (in, out, socket) -> {});
     fixture.start(
         fixture.config(
             EndpointListJson.entry("s-1", fixture.backend.port(), "active"),
-            EndpointListJson.entry("s-2", gone.port(), "active"),
-            EndpointListJson.entry("s-3", gone.port(), "active")));
-    gone.stopListening();
-    byte[] body = bytes(1 << 20);
+            EndpointListJson.entry("s-2", unreachable.port(), "active"),
+            EndpointListJson.entry("s-3", unreachable.port(), "active")));
+    unreachable.stopListening();
+    byte[] body = randomBytes(1 << 20);
     for (int i = 0; i < 10; i++) {
       TestClient client = fixture.client();
       client.send(TestRequests.post("r" + i, "").replace("Length: 0", "Length: " + body.length));
@@ -288,11 +278,10 @@
   }
 
   /**
-   * A client stops in the middle of a large body and stays. It gets a 408, and no backend executes
-   * the request.
+   * A client stops sending in the middle of a large body but stays connected. The client receives a 408, and no backend executes the request.
    */
   @Test
-  void bodyThatStopsIsAnsweredWith408AndNotExecuted() throws Exception {
+  void stalledBodyIsRejectedWith408AndNotExecuted() throws Exception {
     fixture.start();
     TestClient client = fixture.client();
     client.send(
@@ -303,8 +292,7 @@
   }
 
   /**
-   * A client may send as slowly as 64 kB a second, for as long as the body takes; the time for the
-   * response counts from the end of the body.
+   * A client may send as slowly as 64 kB/s, no matter how long the body takes. The request timeout counts from the end of the body.
    */
   @Test
   void slowBodyWithinTheMinimumRateIsServed() throws Exception {
@@ -339,19 +327,19 @@
   @Test
   void http10ClientsAndAbsoluteTargetsAreServed() throws Exception {
     fixture.start();
-    HttpMessage old =
+    HttpMessage http10Response =
         fixture.client().ask(TestRequests.get("r1", 3000).replace("HTTP/1.1", "HTTP/1.0"));
-    assertEquals("fine", old.text());
-    assertEquals("close", old.header("Connection"));
-    TestClient kept = fixture.client();
-    HttpMessage keeps =
-        kept.ask(
+    assertEquals("fine", http10Response.text());
+    assertEquals("close", http10Response.header("Connection"));
+    TestClient keepAliveClient = fixture.client();
+    HttpMessage keepAliveResponse =
+        keepAliveClient.ask(
             TestRequests.get("r2", 3000)
                 .replace("HTTP/1.1\r\n", "HTTP/1.0\r\nConnection: keep-alive\r\n"));
-    assertEquals("keep-alive", keeps.header("Connection"));
+    assertEquals("keep-alive", keepAliveResponse.header("Connection"));
     assertEquals(
         200,
-        kept.ask(TestRequests.get("r3", 3000).replace("GET /", "GET http://backend.local/"))
+        keepAliveClient.ask(TestRequests.get("r3", 3000).replace("GET /", "GET http://backend.local/"))
             .status());
     TestQueues.next(fixture.backend.received);
     TestQueues.next(fixture.backend.received);
@@ -359,9 +347,9 @@
         "GET /quote/17?a=%20b&c HTTP/1.1", TestQueues.next(fixture.backend.received).firstLine());
   }
 
-  /** Forms that one reader can take in one way only, whole and byte by byte, one behind another. */
+  /** Sends each unambiguous form of a request, first in one piece and then byte by byte. */
   @Test
-  void allUnambiguousFormsOfARequestAreRead() throws Exception {
+  void acceptsAllUnambiguousRequestForms() throws Exception {
     fixture.start();
     String get = TestRequests.get("r1", 3000);
     String post =
@@ -397,82 +385,79 @@
   }
 
   /**
-   * To a client of HTTP/1.0 the end of the connection is the end of a response without a length, so
-   * a response that breaks off must not end like a whole one.
+   * To an HTTP/1.0 client, the end of the connection is the end of a response without a length, so an aborted response must not end like a complete one.
    */
   @Test
-  void http10ClientSeesWhereAStreamedResponseEnds() throws Exception {
+  void http10ClientDetectsAbortedStreamedResponse() throws Exception {
     fixture.start();
-    CountDownLatch read = new CountDownLatch(1);
-    String ask = TestRequests.get("r1", 3000).replace("HTTP/1.1", "HTTP/1.0");
-    byte[] body = bytes(200_000);
+    CountDownLatch clientHasRead = new CountDownLatch(1);
+    String request10 = TestRequests.get("r1", 3000).replace("HTTP/1.1", "HTTP/1.0");
+    byte[] body = randomBytes(200_000);
     fixture.backend.responder =
         (request, out) -> {
           TextStreams.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
           writeChunked(out, body, "");
           return true;
         };
-    TestClient whole = fixture.client();
-    assertNull(whole.ask(ask).header("Transfer-Encoding"));
-    assertEquals(body.length, whole.rest());
+    TestClient completeClient = fixture.client();
+    assertNull(completeClient.ask(request10).header("Transfer-Encoding"));
+    assertEquals(body.length, completeClient.rest());
     fixture.backend.responder =
         (request, out) -> {
           TextStreams.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
           TextStreams.write(out, "30000\r\n" + "x".repeat(0x30000) + "\r\n");
-          pause(read);
+          pause(clientHasRead);
           return false;
         };
-    TestClient broken = fixture.client();
-    broken.ask(ask);
-    read.countDown();
-    assertThrows(IOException.class, () -> broken.rest());
+    TestClient abortedClient = fixture.client();
+    abortedClient.ask(request10);
+    clientHasRead.countDown();
+    assertThrows(IOException.class, () -> abortedClient.rest());
   }
 
   /**
-   * A client resets its connection in the middle of a streamed response; before the event loop
-   * hears of that, the rest of the response proves malformed. The client's socket is closed
-   * already, and the attempt has to end all the same: else its request is kept for good.
+   * A client resets its connection in the middle of a streamed response. Before the event loop sees the reset, the rest of the response proves malformed. The client's socket is already closed, but the attempt must still end, or its request would be retained forever.
    */
   @Test
-  void attemptEndsWhenItsResponseBreaksJustAfterTheClientLeft() throws Exception {
-    CountDownLatch left = new CountDownLatch(1);
-    CountDownLatch broken = new CountDownLatch(1);
+  void attemptEndsWhenResponseBreaksJustAfterClientDisconnects() throws Exception {
+    CountDownLatch clientDisconnected = new CountDownLatch(1);
+    CountDownLatch abortedClient = new CountDownLatch(1);
     fixture.backend.responder =
         (request, out) -> {
           TextStreams.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
           TextStreams.write(out, "20000\r\n" + "x".repeat(0x20000) + "\r\n");
-          pause(left);
+          pause(clientDisconnected);
           TextStreams.write(out, "no chunk\r\n");
-          broken.countDown();
+          abortedClient.countDown();
           return true;
         };
     GatewayServer gateway = fixture.start();
     TestClient client = fixture.client();
     client.send(TestRequests.get("r1", 3000));
     client.socket.getInputStream().readNBytes(0x20000);
-    CountDownLatch standing = new CountDownLatch(1);
+    CountDownLatch loopBlocked = new CountDownLatch(1);
     gateway.loop.execute(
         () -> {
-          standing.countDown();
+          loopBlocked.countDown();
           try {
-            broken.await(10, TimeUnit.SECONDS);
+            abortedClient.await(10, TimeUnit.SECONDS);
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
         });
-    standing.await();
+    loopBlocked.await();
     client.socket.setSoLinger(true, 0);
     client.close();
-    left.countDown();
-    assertTrue(broken.await(10, TimeUnit.SECONDS));
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-    while (held(gateway) > 0 && System.nanoTime() < until) {
+    clientDisconnected.countDown();
+    assertTrue(abortedClient.await(10, TimeUnit.SECONDS));
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+    while (activeRequestCount(gateway) > 0 && System.nanoTime() < deadline) {
       Thread.onSpinWait();
     }
-    assertEquals(0, held(gateway));
+    assertEquals(0, activeRequestCount(gateway));
   }
 
-  private static int held(GatewayServer gateway) throws Exception {
+  private static int activeRequestCount(GatewayServer gateway) throws Exception {
     return gateway
         .loop
         .submit(() -> gateway.clients().driver().activeRequestCount())
@@ -480,9 +465,9 @@
         .getNow();
   }
 
-  private static void pause(CountDownLatch until) throws IOException {
+  private static void pause(CountDownLatch deadline) throws IOException {
     try {
-      until.await(10, TimeUnit.SECONDS);
+      deadline.await(10, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       throw new IOException(e);
     }
