--- a/src/test/java/quotagateway/server/AdminServerTest.java
+++ b/src/test/java/quotagateway/server/AdminServerTest.java
@@ -19,14 +19,14 @@
 import quotagateway.testing.TestRequests;
 import quotagateway.testing.TextStreams;
 
-/** What operators get, whatever clients and other callers do; and what their calls change. */
+/** Tests the operators' calls: their effects, and their responses regardless of what clients and other callers do. */
 @Timeout(30)
 class AdminServerTest {
 
-  /** Well under the time for which a connection lingers. */
-  private static final long LINGER_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+  /** Well below the 300 ms for which a connection lingers. */
+  private static final long MAX_SEND_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-  private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
+  private static final String READINESS_REQUEST = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
   private final GatewayFixture fixture = new GatewayFixture();
 
@@ -39,23 +39,23 @@
   void drainAndUndrainTakeEffectWithoutARestart() throws Exception {
     fixture.start();
     assertEquals(200, fixture.operator("GET /ready"));
-    TestClient kept = fixture.client();
-    assertEquals(200, kept.ask(TestRequests.get("r1", 3000)).status());
+    TestClient idleClient = fixture.client();
+    assertEquals(200, idleClient.ask(TestRequests.get("r1", 3000)).status());
     assertEquals(200, fixture.operator("POST /drain"));
-    assertEquals(503, fixture.client().ask(UP).status());
+    assertEquals(503, fixture.client().ask(READINESS_REQUEST).status());
     assertEquals(503, fixture.operator("GET /ready"));
-    assertTrue(kept.ended(), "a connection with no request on it is not kept");
+    assertTrue(idleClient.ended(), "the idle connection was not closed");
     assertEquals(
         "close", fixture.client().ask(TestRequests.get("late", 3000)).header("Connection"));
-    assertEquals(200, fixture.operator("POST /drain"), "a second call asks for nothing more");
+    assertEquals(200, fixture.operator("POST /drain"), "a repeated call was not accepted");
     assertEquals(200, fixture.operator("POST /undrain"));
-    TestClient back = fixture.client();
-    assertEquals(200, back.ask(UP).status());
-    assertEquals(200, back.ask(TestRequests.get("r2", 3000)).status());
-    assertEquals(200, back.ask(TestRequests.get("r3", 3000)).status());
+    TestClient client = fixture.client();
+    assertEquals(200, client.ask(READINESS_REQUEST).status());
+    assertEquals(200, client.ask(TestRequests.get("r2", 3000)).status());
+    assertEquals(200, client.ask(TestRequests.get("r3", 3000)).status());
   }
 
-  private void answerAfter(CountDownLatch drained) {
+  private void respondAfter(CountDownLatch drained) {
     fixture.backend.responder =
         (request, out) -> {
           try {
@@ -67,70 +67,67 @@
         };
   }
 
-  /** An operator drains while a request is open: its connection ends with its response. */
+  /** An operator drains while a request is open. Its connection is closed after its response. */
   @Test
   void openRequestGetsItsResponseWhileDraining() throws Exception {
     fixture.start();
     CountDownLatch drained = new CountDownLatch(1);
-    answerAfter(drained);
-    TestClient busy = fixture.client();
-    busy.send(TestRequests.get("r1", 4000));
+    respondAfter(drained);
+    TestClient busyClient = fixture.client();
+    busyClient.send(TestRequests.get("r1", 4000));
     TestQueues.next(fixture.backend.received);
-    TestClient idle = fixture.client();
-    idle.ask(UP);
+    TestClient idleClient = fixture.client();
+    idleClient.ask(READINESS_REQUEST);
     assertEquals(200, fixture.operator("POST /drain"));
-    assertTrue(idle.ended());
+    assertTrue(idleClient.ended());
     drained.countDown();
-    assertEquals(200, busy.receive().status());
-    assertTrue(busy.ended());
+    assertEquals(200, busyClient.receive().status());
+    assertTrue(busyClient.ended());
   }
 
   /**
-   * An operator drains while a client has three pipelined requests. All were accepted, so only the
-   * last response ends the connection.
+   * An operator drains while a client has three pipelined requests. All were accepted, so only the last response closes the connection.
    */
   @Test
   void pipelinedRequestsGetTheirResponsesWhileDraining() throws Exception {
     fixture.start();
     CountDownLatch drained = new CountDownLatch(1);
-    answerAfter(drained);
-    TestClient busy = fixture.client();
-    busy.send(
+    respondAfter(drained);
+    TestClient busyClient = fixture.client();
+    busyClient.send(
         TestRequests.get("r1", 4000) + TestRequests.get("r2", 4000) + TestRequests.get("r3", 4000));
     TestQueues.next(fixture.backend.received);
     assertEquals(200, fixture.operator("POST /drain"));
     drained.countDown();
-    assertNull(busy.receive().header("Connection"));
-    assertNull(busy.receive().header("Connection"));
-    assertEquals("close", busy.receive().header("Connection"));
-    assertTrue(busy.ended());
+    assertNull(busyClient.receive().header("Connection"));
+    assertNull(busyClient.receive().header("Connection"));
+    assertEquals("close", busyClient.receive().header("Connection"));
+    assertTrue(busyClient.ended());
   }
 
   /**
-   * A client has sent part of its next request when its last response ends the connection. What it
-   * goes on sending must not be met by a reset, which may cost it the response that it has not read
-   * yet.
+   * A client has sent part of its next request when the last response closes its connection. The bytes that the client still sends must not cause a reset, which could discard a response that the client has not read yet.
    */
   @Test
-  void connectionLingersBehindItsLastResponseUnderAHalfReceivedRequest() throws Exception {
+  void connectionLingersAfterLastResponseDespitePartialRequest() throws Exception {
     fixture.start();
     assertEquals(200, fixture.operator("POST /drain"));
     String next = TestRequests.get("next", 3000);
     boolean inTime = false;
-    for (int n = 0; !inTime; n++) {
+    for (int requestNumber = 0; !inTime; requestNumber++) {
       TestClient client = fixture.client();
-      client.send(TestRequests.get("last" + n, 3000) + next.substring(0, 20));
+      client.send(TestRequests.get("last" + requestNumber, 3000) + next.substring(0, 20));
       assertEquals("close", client.receive().header("Connection"));
       assertTrue(client.ended());
       long endedNanos = System.nanoTime();
-      boolean taken = sendsTwice(client, next.substring(20));
-      // Again if the machine stood still: the connection lingers for a limited time.
-      inTime = System.nanoTime() - endedNanos < LINGER_NANOS;
-      assertTrue(taken || !inTime, "the connection was reset");
+      boolean sent = sendsTwice(client, next.substring(20));
+      // Repeats if the machine stalled: the connection lingers for a limited time only.
+      inTime = System.nanoTime() - endedNanos < MAX_SEND_DELAY_NANOS;
+      assertTrue(sent || !inTime, "the connection was reset");
     }
   }
 
-  /** Whether a second write succeeds: the first one's reset, if there is one, has come by then. */
+  /** Returns whether a second write succeeds. If the first write caused a reset, it has arrived by then. */
   private static boolean sendsTwice(TestClient client, String text) {
     try {
       client.send(text);
@@ -141,48 +138,47 @@
     }
   }
 
-  /** Clients' load has stopped their event loop: operators must still be able to drain. */
+  /** Operators must be able to drain even if client load blocks the clients' event loop. */
   @Test
-  void callsAreAnsweredWhileTheEventLoopOfClientsIsBlocked() throws Exception {
+  void callsAreAnsweredWhileTheClientEventLoopIsBlocked() throws Exception {
     GatewayServer gateway = fixture.start();
-    CountDownLatch go = new CountDownLatch(1);
+    CountDownLatch unblocked = new CountDownLatch(1);
     gateway.loop.execute(
         () -> {
           try {
-            go.await();
+            unblocked.await();
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
         });
     assertEquals(200, fixture.operator("GET /ready"));
     assertEquals(200, fixture.operator("POST /drain"));
-    go.countDown();
-    assertEquals(503, fixture.client().ask(UP).status());
+    unblocked.countDown();
+    assertEquals(503, fixture.client().ask(READINESS_REQUEST).status());
   }
 
-  /** Fifty callers send half a call each: they are closed, and none keeps an operator out. */
+  /** Fifty callers send half a call each. Their connections are closed, and operators are still served. */
   @Test
-  void incompleteCallsAreClosedAndKeepNobodyOut() throws Exception {
+  void incompleteCallsAreClosedAndDoNotBlockOperators() throws Exception {
     fixture.start();
-    List<TestClient> silent = new ArrayList<>();
+    List<TestClient> incompleteCallers = new ArrayList<>();
     for (int i = 0; i < 50; i++) {
       TestClient caller = fixture.operator();
       caller.send("POST /dra");
-      silent.add(caller);
+      incompleteCallers.add(caller);
     }
     assertEquals(200, fixture.operator("GET /ready"));
-    for (TestClient caller : silent) {
+    for (TestClient caller : incompleteCallers) {
       assertTrue(caller.ended());
     }
-    assertEquals(200, fixture.client().ask(UP).status(), "half a call moves nothing");
+    assertEquals(200, fixture.client().ask(READINESS_REQUEST).status(), "an incomplete call was carried out");
   }
 
   /**
-   * A second call comes in one read with the first, whose response ends the connection. Carried out
-   * without a response, it would drain a gateway whose operator has to take it for not called.
+   * A second call arrives in the same read as the first, whose response closes the connection. If the second call were carried out without a response, the gateway would drain although its operator has to assume that the call had no effect.
    */
   @Test
-  void aCallBehindTheFirstIsNotCarriedOut() throws Exception {
+  void pipelinedCallIsNotCarriedOut() throws Exception {
     fixture.start();
     TestClient caller = fixture.operator();
     caller.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\nPOST /drain HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -197,11 +193,11 @@
     assertEquals(404, fixture.operator("GET /up"));
     assertEquals(405, fixture.operator("GET /drain"));
     assertEquals(405, fixture.operator("POST /ready"));
-    assertEquals(200, fixture.operator("POST http://127.0.0.1/undrain"), "it serves already");
-    assertEquals(200, fixture.client().ask(UP).status());
+    assertEquals(200, fixture.operator("POST http://127.0.0.1/undrain"), "undrain of a serving gateway was not accepted");
+    assertEquals(200, fixture.client().ask(READINESS_REQUEST).status());
   }
 
-  /** A client sends an operator's call to the clients' address; it must not drain the gateway. */
+  /** A client sends an operator's call to the client address. It must not drain the gateway. */
   @Test
   void clientsCannotDrain() throws Exception {
     fixture.start();
--- a/src/test/java/quotagateway/server/ClientDisconnectTest.java
+++ b/src/test/java/quotagateway/server/ClientDisconnectTest.java
@@ -27,29 +27,30 @@
 import quotagateway.testing.TestRequests;
 import quotagateway.testing.TextStreams;
 
-/** No attempt begins for a client that has left, whatever its request waited for when it did. */
+/** Verifies that no attempt starts for a client that has disconnected, whatever its request was waiting for. */
 @Timeout(30)
 class ClientDisconnectTest {
 
-  /** After this a connection to a backend is used again. */
-  private static final long SETTLED_MS = 20;
+  /** The pool reuses a backend connection no earlier than this after a response. */
+  private static final long REUSE_DELAY_MS = 20;
 
   /**
-   * More than is held of a body, and no more than the kernel holds beyond that; and more than that.
+   * A body that the gateway buffers in part and whose rest fits into the kernel's receive buffer.
    */
-  private static final int READ_IN_PART = 150_000;
+  private static final int PARTIALLY_READ_BODY_BYTES = 150_000;
 
-  private static final int HUGE = 400_000;
+  /** A body whose rest does not fit into the kernel's receive buffer. */
+  private static final int HUGE_BODY_BYTES = 400_000;
   private static final String NEEDS_EPOLL =
-      "only there the kernel tells of a close that was not read";
+      "only epoll reports a close that follows unread bytes";
 
-  /** How a client leaves: it closes, ends only its sending, or resets the connection. */
-  enum Leaving {
+  /** Ways in which a client disconnects: closing, shutting down only its output, or resetting. */
+  enum DisconnectKind {
     CLOSE,
     HALF_CLOSE,
     RESET;
 
-    void by(TestClient client) throws IOException {
+    void disconnect(TestClient client) throws IOException {
       if (this == HALF_CLOSE) {
         client.socket.shutdownOutput();
       } else {
@@ -61,7 +62,7 @@
 
   private final GatewayFixture fixture = new GatewayFixture();
   private final CountDownLatch resume = new CountDownLatch(1);
-  private final BlockingQueue<OutputStream> asked = new LinkedBlockingQueue<>();
+  private final BlockingQueue<OutputStream> openResponses = new LinkedBlockingQueue<>();
   private GatewayServer gateway;
 
   @AfterEach
@@ -70,7 +71,7 @@
     fixture.close();
   }
 
-  /** Its requests wait for the counter, and for backends, until their time is up. */
+  /** Starts a gateway whose requests wait for the counter and for backends until their deadline. */
   private void start(String config) throws Exception {
     gateway =
         fixture.start(
@@ -85,54 +86,53 @@
     return fixture.config(EndpointListJson.entry("s-1", fixture.backend.port(), "active"));
   }
 
-  private void holdLoop() throws InterruptedException {
-    CountDownLatch held = new CountDownLatch(1);
+  private void blockLoop() throws InterruptedException {
+    CountDownLatch loopBlocked = new CountDownLatch(1);
     gateway.loop.execute(
         () -> {
-          held.countDown();
+          loopBlocked.countDown();
           try {
             resume.await(10, TimeUnit.SECONDS);
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
         });
-    held.await();
+    loopBlocked.await();
   }
 
   /**
-   * Sends a request whose first call to the counter is not answered yet; gives that call's
-   * connection.
+   * Sends a request and leaves its first call to the counter unanswered. Returns the connection of that call.
    */
-  private OutputStream waitForCounter(TestClient client, String request) throws Exception {
+  private OutputStream sendWithCounterCallUnanswered(TestClient client, String request) throws Exception {
     AtomicBoolean first = new AtomicBoolean(true);
     fixture.counter.replies = line -> first.getAndSet(false) ? null : fixture.counter.count(line);
     client.send(request);
     return TestQueues.next(fixture.counter.unanswered);
   }
 
-  /** Leaves so many connections to the backend that the next requests are written to at once. */
-  private void keepConnections(int number) throws Exception {
-    fixture.backend.responder = (request, out) -> asked.add(out);
+  /** Opens idle connections to the backend, on which the next requests are written without a connect. */
+  private void openIdleConnections(int count) throws Exception {
+    fixture.backend.responder = (request, out) -> openResponses.add(out);
     List<TestClient> clients = new ArrayList<>();
-    for (int i = 0; i < number; i++) {
+    for (int i = 0; i < count; i++) {
       clients.add(fixture.client());
       clients.get(i).send(TestRequests.get("kept" + i, 3000));
       TestQueues.next(fixture.backend.received);
     }
-    for (int i = 0; i < number; i++) {
-      TextStreams.write(TestQueues.next(asked), FakeBackend.OK_RESPONSE);
+    for (int i = 0; i < count; i++) {
+      TextStreams.write(TestQueues.next(openResponses), FakeBackend.OK_RESPONSE);
     }
     for (TestClient client : clients) {
       assertEquals(200, client.receive().status());
       client.close();
     }
-    gateway.loop.schedule(() -> {}, SETTLED_MS, TimeUnit.MILLISECONDS).sync();
+    gateway.loop.schedule(() -> {}, REUSE_DELAY_MS, TimeUnit.MILLISECONDS).sync();
   }
 
-  private void awaitClosed() throws Exception {
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
+  private void awaitNoConnections() throws Exception {
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
     while (gateway.loop.submit(() -> !gateway.clients().hasNoConnections()).get()) {
-      assertTrue(System.nanoTime() < until, "the connection of a client that has left is kept");
+      assertTrue(System.nanoTime() < deadline, "the connection of a disconnected client is still open");
     }
   }
 
@@ -140,59 +140,55 @@
     return TestRequests.post("gone", "x".repeat(size)).replace(": 3000", ": 90000");
   }
 
-  /** The next request that reaches a backend is one that was made after all of this. */
-  private void assertNothingWasSent() throws Exception {
-    awaitClosed();
+  /** Asserts that the next request to reach a backend is one that is sent only now. */
+  private void assertRequestWasNotForwarded() throws Exception {
+    awaitNoConnections();
     fixture.backend.responder = (request, out) -> TextStreams.write(out, FakeBackend.OK_RESPONSE);
     assertEquals(200, fixture.client().ask(TestRequests.get("later", 3000)).status());
     assertEquals("later", TestQueues.next(fixture.backend.received).header("Request-Id"));
   }
 
   /**
-   * The event loop stands still; meanwhile the counter replies and the client leaves. The loop then
-   * reads the reply first, and would start the first attempt for a client that is gone. The reply
-   * admits the request, or where the plan limits concurrency gives it a permit.
+   * The event loop is blocked while the counter replies and the client disconnects. The loop then reads the reply first and could start the first attempt for a disconnected client. The reply admits the request or, if the plan limits concurrency, gives it a permit.
    */
   @ParameterizedTest
   @CsvSource({"CLOSE,false", "HALF_CLOSE,false", "RESET,false", "CLOSE,true"})
-  void noAttemptStartsWhenTheCounterReplyIsReadBeforeTheClose(Leaving leaving, boolean forPlace)
+  void noAttemptStartsWhenCounterReplyIsReadBeforeDisconnect(DisconnectKind disconnectKind, boolean limitsConcurrency)
       throws Exception {
     assumeTrue(Epoll.isAvailable(), NEEDS_EPOLL);
-    start(forPlace ? config().replace("\"Refill\":400,", "\"Open\":1,") : config());
-    keepConnections(1);
+    start(limitsConcurrency ? config().replace("\"Refill\":400,", "\"Open\":1,") : config());
+    openIdleConnections(1);
     TestClient client = fixture.client();
-    OutputStream call = waitForCounter(client, TestRequests.get("gone", 90_000));
-    holdLoop();
-    TextStreams.write(call, "ok 1\r\n");
-    leaving.by(client);
+    OutputStream counterCall = sendWithCounterCallUnanswered(client, TestRequests.get("gone", 90_000));
+    blockLoop();
+    TextStreams.write(counterCall, "ok 1\r\n");
+    disconnectKind.disconnect(client);
     resume.countDown();
-    assertNothingWasSent();
+    assertRequestWasNotForwarded();
   }
 
   /**
-   * The event loop stands still; meanwhile a backend answers with an error and the client leaves.
-   * The loop then reads the error first, and would start a retry for a client that is gone.
+   * The event loop is blocked while a backend responds with an error and the client disconnects. The loop then reads the error first and could start a retry for a disconnected client.
    */
   @ParameterizedTest
   @EnumSource
-  void noRetryStartsWhenTheBackendsErrorIsReadBeforeTheClose(Leaving leaving) throws Exception {
+  void noRetryStartsWhenBackendErrorIsReadBeforeDisconnect(DisconnectKind disconnectKind) throws Exception {
     assumeTrue(Epoll.isAvailable(), NEEDS_EPOLL);
     start(config());
-    keepConnections(2);
+    openIdleConnections(2);
     TestClient client = fixture.client();
     client.send(TestRequests.get("gone", 90_000));
-    OutputStream backend = TestQueues.next(asked);
+    OutputStream backend = TestQueues.next(openResponses);
     TestQueues.next(fixture.backend.received);
-    holdLoop();
+    blockLoop();
     TextStreams.write(backend, "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
-    leaving.by(client);
+    disconnectKind.disconnect(client);
     resume.countDown();
-    assertNothingWasSent();
+    assertRequestWasNotForwarded();
   }
 
   /**
-   * A large body is not read on while its request, or one before it, waits for the counter. The
-   * client leaves, and its close lies unread behind the body: the kernel has to be asked.
+   * The gateway stops reading a large body while its request, or an earlier one, waits for the counter. The client disconnects, and its close follows the unread body, so the gateway must query the kernel to detect it.
    */
   @ParameterizedTest
   @CsvSource({
@@ -203,55 +199,52 @@
     "HALF_CLOSE,true",
     "RESET,true"
   })
-  void noAttemptStartsWhenTheCloseIsBehindAnUnreadBody(Leaving leaving, boolean behindAnother)
+  void noAttemptStartsWhenDisconnectFollowsUnreadBody(DisconnectKind disconnectKind, boolean afterAnotherRequest)
       throws Exception {
     assumeTrue(Epoll.isAvailable(), NEEDS_EPOLL);
     start(config());
     TestClient client = fixture.client();
-    String post = post(READ_IN_PART);
-    OutputStream call =
-        waitForCounter(client, behindAnother ? TestRequests.get("first", 90_000) + post : post);
-    leaving.by(client);
-    awaitClosed();
-    TextStreams.write(call, "ok 2\r\n");
-    assertNothingWasSent();
+    String post = post(PARTIALLY_READ_BODY_BYTES);
+    OutputStream counterCall =
+        sendWithCounterCallUnanswered(client, afterAnotherRequest ? TestRequests.get("first", 90_000) + post : post);
+    disconnectKind.disconnect(client);
+    awaitNoConnections();
+    TextStreams.write(counterCall, "ok 2\r\n");
+    assertRequestWasNotForwarded();
   }
 
   /**
-   * The kernel has no room for all of a huge body, so it learns of the client's close only when the
-   * rest is read, while the body is being streamed. The backend must not get the last byte: it
-   * would execute the request.
+   * A huge body does not fit into the kernel's receive buffer, so the kernel receives the client's close only after the rest has been read, while the body is being streamed. The backend must not get the last byte, or it would execute the request.
    */
   @ParameterizedTest
   @EnumSource
-  void backendGetsNoLastByteWhenTheCloseIsBehindAHugeBody(Leaving leaving) throws Exception {
+  void backendDoesNotGetLastByteWhenDisconnectFollowsHugeBody(DisconnectKind disconnectKind) throws Exception {
     assumeTrue(Epoll.isAvailable(), NEEDS_EPOLL);
     start(config());
     TestClient client = fixture.client();
-    OutputStream call = waitForCounter(client, post(HUGE));
-    leaving.by(client);
-    TextStreams.write(call, "ok 2\r\n");
-    assertNothingWasSent();
+    OutputStream counterCall = sendWithCounterCallUnanswered(client, post(HUGE_BODY_BYTES));
+    disconnectKind.disconnect(client);
+    TextStreams.write(counterCall, "ok 2\r\n");
+    assertRequestWasNotForwarded();
   }
 
   /**
-   * A request waits for a backend, as discovery has listed none yet. Its client leaves, and then a
-   * backend is listed: the request must not be sent to it.
+   * A request waits for a backend, as discovery has listed none yet. The client disconnects before a backend is listed. The request must not be sent to that backend.
    */
   @ParameterizedTest
   @EnumSource
-  void noAttemptStartsWhenTheClientLeftBeforeABackendWasKnown(Leaving leaving) throws Exception {
+  void noAttemptStartsWhenClientDisconnectsBeforeABackendIsKnown(DisconnectKind disconnectKind) throws Exception {
     start(fixture.config());
     TestClient client = fixture.client();
     client.send(TestRequests.get("gone", 90_000));
     TestQueues.next(fixture.counter.calls);
     TestQueues.next(fixture.discovery.watches);
-    leaving.by(client);
-    awaitClosed();
+    disconnectKind.disconnect(client);
+    awaitNoConnections();
     fixture.discovery.send(
         EndpointListJson.list(
                 8, true, EndpointListJson.entry("s-1", fixture.backend.port(), "active"))
             + "\n");
-    assertNothingWasSent();
+    assertRequestWasNotForwarded();
   }
 }
--- a/src/test/java/quotagateway/server/DiscoveryTest.java
+++ b/src/test/java/quotagateway/server/DiscoveryTest.java
@@ -29,7 +29,7 @@
 import quotagateway.testing.TestRequests;
 import quotagateway.testing.TextStreams;
 
-/** Changes of the endpoint list: how they arrive over the wire, and which backends get requests. */
+/** Tests updates of the endpoint list: how they are received and which backends get requests afterwards. */
 @Timeout(40)
 class DiscoveryTest {
 
@@ -53,32 +53,32 @@
 
   private void requestUntilServedBy(String name) throws IOException {
     TestClient client = fixture.client();
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-    int n = 0;
-    while (!client.ask(TestRequests.get("to-" + name + n++, 3000)).text().equals(name)) {
-      assertTrue(System.nanoTime() < until, "no request goes to " + name);
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+    int requestNumber = 0;
+    while (!client.ask(TestRequests.get("to-" + name + requestNumber++, 3000)).text().equals(name)) {
+      assertTrue(System.nanoTime() < deadline, "no request goes to " + name);
     }
   }
 
   @Test
-  void acceptsAMessageThatIsSplitAcrossChunks() throws Exception {
-    int first = namedBackend("1").port();
-    int second = namedBackend("2").port();
-    fixture.start(fixture.config(EndpointListJson.entry("s-1", first, "active")));
+  void acceptsMessageSplitAcrossChunks() throws Exception {
+    int firstPort = namedBackend("1").port();
+    int secondPort = namedBackend("2").port();
+    fixture.start(fixture.config(EndpointListJson.entry("s-1", firstPort, "active")));
     assertEquals(
         "GET /discovery/hosts?stream=1&index=7 HTTP/1.1",
         TestQueues.next(fixture.discovery.watches));
     requestUntilServedBy("1");
-    String line =
+    String message =
         EndpointListJson.list(
                 8,
                 false,
-                EndpointListJson.entry("s-1", first, "leaving"),
-                EndpointListJson.entry("s-2", second, "active"))
+                EndpointListJson.entry("s-1", firstPort, "leaving"),
+                EndpointListJson.entry("s-2", secondPort, "active"))
             + "\n";
-    fixture.discovery.send("\n" + line.substring(0, 30));
-    fixture.discovery.send(line.substring(30, 90));
-    fixture.discovery.send(line.substring(90) + "\n");
+    fixture.discovery.send("\n" + message.substring(0, 30));
+    fixture.discovery.send(message.substring(30, 90));
+    fixture.discovery.send(message.substring(90) + "\n");
     requestUntilServedBy("2");
     TestClient client = fixture.client();
     for (int i = 0; i < 20; i++) {
@@ -87,20 +87,19 @@
   }
 
   /**
-   * A backend's connection is still coming up when its endpoint begins to drain: the attempt must
-   * not be written to it any more.
+   * An endpoint starts draining while a connection to it is still being established. The attempt that waits for the connection must not be written to it.
    */
   @Test
-  void anAttemptThatWaitsForItsConnectionIsNotWrittenToADrainingBackend() throws Exception {
-    List<SocketChannel> filling = new ArrayList<>();
-    try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+  void doesNotWriteAttemptToBackendThatDrainsDuringConnect() throws Exception {
+    List<SocketChannel> fillingChannels = new ArrayList<>();
+    try (ServerSocket blockedServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       for (int i = 0; i < 8; i++) {
         SocketChannel channel = SocketChannel.open();
-        filling.add(channel);
+        fillingChannels.add(channel);
         channel.configureBlocking(false);
-        channel.connect(full.getLocalSocketAddress());
+        channel.connect(blockedServer.getLocalSocketAddress());
       }
-      String config = fixture.config(EndpointListJson.entry("s-1", full.getLocalPort(), "active"));
+      String config = fixture.config(EndpointListJson.entry("s-1", blockedServer.getLocalPort(), "active"));
       fixture.start(
           config
               .replace("\"DialTimeoutMs\":250", "\"DialTimeoutMs\":20000")
@@ -108,29 +107,29 @@
               .replace("\"DeadlineMs\":4000", "\"DeadlineMs\":15000"));
       TestQueues.next(fixture.discovery.watches);
       TestClient client = fixture.client();
-      long from = System.nanoTime();
+      long startNanos = System.nanoTime();
       client.send(
           TestRequests.post("r1", "b")
               .replace("Request-Timeout-Ms: 3000", "Request-Timeout-Ms: 15000"));
       TestQueues.next(fixture.counter.calls);
-      // The next call follows the first one's answer, so the first attempt is under way.
+      // The second call follows the first one's reply, so the first attempt has started by then.
       fixture.client().send(TestRequests.post("r2", "b"));
       TestQueues.next(fixture.counter.calls);
       fixture.discovery.send(
           EndpointListJson.list(
-                  8, false, EndpointListJson.entry("s-1", full.getLocalPort(), "leaving"))
+                  8, false, EndpointListJson.entry("s-1", blockedServer.getLocalPort(), "leaving"))
               + "\n");
       assertEquals(503, client.receive().status());
-      assertTrue(System.nanoTime() - from < TimeUnit.SECONDS.toNanos(9));
+      assertTrue(System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(9));
     } finally {
-      for (SocketChannel channel : filling) {
+      for (SocketChannel channel : fillingChannels) {
         channel.close();
       }
     }
   }
 
   @Test
-  void anInvalidListEndsTheWatchAndTheNextGoesOnFromTheLastVersion() throws Exception {
+  void closesWatchOnInvalidListAndResumesFromLastVersion() throws Exception {
     fixture.start();
     TestQueues.next(fixture.discovery.watches);
     fixture.discovery.send(EndpointListJson.list(9, false) + "\n");
@@ -139,9 +138,9 @@
     assertEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
   }
 
-  /** An invalid list is requested again and again; those on call get a single warning of it. */
+  /** The gateway requests an invalid list repeatedly but logs only one warning. */
   @Test
-  void logsOneWarningForInvalidListsInARow() throws Exception {
+  void logsOneWarningForConsecutiveInvalidLists() throws Exception {
     try (LogCapture warnings = new LogCapture(DiscoveryClient.class)) {
       fixture.start();
       for (int i = 0; i < 4; i++) {
@@ -158,12 +157,12 @@
   }
 
   /**
-   * Junk in one entry must not hide the others, and a message without a list must not empty the
-   * list.
+   * An invalid entry must not hide the others, and a message without a list must not empty the
+   * endpoint list.
    */
   @Test
-  void skipsEntriesThatCannotBeUsed() throws Exception {
-    int second = namedBackend("2").port();
+  void skipsUnusableEntries() throws Exception {
+    int secondPort = namedBackend("2").port();
     fixture.start();
     TestQueues.next(fixture.discovery.watches);
     fixture.discovery.send(
@@ -173,7 +172,7 @@
                 EndpointListJson.entry("s-9", 1, "active").replace("127.0.0.1:1", "nowhere"),
                 "{\"id\":7}",
                 EndpointListJson.entry("s-1", fixture.backend.port(), "leaving"),
-                EndpointListJson.entry("s-2", second, "active"))
+                EndpointListJson.entry("s-2", secondPort, "active"))
             + "\n");
     requestUntilServedBy("2");
     fixture.discovery.send("{\"version\":-4,\"full\":true}\n");
@@ -182,7 +181,7 @@
   }
 
   /**
-   * Discovery's machine vanishes, and resets nothing: the watch is replaced for its silence alone.
+   * Discovery's host vanishes without resetting the connection. The watch is replaced because it is silent.
    */
   @Test
   void replacesASilentWatch() throws Exception {
@@ -192,27 +191,27 @@
   }
 
   /**
-   * What a silent watch misses counts as notified after 6 s, even if the next watches do not begin.
+   * An update that a silent watch missed must arrive within 6 s, even if the next watches receive no response.
    */
   @Test
-  void receivesInTimeWhatASilentWatchMissedThoughTheNextOnesDoNotBegin() throws Exception {
-    int second = namedBackend("2").port();
+  void receivesUpdateMissedBySilentWatchAlthoughNextWatchesGetNoResponse() throws Exception {
+    int secondPort = namedBackend("2").port();
     AtomicInteger watches = new AtomicInteger();
     AtomicLong silentSince = new AtomicLong();
-    int agent =
+    int agentPort =
         fixture
             .listen(
                 50,
                 (in, out, socket) -> {
                   HttpMessage.read(in);
-                  int number = watches.incrementAndGet();
-                  if (number == 1) {
+                  int watchNumber = watches.incrementAndGet();
+                  if (watchNumber == 1) {
                     TextStreams.write(out, FakeDiscovery.RESPONSE_HEAD);
                     silentSince.set(System.nanoTime());
-                  } else if (number > 3) {
+                  } else if (watchNumber > 3) {
                     String list =
                         EndpointListJson.list(
-                            8, true, EndpointListJson.entry("s-2", second, "active"));
+                            8, true, EndpointListJson.entry("s-2", secondPort, "active"));
                     TextStreams.write(out, FakeDiscovery.RESPONSE_HEAD + FakeDiscovery.chunk(list));
                   }
                 })
@@ -221,17 +220,17 @@
     fixture.start(
         config.replace(
             "\"discovery\":\"127.0.0.1:" + fixture.discovery.port(),
-            "\"discovery\":\"127.0.0.1:" + agent));
+            "\"discovery\":\"127.0.0.1:" + agentPort));
     requestUntilServedBy("2");
     assertTrue(System.nanoTime() - silentSince.get() < TimeUnit.SECONDS.toNanos(6));
   }
 
-  /** However many watches fail while discovery's agent is away, the next follows soon. */
+  /** Watches are retried at short intervals, however many have failed while the discovery agent was unavailable. */
   @Test
-  void watchesAReturningAgentWithinTheSecondThatADrainingEndpointHas() throws Exception {
-    int second = namedBackend("2").port();
+  void resumesWatchSoonAfterAgentReturns() throws Exception {
+    int secondPort = namedBackend("2").port();
     AtomicInteger watches = new AtomicInteger();
-    int agent =
+    int agentPort =
         fixture
             .listen(
                 50,
@@ -243,7 +242,7 @@
                   HttpMessage.read(in);
                   String list =
                       EndpointListJson.list(
-                          8, true, EndpointListJson.entry("s-2", second, "active"));
+                          8, true, EndpointListJson.entry("s-2", secondPort, "active"));
                   TextStreams.write(out, FakeDiscovery.RESPONSE_HEAD + FakeDiscovery.chunk(list));
                 })
             .port();
@@ -251,41 +250,38 @@
     fixture.start(
         config.replace(
             "\"discovery\":\"127.0.0.1:" + fixture.discovery.port(),
-            "\"discovery\":\"127.0.0.1:" + agent));
-    long from = System.nanoTime();
+            "\"discovery\":\"127.0.0.1:" + agentPort));
+    long startNanos = System.nanoTime();
     requestUntilServedBy("2");
-    assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(14 * 500));
+    assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(14 * 500));
   }
 
   /**
-   * Discovery may indent its messages, and send several at once. An invalid one would be logged,
-   * and its watch closed before any request sees a list behind it. That another watch is opened
-   * proves nothing: on a busy machine the first may begin too late, or be silent for too long.
+   * Discovery may indent its messages and send several at once. An invalid message would be logged, and its watch closed before any request could use a list that follows it. The test does not count watches: on a busy machine the first watch may start too late or be silent for too long, so that another one is opened.
    */
   @Test
-  void acceptsListsThatAreIndentedAndOneBehindAnother() throws Exception {
-    int first = fixture.backend.port();
-    int second = namedBackend("2").port();
+  void acceptsConsecutiveIndentedLists() throws Exception {
+    int firstPort = fixture.backend.port();
+    int secondPort = namedBackend("2").port();
     try (LogCapture warnings = new LogCapture(DiscoveryClient.class)) {
       fixture.start();
       TestQueues.next(fixture.discovery.watches);
       FakeDiscovery.Watch watch = fixture.discovery.newestWatch();
-      String lists = indentedListsOneBehindAnother(first, second);
+      String lists = consecutiveIndentedLists(firstPort, secondPort);
       watch.send(lists.substring(0, 50), lists.substring(50));
       requestUntilServedBy("2");
-      assertTrue(watch.isOpen(), "none of it was junk");
-      assertEquals(List.of(), warnings.messages(), "none of it was junk");
+      assertTrue(watch.isOpen(), "the watch was closed on valid lists");
+      assertEquals(List.of(), warnings.messages(), "valid lists were rejected");
     }
   }
 
   /**
-   * A watch whose response begins after the time limit has been replaced by then. Here it is held
-   * back until the request of the next watch has come. The lists are accepted all the same.
+   * A watch whose response begins after the time limit has been replaced by then. The fake agent holds the first response back until the next watch has been requested. Lists on the next watch must be accepted.
    */
   @Test
-  void acceptsListsAfterAWatchThatBeganTooLate() throws Exception {
-    int first = fixture.backend.port();
-    int second = namedBackend("2").port();
+  void acceptsListsAfterWatchWithLateResponse() throws Exception {
+    int firstPort = fixture.backend.port();
+    int secondPort = namedBackend("2").port();
     CountDownLatch twoWatches = new CountDownLatch(2);
     fixture.discovery.beforeResponse =
         () -> {
@@ -297,19 +293,19 @@
       TestQueues.next(fixture.discovery.watches);
       TestQueues.next(fixture.discovery.watches);
       FakeDiscovery.Watch watch = fixture.discovery.newestWatch();
-      String lists = indentedListsOneBehindAnother(first, second);
+      String lists = consecutiveIndentedLists(firstPort, secondPort);
       watch.send(lists.substring(0, 50), lists.substring(50));
       requestUntilServedBy("2");
-      assertTrue(watch.isOpen(), "none of it was junk");
-      assertEquals(List.of(), warnings.messages(), "none of it was junk");
+      assertTrue(watch.isOpen(), "the watch was closed on valid lists");
+      assertEquals(List.of(), warnings.messages(), "valid lists were rejected");
     }
   }
 
-  private static String indentedListsOneBehindAnother(int first, int second) {
-    return EndpointListJson.list(8, false, EndpointListJson.entry("s-1", first, "leaving"))
+  private static String consecutiveIndentedLists(int firstPort, int secondPort) {
+    return EndpointListJson.list(8, false, EndpointListJson.entry("s-1", firstPort, "leaving"))
             .replace(",", ",\n  ")
             .replace("{", "{\r\n\t")
         + "\n\n"
-        + EndpointListJson.list(9, false, EndpointListJson.entry("s-2", second, "active"));
+        + EndpointListJson.list(9, false, EndpointListJson.entry("s-2", secondPort, "active"));
   }
 }
--- a/src/test/java/quotagateway/server/ResourceLimitsTest.java
+++ b/src/test/java/quotagateway/server/ResourceLimitsTest.java
@@ -38,32 +38,32 @@
 import quotagateway.testing.TextStreams;
 import quotagateway.transport.ConnectionBudget;
 
-/** A gateway in a process of its own, with the memory of the deploy file and few descriptors. */
+/** Tests a gateway in a separate process with the JVM options of the deploy file and a limited number of descriptors. */
 @Timeout(90)
 class ResourceLimitsTest {
 
   private static final int MANY_BACKENDS = 1_500;
   private static final int MEMORY_MB = 192;
-  private static final long AT_ONCE_NANOS = TimeUnit.SECONDS.toNanos(3);
+  private static final long MAX_RECOVERY_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   private final GatewayFixture fixture = new GatewayFixture();
-  private final Socket reserved = new Socket();
-  private final AtomicBoolean away = new AtomicBoolean();
+  private final Socket portReservation = new Socket();
+  private final AtomicBoolean peersUnavailable = new AtomicBoolean();
   private final AtomicInteger counterConnections = new AtomicInteger();
-  private InetSocketAddress address;
+  private InetSocketAddress gatewayAddress;
   private Process process;
 
-  @TempDir Path folder;
+  @TempDir Path tempFolder;
 
   /**
-   * A bound socket that does not listen keeps the port for the process, which binds it with reuse.
+   * Reserves a port for the gateway process. The socket is bound but does not listen; the process binds the same port with SO_REUSEPORT.
    */
   @BeforeEach
-  void reserve() throws IOException {
-    reserved.setOption(StandardSocketOptions.SO_REUSEPORT, true);
-    reserved.setReuseAddress(true);
-    reserved.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-    address = (InetSocketAddress) reserved.getLocalSocketAddress();
+  void reservePort() throws IOException {
+    portReservation.setOption(StandardSocketOptions.SO_REUSEPORT, true);
+    portReservation.setReuseAddress(true);
+    portReservation.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    gatewayAddress = (InetSocketAddress) portReservation.getLocalSocketAddress();
   }
 
   @AfterEach
@@ -71,11 +71,11 @@
     if (process != null) {
       process.destroyForcibly().waitFor();
     }
-    reserved.close();
+    portReservation.close();
     fixture.close();
   }
 
-  private int backendThatResponds(String name) {
+  private int startNamedBackend(String name) {
     return fixture
         .listen(
             50,
@@ -90,29 +90,28 @@
   }
 
   /**
-   * Starts it with so many descriptors, by the options of the deploy file, and waits until it
-   * serves.
+   * Starts the gateway process with the JVM options of the deploy file and a descriptor limit, and waits until it serves.
    */
-  private void start(String config, int sockets) throws Exception {
-    Path file = folder.resolve("config.json");
+  private void start(String config, int descriptorLimit) throws Exception {
+    Path file = tempFolder.resolve("config.json");
     Files.writeString(
         file,
         config
             .replace(
-                "\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + address.getPort() + "\"")
+                "\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + gatewayAddress.getPort() + "\"")
             .replace(
                 "\"seed\"",
                 "\"limits\":{\"cores\":1,\"memory_mb\":"
                     + MEMORY_MB
                     + ",\"sockets\":"
-                    + sockets
+                    + descriptorLimit
                     + "},\"seed\""));
     List<String> command =
         new ArrayList<>(
             List.of(
                 "/bin/sh",
                 "-c",
-                "ulimit -n " + sockets + "; exec \"$@\"",
+                "ulimit -n " + descriptorLimit + "; exec \"$@\"",
                 "sh",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString()));
     Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
@@ -122,7 +121,7 @@
         .forEach(command::add);
     command.addAll(
         List.of(
-            "-Djava.io.tmpdir=" + folder,
+            "-Djava.io.tmpdir=" + tempFolder,
             "-cp",
             System.getProperty("java.class.path"),
             "quotagateway.Main",
@@ -130,75 +129,74 @@
     ProcessBuilder program =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
-            .redirectOutput(folder.resolve("output").toFile());
+            .redirectOutput(tempFolder.resolve("output").toFile());
     program.environment().put("GW_CONFIG", file.toString());
     process = program.start();
-    askUntil("1", TimeUnit.SECONDS.toNanos(60));
+    requestUntilServedBy("1", TimeUnit.SECONDS.toNanos(60));
   }
 
-  private interface Step {
+  private interface IoAction {
     void run() throws IOException;
   }
 
   /**
-   * Asks on ever new connections until a backend of that name answers; those may be refused
-   * meanwhile.
+   * Sends requests, each on a new connection, until the named backend responds. Connections may be refused until then.
    */
-  private void askUntil(String name, long nanos) throws IOException {
-    long until = System.nanoTime() + nanos;
-    for (int n = 0; ; n++) {
-      assertTrue(process.isAlive(), () -> "it has ended: " + output());
-      assertTrue(System.nanoTime() < until, () -> "no answer of " + name + " in time; " + output());
-      try (TestClient client = new TestClient(address)) {
-        if (client.ask(TestRequests.get(name + "-" + n, 3000)).text().equals(name)) {
+  private void requestUntilServedBy(String name, long nanos) throws IOException {
+    long deadline = System.nanoTime() + nanos;
+    for (int requestNumber = 0; ; requestNumber++) {
+      assertTrue(process.isAlive(), () -> "the gateway process has exited:  " + output());
+      assertTrue(System.nanoTime() < deadline, () -> "no response from backend " + name + " in time; " + output());
+      try (TestClient client = new TestClient(gatewayAddress)) {
+        if (client.ask(TestRequests.get(name + "-" + requestNumber, 3000)).text().equals(name)) {
           return;
         }
       } catch (IOException e) {
-        // It does not listen yet, or there was no place.
+        // The gateway does not listen yet, or is at its connection limit.
       }
     }
   }
 
   private String output() {
     try {
-      return Files.readString(folder.resolve("output"));
+      return Files.readString(tempFolder.resolve("output"));
     } catch (IOException e) {
       return e.getMessage();
     }
   }
 
-  private int descriptors() {
+  private int openDescriptorCount() {
     return Path.of("/proc", Long.toString(process.pid()), "fd").toFile().list().length;
   }
 
-  private static String whole(String list) {
+  private static String chunk(String list) {
     return Integer.toHexString(list.length()) + "\r\n" + list + "\r\n";
   }
 
-  /** Discovery that accepts no watch while it is away, and reports this list once it is back. */
-  private int discoveryThatReports(String list, AtomicInteger watches) {
+  /** Starts a fake discovery agent that closes all connections while the peers are unavailable and responds to watches with the list afterwards. */
+  private int startDiscovery(String list, AtomicInteger watches) {
     return fixture
         .listen(
             50,
             (in, out, socket) -> {
-              if (away.get()) {
+              if (peersUnavailable.get()) {
                 socket.close();
                 return;
               }
               HttpMessage.read(in);
               watches.incrementAndGet();
               TextStreams.write(
-                  out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + whole(list));
+                  out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list));
             })
         .port();
   }
 
-  private int counter() {
+  private int startCounter() {
     return fixture
         .listen(
             50,
             (in, out, socket) -> {
-              if (away.get()) {
+              if (peersUnavailable.get()) {
                 socket.close();
                 return;
               }
@@ -209,62 +207,60 @@
   }
 
   /**
-   * A crowd of clients connects while discovery and the counter are away. Its connections leave
-   * descriptors for all that the gateway itself connects to, so that it recovers at once when they
-   * are back.
+   * Many clients connect while discovery and the counter are unavailable. The connection limit must leave descriptors for all connections that the gateway itself opens, so that it recovers within 3 s once both are available again.
    */
   @ParameterizedTest
   @ValueSource(ints = {80, GatewayFixture.FEW_DESCRIPTORS})
-  void crowdOfClientsLeavesDescriptorsForDiscoveryCounterAndBackends(int sockets) throws Exception {
-    int first = backendThatResponds("1");
-    int second = backendThatResponds("2");
-    away.set(true);
+  void connectedClientsLeaveDescriptorsForDiscoveryCounterAndBackends(int descriptorLimit) throws Exception {
+    int firstPort = startNamedBackend("1");
+    int secondPort = startNamedBackend("2");
+    peersUnavailable.set(true);
     AtomicInteger watches = new AtomicInteger();
     int discovery =
-        discoveryThatReports(
-            EndpointListJson.list(8, true, EndpointListJson.entry("s-2", second, "active")),
+        startDiscovery(
+            EndpointListJson.list(8, true, EndpointListJson.entry("s-2", secondPort, "active")),
             watches);
     start(
         fixture
-            .config(EndpointListJson.entry("s-1", first, "active"))
+            .config(EndpointListJson.entry("s-1", firstPort, "active"))
             .replace("127.0.0.1:" + fixture.discovery.port(), "127.0.0.1:" + discovery)
-            .replace("127.0.0.1:" + fixture.counter.port(), "127.0.0.1:" + counter()),
-        sockets);
-    ArrayDeque<TestClient> crowd = new ArrayDeque<>();
-    Step crowdIn =
+            .replace("127.0.0.1:" + fixture.counter.port(), "127.0.0.1:" + startCounter()),
+        descriptorLimit);
+    ArrayDeque<TestClient> clients = new ArrayDeque<>();
+    IoAction connectClients =
         () -> {
           for (int i = 0; i < 20; i++) {
-            crowd.add(new TestClient(address));
-            if (crowd.size() > 3 * sockets) {
-              crowd.poll().close();
+            clients.add(new TestClient(gatewayAddress));
+            if (clients.size() > 3 * descriptorLimit) {
+              clients.poll().close();
             }
           }
         };
-    int most = 0;
+    int maxDescriptors = 0;
     for (int i = 0; i < 60; i++) {
-      crowdIn.run();
-      most = Math.max(most, descriptors());
+      connectClients.run();
+      maxDescriptors = Math.max(maxDescriptors, openDescriptorCount());
     }
-    int places =
-        new ConnectionBudget(ResourceLimits.of(sockets, MEMORY_MB, 1).connections())
+    int maxClientConnections =
+        new ConnectionBudget(ResourceLimits.of(descriptorLimit, MEMORY_MB, 1).connections())
             .maxClientConnections();
-    assertTrue(most > places, "clients fill their places: " + most + " descriptors");
-    away.set(false);
-    long back = System.nanoTime();
+    assertTrue(maxDescriptors > maxClientConnections, "clients do not use up their connections:  " + maxDescriptors + " descriptors");
+    peersUnavailable.set(false);
+    long recoveryStartNanos = System.nanoTime();
     while (watches.get() == 0 || counterConnections.get() < CounterClient.CONNECTIONS) {
-      crowdIn.run();
+      connectClients.run();
       assertTrue(
-          System.nanoTime() - back < AT_ONCE_NANOS,
+          System.nanoTime() - recoveryStartNanos < MAX_RECOVERY_NANOS,
           watches + " watches and " + counterConnections + " connections to the counter");
     }
-    askUntil("2", AT_ONCE_NANOS);
+    requestUntilServedBy("2", MAX_RECOVERY_NANOS);
     assertFalse(output().contains("Too many open files"), this::output);
-    for (TestClient client : crowd) {
+    for (TestClient client : clients) {
       client.close();
     }
   }
 
-  private static String servers(
+  private static String endpointList(
       int version, boolean full, int from, int to, int port, String state) {
     return EndpointListJson.list(
         version,
@@ -275,47 +271,46 @@
   }
 
   /**
-   * Discovery reports the largest fleet asked for, again and again. Its lists are applied within
-   * the memory of the deploy file, or the process would be killed.
+   * Discovery repeatedly reports the largest supported number of backends. Applying the lists must not exceed the memory of the deploy file, or the process would be killed.
    */
   @Test
-  void listsOfManyBackendsFitIntoTheMemory() throws Exception {
-    int first = backendThatResponds("1");
-    int second = backendThatResponds("2");
-    int third = backendThatResponds("3");
+  void largeEndpointListsStayWithinTheMemoryLimit() throws Exception {
+    int firstPort = startNamedBackend("1");
+    int secondPort = startNamedBackend("2");
+    int thirdPort = startNamedBackend("3");
     start(
         fixture
             .config()
             .replace(
                 "\"known\":" + EndpointListJson.list(7, true),
-                "\"known\":" + servers(7, true, 0, MANY_BACKENDS, first, "active"))
+                "\"known\":" + endpointList(7, true, 0, MANY_BACKENDS, firstPort, "active"))
             .replace("\"Balancers\":2,\"SelfIndex\":0", "\"Balancers\":120,\"SelfIndex\":119"),
         1024);
     TestQueues.next(fixture.discovery.watches);
-    report(servers(8, true, MANY_BACKENDS, 2 * MANY_BACKENDS, second, "active"));
-    askUntil("2", TimeUnit.SECONDS.toNanos(20));
-    report(servers(9, false, MANY_BACKENDS, 2 * MANY_BACKENDS, second, "leaving"));
-    for (int v = 10; v < 40; v++) {
-      report(servers(v, true, v * MANY_BACKENDS, (v + 1) * MANY_BACKENDS, third, "active"));
+    sendEndpointList(endpointList(8, true, MANY_BACKENDS, 2 * MANY_BACKENDS, secondPort, "active"));
+    requestUntilServedBy("2", TimeUnit.SECONDS.toNanos(20));
+    sendEndpointList(endpointList(9, false, MANY_BACKENDS, 2 * MANY_BACKENDS, secondPort, "leaving"));
+    for (int version = 10; version < 40; version++) {
+      sendEndpointList(endpointList(version, true, version * MANY_BACKENDS, (version + 1) * MANY_BACKENDS, thirdPort, "active"));
     }
-    askUntil("3", TimeUnit.SECONDS.toNanos(20));
-    try (TestClient client = new TestClient(address)) {
+    requestUntilServedBy("3", TimeUnit.SECONDS.toNanos(20));
+    try (TestClient client = new TestClient(gatewayAddress)) {
       for (int i = 0; i < 100; i++) {
         assertEquals("3", client.ask(TestRequests.get("many-" + i, 3000)).text());
       }
     }
-    long peak =
+    long peakMb =
         Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status")).stream()
             .filter(l -> l.startsWith("VmHWM:"))
             .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")) / 1024)
             .findFirst()
             .orElseThrow();
-    assertTrue(peak < MEMORY_MB, peak + " MB");
-    assertTrue(fixture.discovery.watches.isEmpty(), "none of the lists ended the watch");
+    assertTrue(peakMb < MEMORY_MB, peakMb + " MB");
+    assertTrue(fixture.discovery.watches.isEmpty(), "a rejected list ended the watch");
   }
 
-  private void report(String list) throws IOException {
+  private void sendEndpointList(String list) throws IOException {
     OutputStream out = fixture.discovery.newestWatch().out();
-    TextStreams.write(out, whole(list));
+    TextStreams.write(out, chunk(list));
   }
 }
--- a/src/test/java/quotagateway/server/StreamingTest.java
+++ b/src/test/java/quotagateway/server/StreamingTest.java
@@ -421,14 +421,14 @@
   @Test
   void attemptEndsWhenResponseBreaksJustAfterClientDisconnects() throws Exception {
     CountDownLatch clientDisconnected = new CountDownLatch(1);
-    CountDownLatch abortedClient = new CountDownLatch(1);
+    CountDownLatch responseBroken = new CountDownLatch(1);
     fixture.backend.responder =
         (request, out) -> {
           TextStreams.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
           TextStreams.write(out, "20000\r\n" + "x".repeat(0x20000) + "\r\n");
           pause(clientDisconnected);
           TextStreams.write(out, "no chunk\r\n");
-          abortedClient.countDown();
+          responseBroken.countDown();
           return true;
         };
     GatewayServer gateway = fixture.start();
@@ -440,7 +440,7 @@
         () -> {
           loopBlocked.countDown();
           try {
-            abortedClient.await(10, TimeUnit.SECONDS);
+            responseBroken.await(10, TimeUnit.SECONDS);
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
@@ -449,7 +449,7 @@
     client.socket.setSoLinger(true, 0);
     client.close();
     clientDisconnected.countDown();
-    assertTrue(abortedClient.await(10, TimeUnit.SECONDS));
+    assertTrue(responseBroken.await(10, TimeUnit.SECONDS));
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
     while (activeRequestCount(gateway) > 0 && System.nanoTime() < deadline) {
       Thread.onSpinWait();
@@ -465,9 +465,9 @@
         .getNow();
   }
 
-  private static void pause(CountDownLatch deadline) throws IOException {
+  private static void pause(CountDownLatch latch) throws IOException {
     try {
-      deadline.await(10, TimeUnit.SECONDS);
+      latch.await(10, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       throw new IOException(e);
     }
