--- a/src/test/java/quotagateway/server/MalformedResponseTest.java
+++ b/src/test/java/quotagateway/server/MalformedResponseTest.java
@@ -17,7 +17,7 @@
 import quotagateway.testing.TestRequests;
 import quotagateway.testing.TextStreams;
 
-/** Malformed responses, and good ones that are followed by more than belongs to them. */
+/** Tests malformed responses, and valid responses that are followed by surplus bytes. */
 @Timeout(30)
 class MalformedResponseTest {
 
@@ -28,100 +28,97 @@
     fixture.close();
   }
 
-  private static String ok(String body) {
+  private static String okResponse(String body) {
     return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
   }
 
   /**
-   * A backend sends more than its response: a second copy, noise, part of a status line. Taken for
-   * the response to the next request on that connection it would be served to the wrong client.
+   * A backend sends surplus bytes after its response: a second copy, garbage, or part of a status line. If these were treated as the response to the next request on the connection, the wrong client would receive it.
    */
   @Test
-  void bytesBehindAResponseAreNotTheNextResponse() throws Exception {
+  void surplusBytesAreNotUsedAsTheNextResponse() throws Exception {
     fixture.start();
     TestClient client = fixture.client();
-    int n = 0;
-    for (String behind :
+    int requestNumber = 0;
+    for (String surplus :
         new String[] {
-          ok("stale"),
-          ok("stale") + ok("stale"),
+          okResponse("stale"),
+          okResponse("stale") + okResponse("stale"),
           "noise",
           "\u0001\u0002",
-          ok("stale").substring(0, 20),
+          okResponse("stale").substring(0, 20),
           "HTTP/1.1 2x0 OK\r\n\r\n"
         }) {
-      String id = "r" + n++;
+      String id = "r" + requestNumber++;
       fixture.backend.responder =
-          (request, out) -> TextStreams.write(out, ok(request.header("Request-Id")) + behind);
+          (request, out) -> TextStreams.write(out, okResponse(request.header("Request-Id")) + surplus);
       assertEquals(id, client.ask(TestRequests.get(id, 3000)).text());
       fixture.backend.responder =
-          (request, out) -> TextStreams.write(out, ok(request.header("Request-Id")));
+          (request, out) -> TextStreams.write(out, okResponse(request.header("Request-Id")));
       assertEquals(id + "next", client.ask(TestRequests.get(id + "next", 3000)).text());
     }
   }
 
-  /** The same where the second copy of a response comes in a segment of its own, just behind it. */
+  /** A second copy of the response arrives in a separate segment just after the response. */
   @Test
-  void aSecondCopyJustBehindIsNotTheNextAnswer() throws Exception {
+  void secondCopyInSeparateSegmentIsNotUsedAsTheNextResponse() throws Exception {
     fixture.start();
     TestClient client = fixture.client();
     fixture.backend.responder =
         (request, out) ->
-            TextStreams.write(out, ok(request.header("Request-Id")))
-                && TextStreams.write(out, ok("stale"));
+            TextStreams.write(out, okResponse(request.header("Request-Id")))
+                && TextStreams.write(out, okResponse("stale"));
     for (int i = 0; i < 50; i++) {
       assertEquals("r" + i, client.ask(TestRequests.get("r" + i, 3000)).text());
     }
   }
 
   /**
-   * Bytes that are no response yet lie behind a response. On a connection that is used again they
-   * would spoil the next response, and its request would need a retry.
+   * Bytes that do not form a complete response follow a response. If the connection were reused, they would corrupt the next response, and its request would need a retry.
    */
   @Test
-  void connectionWithBytesBehindAResponseIsNotUsedAgain() throws Exception {
+  void connectionWithSurplusBytesIsNotReused() throws Exception {
     fixture.start();
     TestClient client = fixture.client();
-    fixture.backend.responder = (request, out) -> TextStreams.write(out, ok("first") + "noise");
+    fixture.backend.responder = (request, out) -> TextStreams.write(out, okResponse("first") + "noise");
     assertEquals("first", client.ask(TestRequests.get("r1", 3000)).text());
-    fixture.backend.responder = (request, out) -> TextStreams.write(out, ok("second"));
+    fixture.backend.responder = (request, out) -> TextStreams.write(out, okResponse("second"));
     TimeUnit.MILLISECONDS.sleep(50);
     assertEquals("second", client.ask(TestRequests.get("r2", 3000)).text());
-    assertEquals(2, fixture.backend.received.size(), "attempts of both requests");
+    assertEquals(2, fixture.backend.received.size(), "each request takes one attempt");
   }
 
   @Test
   void informationalResponsesAreSkipped() throws Exception {
     fixture.start();
     TestClient client = fixture.client();
-    int n = 0;
-    for (String ahead :
+    int requestNumber = 0;
+    for (String informational :
         new String[] {
           "HTTP/1.1 100 Continue\r\n\r\n",
           "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n",
           "HTTP/1.1 101 Switching Protocols\r\n\r\n",
           "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: Upgrade\r\n\r\n"
         }) {
-      AtomicInteger asked = new AtomicInteger();
+      AtomicInteger attempts = new AtomicInteger();
       fixture.backend.responder =
           (request, out) -> {
-            asked.incrementAndGet();
-            return TextStreams.write(out, ahead + ahead + ok("fine"));
+            attempts.incrementAndGet();
+            return TextStreams.write(out, informational + informational + okResponse("fine"));
           };
-      assertEquals("fine", client.ask(TestRequests.get("r" + n++, 3000)).text());
-      assertEquals(1, asked.get(), ahead);
+      assertEquals("fine", client.ask(TestRequests.get("r" + requestNumber++, 3000)).text());
+      assertEquals(1, attempts.get(), informational);
     }
   }
 
   /**
-   * A response cannot be read, or stops half way. None is served, and none holds its request for
-   * long: the policy retries at once.
+   * A response cannot be parsed or ends prematurely. It is not forwarded, and the policy retries the request immediately instead of waiting.
    */
   @Test
-  void malformedResponseFailsTheAttemptAndIsRetriedAtOnce() throws Exception {
+  void malformedResponseFailsTheAttemptAndIsRetriedImmediately() throws Exception {
     fixture.start();
     TestClient client = fixture.client();
-    int n = 0;
+    int requestNumber = 0;
     for (String malformed :
         new String[] {
           "\u0001\u0002\u0003noise\r\n\r\n",
@@ -139,28 +136,27 @@
           "HTTP/1.1 200 OK\r\nContent-Le",
           "HTTP/1.1 200 OK\r\n" + "X-Pad: pppppppppp\r\n".repeat(1_000)
         }) {
-      AtomicInteger asked = new AtomicInteger();
+      AtomicInteger attempts = new AtomicInteger();
       fixture.backend.responder =
           (request, out) ->
               TextStreams.write(
-                  out, asked.incrementAndGet() == 1 ? malformed : FakeBackend.OK_RESPONSE);
-      long from = System.nanoTime();
-      assertEquals("fine", client.ask(TestRequests.get("r" + n++, 3900)).text(), malformed);
-      assertEquals(2, asked.get(), malformed);
-      assertTrue(System.nanoTime() - from < TimeUnit.MILLISECONDS.toNanos(900), malformed);
+                  out, attempts.incrementAndGet() == 1 ? malformed : FakeBackend.OK_RESPONSE);
+      long startNanos = System.nanoTime();
+      assertEquals("fine", client.ask(TestRequests.get("r" + requestNumber++, 3900)).text(), malformed);
+      assertEquals(2, attempts.get(), malformed);
+      assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(900), malformed);
       for (int i = 0; i < 8; i++) {
-        // Earns the next retry: the policy allows so many for each first attempt.
-        assertEquals(200, client.ask(TestRequests.get("g" + n + "-" + i, 3900)).status());
+        // First attempts earn the budget for the next retry.
+        assertEquals(200, client.ask(TestRequests.get("g" + requestNumber + "-" + i, 3900)).status());
       }
     }
   }
 
   /**
-   * Idle connections are dead at their next request, again and again. Each costs one attempt, and
-   * not the budget of retries, so that all requests are served.
+   * Idle connections repeatedly turn out to be closed by the backend at their next request. Each costs one attempt without using up the retry budget, so that all requests are served.
    */
   @Test
-  void deadIdleConnectionsCostNoRequest() throws Exception {
+  void closedIdleConnectionsDoNotFailRequests() throws Exception {
     int port =
         fixture
             .listen(
@@ -181,11 +177,10 @@
   }
 
   /**
-   * A backend's figure of charged units cannot be read. It is unknown rather than 0: the customer's
-   * account keeps the estimate.
+   * A backend sends an X-Units-Charged header that cannot be parsed. The charge is unknown rather than 0, so the customer's account keeps the estimate.
    */
   @Test
-  void unreadableChargedUnitsSettleNothing() throws Exception {
+  void unparsableChargedUnitsLeaveTheEstimateInPlace() throws Exception {
     fixture.start();
     TestClient client = fixture.client();
     for (String units : new String[] {"%%%", "-3", "NaN", "1e999", ""}) {
--- a/src/test/java/quotagateway/server/InheritedSignalTest.java
+++ b/src/test/java/quotagateway/server/ReloadSignalTest.java
@@ -23,36 +23,34 @@
 import quotagateway.testing.TestQueues;
 
 /**
- * The program is started by a shell that ignores SIGHUP, as nohup and some supervisors do. A
- * process inherits that, and the JVM then never handles the signal: a reload would be ignored in
- * silence.
+ * Starts the program from a shell that ignores SIGHUP, as nohup and some supervisors do. A process inherits this disposition, and the JVM then never handles the signal, so a reload would be silently ignored.
  */
 @Timeout(60)
-class InheritedSignalTest {
+class ReloadSignalTest {
 
-  private static final long LIMIT_S = 20;
+  private static final long TIMEOUT_SECONDS = 20;
 
-  /** What the run command of the deploy file puts between exec and java. */
-  private static final Pattern LAUNCHER = Pattern.compile("run = \"exec (.*?)java .*");
+  /** Matches the launcher, which is the part of the deploy file's run command between exec and java. */
+  private static final Pattern RUN_COMMAND = Pattern.compile("run = \"exec (.*?)java .*");
 
   private final GatewayFixture before = new GatewayFixture();
   private final GatewayFixture after = new GatewayFixture();
   private Process program;
 
-  @TempDir private Path folder;
+  @TempDir private Path tempFolder;
 
   @AfterEach
   void close() throws Exception {
     if (program != null) {
       program.destroyForcibly();
-      program.waitFor(LIMIT_S, TimeUnit.SECONDS);
+      program.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
     before.close();
     after.close();
   }
 
   @Test
-  void sighupReloadsThoughItWasIgnoredAtTheStart() throws Exception {
+  void sighupReloadsAlthoughItWasIgnoredAtStart() throws Exception {
     start(launcher());
     awaitServing();
     TestQueues.next(before.discovery.watches);
@@ -62,29 +60,29 @@
   }
 
   @Test
-  void startFailsWhereSighupStaysIgnored() throws Exception {
+  void startFailsWhenSighupStaysIgnored() throws Exception {
     start("");
     assertFailedStart(
         "quota-gateway: cannot serve: SIGHUP cannot be handled: it was ignored when the program"
             + " started; start it by env --default-signal=HUP");
   }
 
-  /** With this option the JVM leaves the signal to the system, where it would end the program. */
+  /** With {@code -Xrs} the JVM leaves the signal to its default action, which would end the program. */
   @Test
-  void startFailsWhereTheJvmForbidsHandlers() throws Exception {
+  void startFailsWhenTheJvmForbidsSignalHandlers() throws Exception {
     start(launcher(), "-Xrs");
     assertFailedStart(
         "quota-gateway: cannot serve: SIGHUP cannot be handled: Signal already used by VM or OS:"
             + " SIGHUP");
   }
 
-  private void assertFailedStart(String line) throws Exception {
-    assertTrue(program.waitFor(LIMIT_S, TimeUnit.SECONDS), "it ends");
+  private void assertFailedStart(String expectedLine) throws Exception {
+    assertTrue(program.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS), "the program has not exited");
     assertEquals(1, program.exitValue(), this::output);
-    assertTrue(output().lines().anyMatch(line::equals), this::output);
+    assertTrue(output().lines().anyMatch(expectedLine::equals), this::output);
   }
 
-  /** Starts the program as the deploy file does, by its launcher, where SIGHUP is ignored. */
+  /** Starts the program with the given launcher from a shell in which SIGHUP is ignored. */
   private void start(String launcher, String... options) throws IOException {
     Files.writeString(configFile(), config(before));
     List<String> command =
@@ -98,7 +96,7 @@
     command.addAll(List.of(options));
     command.addAll(
         List.of(
-            "-Djava.io.tmpdir=" + folder,
+            "-Djava.io.tmpdir=" + tempFolder,
             "-cp",
             System.getProperty("java.class.path"),
             "quotagateway.Main",
@@ -111,25 +109,24 @@
   }
 
   private static String launcher() throws IOException {
-    for (String line : Files.readAllLines(Path.of("deploy/balancer.toml"))) {
-      Matcher run = LAUNCHER.matcher(line);
-      if (run.matches()) {
-        return run.group(1);
+    for (String expectedLine : Files.readAllLines(Path.of("deploy/balancer.toml"))) {
+      Matcher matcher = RUN_COMMAND.matcher(expectedLine);
+      if (matcher.matches()) {
+        return matcher.group(1);
       }
     }
-    throw new AssertionError("the deploy file's run command does not end by exec in java");
+    throw new AssertionError("no run command of the form \"exec ... java ...\" in the deploy file");
   }
 
   /**
-   * Waits until it takes clients, by when it handles the signal; it locks a file of its folder
-   * then.
+   * Waits until the program accepts clients. It installs the signal handler before that, and creates a lock file in its folder when it begins to serve.
    */
   private void awaitServing() throws Exception {
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
-    try (WatchService changes = folder.getFileSystem().newWatchService()) {
-      folder.register(changes, StandardWatchEventKinds.ENTRY_CREATE);
-      while (!Files.exists(folder.resolve("serving-0"))) {
-        assertTrue(program.isAlive() && System.nanoTime() < until, () -> "it serves: " + output());
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+    try (WatchService changes = tempFolder.getFileSystem().newWatchService()) {
+      tempFolder.register(changes, StandardWatchEventKinds.ENTRY_CREATE);
+      while (!Files.exists(tempFolder.resolve("serving-0"))) {
+        assertTrue(program.isAlive() && System.nanoTime() < deadline, () -> "the program does not serve: " + output());
         WatchKey change = changes.poll(1, TimeUnit.SECONDS);
         if (change != null) {
           change.reset();
@@ -140,7 +137,7 @@
 
   private void sendSighup() throws Exception {
     Process kill = new ProcessBuilder("sh", "-c", "kill -HUP " + program.pid()).start();
-    assertTrue(kill.waitFor(LIMIT_S, TimeUnit.SECONDS));
+    assertTrue(kill.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     assertEquals(0, kill.exitValue());
   }
 
@@ -149,11 +146,11 @@
   }
 
   private Path configFile() {
-    return folder.resolve("config.json");
+    return tempFolder.resolve("config.json");
   }
 
   private Path outputFile() {
-    return folder.resolve("output");
+    return tempFolder.resolve("output");
   }
 
   private String output() {
--- a/src/test/java/quotagateway/server/ReloadTest.java
+++ b/src/test/java/quotagateway/server/ReloadTest.java
@@ -19,11 +19,11 @@
 import quotagateway.testing.TestRequests;
 import quotagateway.testing.TextStreams;
 
-/** A replaced configuration, applied by SIGHUP while clients are served. */
+/** Tests reloading the configuration while clients are served. */
 @Timeout(30)
 class ReloadTest {
 
-  @TempDir private Path folder;
+  @TempDir private Path tempFolder;
   private final GatewayFixture before = new GatewayFixture();
   private final GatewayFixture after = new GatewayFixture();
   private Path file;
@@ -31,7 +31,7 @@
 
   @BeforeEach
   void start() throws Exception {
-    file = folder.resolve("config.json");
+    file = tempFolder.resolve("config.json");
     gateway = before.start();
     TestQueues.next(before.discovery.watches);
   }
@@ -48,20 +48,19 @@
   }
 
   /**
-   * Discovery and the counter move to other addresses, and the old ones close 1.5 s later. No
-   * request fails meanwhile, and the watch goes on from the version that it had.
+   * Discovery and the counter move to other addresses, and the connections to the old ones close 1.5 s later. No request fails during the change, and the watch resumes from its last version.
    */
   @Test
-  void reloadMovesDiscoveryAndCounterWithoutLosingARequest() throws Exception {
+  void changesDiscoveryAndCounterAddressesWithoutFailingRequests() throws Exception {
     TestClient client = before.client();
     assertEquals(200, client.ask(TestRequests.get("r1", 3000)).status());
     TestQueues.next(before.counter.calls);
     reload(after.config());
     assertTrue(TestQueues.next(after.discovery.watches).contains("index=7 "));
     after.discovery.send(EndpointListJson.list(8, false) + "\n");
-    int n = 0;
+    int requestNumber = 0;
     while (after.counter.calls.poll(20, TimeUnit.MILLISECONDS) == null) {
-      assertEquals(200, client.ask(TestRequests.get("m" + n++, 3000)).status());
+      assertEquals(200, client.ask(TestRequests.get("m" + requestNumber++, 3000)).status());
     }
     before.counter.calls.clear();
     assertEquals(200, client.ask(TestRequests.get("r2", 3000)).status());
@@ -70,9 +69,9 @@
     assertTrue(before.discovery.watches.isEmpty());
   }
 
-  /** The file is cut, names no address, or is gone: the addresses in use stay. */
+  /** The file is truncated, contains an invalid address, or is missing. The addresses in use remain. */
   @Test
-  void rejectedFileLeavesTheAddressesInUse() throws Exception {
+  void rejectedFileDoesNotChangeAddresses() throws Exception {
     reload("{\"discovery\":");
     reload(after.config().replace("\"discovery\":\"127.0.0.1", "\"discovery\":\"nowhere"));
     Files.delete(file);
@@ -81,7 +80,7 @@
     assertEquals(200, client.ask(TestRequests.get("r1", 3000)).status());
     TestQueues.next(before.counter.calls);
     before.discovery.send(EndpointListJson.list(8, true) + "\n");
-    for (int n = 0; client.ask(TestRequests.get("r" + n, 500)).status() == 200; n++) {
+    for (int requestNumber = 0; client.ask(TestRequests.get("r" + requestNumber, 500)).status() == 200; requestNumber++) {
       Thread.onSpinWait();
     }
     assertTrue(after.discovery.watches.isEmpty());
@@ -97,55 +96,54 @@
             + "\",\"AimMs\":1500,\"DeadlineMs\":4000,\"Value\":1,\"Group\":\"all\"},");
   }
 
-  private String own() {
+  private String configWithOwnBackend() {
     return before.config(EndpointListJson.entry("s-1", before.backend.port(), "active"));
   }
 
   @Test
-  void classIsAddedAtOnceAndADroppedOneServedForALittleLonger() throws Exception {
+  void addedClassIsServedAtOnceAndRemovedClassForATransitionalPeriod() throws Exception {
     TestClient client = before.client();
-    String extra = TestRequests.get("r1", 3000).replace("quote", "extra");
-    assertEquals(400, client.ask(extra).status());
-    reload(withClass(own(), "extra", "pure").replace("\"Name\":\"quote\"", "\"Name\":\"other\""));
-    while (client.ask(extra).status() != 200) {
+    String extraClassRequest = TestRequests.get("r1", 3000).replace("quote", "extra");
+    assertEquals(400, client.ask(extraClassRequest).status());
+    reload(withClass(configWithOwnBackend(), "extra", "pure").replace("\"Name\":\"quote\"", "\"Name\":\"other\""));
+    while (client.ask(extraClassRequest).status() != 200) {
       Thread.onSpinWait();
     }
     assertEquals(
         200,
         client.ask(TestRequests.get("r2", 3000)).status(),
-        "those under way still name the old class");
-    for (int n = 0; client.ask(TestRequests.get("r" + n, 3000)).status() == 200; n++) {
+        "requests under way still name the removed class");
+    for (int requestNumber = 0; client.ask(TestRequests.get("r" + requestNumber, 3000)).status() == 200; requestNumber++) {
       TimeUnit.MILLISECONDS.sleep(50);
     }
     assertEquals(400, client.ask(TestRequests.get("r4", 3000)).status());
-    assertEquals(200, client.ask(extra).status());
+    assertEquals(200, client.ask(extraClassRequest).status());
   }
 
-  /** Clients use the old method until they have heard; both ways are served meanwhile. */
+  /** Clients use the old method until they learn of the change, so both methods are accepted for a transitional period. */
   @Test
-  void classWhoseIdempotencyChangesIsServedInBothWays() throws Exception {
+  void classWithChangedIdempotencyAcceptsBothMethods() throws Exception {
     TestClient client = before.client();
-    String withKey = TestRequests.post("p1", "b").replace("buy", "quote");
-    assertEquals(400, client.ask(withKey).status());
-    reload(own().replace("\"quote\",\"Repeat\":\"pure\"", "\"quote\",\"Repeat\":\"token\""));
-    while (client.ask(withKey).status() != 200) {
+    String requestWithKey = TestRequests.post("p1", "b").replace("buy", "quote");
+    assertEquals(400, client.ask(requestWithKey).status());
+    reload(configWithOwnBackend().replace("\"quote\",\"Repeat\":\"pure\"", "\"quote\",\"Repeat\":\"token\""));
+    while (client.ask(requestWithKey).status() != 200) {
       Thread.onSpinWait();
     }
     assertEquals(200, client.ask(TestRequests.get("r1", 3000)).status());
   }
 
   /**
-   * A request of a class that only earlier settings name is read by them, though it comes after the
-   * new ones. It must have the number of attempts that those allow, not that of the new ones.
+   * A request whose class exists only in the previous settings is read with those, even if it arrives after the reload. It must get the number of attempts that the previous settings allow. It must have the number of attempts that those allow, not that of the new ones.
    */
   @Test
-  void requestReadByEarlierSettingsHasTheirNumberOfAttempts() throws Exception {
+  void requestReadWithPreviousSettingsGetsTheirNumberOfAttempts() throws Exception {
     TestClient client = before.client();
-    reload(withClass(own(), "extra", "pure").replace("\"MaxAttempts\":6", "\"MaxAttempts\":1"));
+    reload(withClass(configWithOwnBackend(), "extra", "pure").replace("\"MaxAttempts\":6", "\"MaxAttempts\":1"));
     while (client.ask(TestRequests.get("e1", 3000).replace("quote", "extra")).status() == 400) {
       Thread.onSpinWait();
     }
-    reload(withClass(own(), "extra", "pure").replace("\"Name\":\"quote\"", "\"Name\":\"other\""));
+    reload(withClass(configWithOwnBackend(), "extra", "pure").replace("\"Name\":\"quote\"", "\"Name\":\"other\""));
     while (client.ask(TestRequests.get("o1", 3000).replace("quote", "other")).status() == 400) {
       Thread.onSpinWait();
     }
@@ -157,43 +155,42 @@
   }
 
   /**
-   * A file with one fault, beside a new class and a new address, is rejected whole: neither is in
-   * use. The same file without the fault then brings both.
+   * A file with one error, a new class and a new address is rejected completely: neither the class nor the address takes effect. The same file without the error then applies both.
    */
   @Test
-  void nothingIsAppliedOfARejectedFile() throws Exception {
-    String good =
-        withClass(own(), "extra", "pure")
+  void rejectedFileIsNotAppliedInPart() throws Exception {
+    String validConfig =
+        withClass(configWithOwnBackend(), "extra", "pure")
             .replace("127.0.0.1:" + before.discovery.port(), "127.0.0.1:" + after.discovery.port());
-    String extra = TestRequests.get("r1", 3000).replace("quote", "extra");
+    String extraClassRequest = TestRequests.get("r1", 3000).replace("quote", "extra");
     TestClient client = before.client();
-    for (String broken :
+    for (String invalidConfig :
         new String[] {
           "",
           "{}",
-          good.substring(0, good.length() / 2),
-          good + "}",
-          good.replaceAll("\"settings\"", "\"setings\""),
-          good.replace("\"MaxAttempts\":6,", ""),
-          good.replace("\"MaxAttempts\":6", "\"MaxAttempts\":0"),
-          good.replace("\"MaxAttempts\":6", "\"MaxAttempts\":\"6\""),
-          good.replaceFirst("\"DeadlineMs\":4000,", ""),
-          good.replaceFirst("4000", "-4000"),
-          good.replaceFirst("4000", "null"),
-          good.replaceFirst("\"pure\"", "\"sometimes\""),
-          good.replaceFirst("\"Repeat\":\"pure\",", ""),
-          good.replace("\"Rules\"", "\"Rule\""),
-          good.replace("\"counter\":", "\"count\":"),
-          good.replace("\"Refill\":400,", "")
+          validConfig.substring(0, validConfig.length() / 2),
+          validConfig + "}",
+          validConfig.replaceAll("\"settings\"", "\"setings\""),
+          validConfig.replace("\"MaxAttempts\":6,", ""),
+          validConfig.replace("\"MaxAttempts\":6", "\"MaxAttempts\":0"),
+          validConfig.replace("\"MaxAttempts\":6", "\"MaxAttempts\":\"6\""),
+          validConfig.replaceFirst("\"DeadlineMs\":4000,", ""),
+          validConfig.replaceFirst("4000", "-4000"),
+          validConfig.replaceFirst("4000", "null"),
+          validConfig.replaceFirst("\"pure\"", "\"sometimes\""),
+          validConfig.replaceFirst("\"Repeat\":\"pure\",", ""),
+          validConfig.replace("\"Rules\"", "\"Rule\""),
+          validConfig.replace("\"counter\":", "\"count\":"),
+          validConfig.replace("\"Refill\":400,", "")
         }) {
-      reload(broken);
-      // The loop has done by the second question whatever the reload had asked of it.
-      assertEquals(200, client.ask(TestRequests.get("g" + broken.hashCode(), 3000)).status());
-      assertEquals(400, client.ask(extra).status(), broken);
+      reload(invalidConfig);
+      // By the second request, the event loop has run any task that the reload submitted.
+      assertEquals(200, client.ask(TestRequests.get("g" + invalidConfig.hashCode(), 3000)).status());
+      assertEquals(400, client.ask(extraClassRequest).status(), invalidConfig);
     }
     assertTrue(after.discovery.watches.isEmpty());
-    reload(good);
-    while (client.ask(extra).status() != 200) {
+    reload(validConfig);
+    while (client.ask(extraClassRequest).status() != 200) {
       Thread.onSpinWait();
     }
     TestQueues.next(after.discovery.watches);
--- a/src/test/java/quotagateway/server/ServeCommandTest.java
+++ b/src/test/java/quotagateway/server/ServeCommandTest.java
@@ -12,39 +12,39 @@
 import quotagateway.config.InvalidConfigurationException;
 import quotagateway.testing.GatewayFixture;
 
-/** Starts that fail before anything is opened. */
+/** Tests starts that fail before any socket is opened. */
 class ServeCommandTest {
 
   private final GatewayFixture fixture = new GatewayFixture();
 
-  @TempDir private Path folder;
+  @TempDir private Path tempFolder;
 
   @AfterEach
   void close() throws Exception {
     fixture.close();
   }
 
-  private static String keyAtFault(Map<String, String> environment) {
+  private static String rejectedKey(Map<String, String> environment) {
     return assertThrows(InvalidConfigurationException.class, () -> ServeCommand.run(environment))
         .key();
   }
 
   @Test
-  void missingVariableIsNamed() {
-    assertEquals("GW_CONFIG", keyAtFault(Map.of()));
+  void reportsMissingConfigurationVariable() {
+    assertEquals("GW_CONFIG", rejectedKey(Map.of()));
   }
 
   @Test
-  void missingFileIsNamed() {
-    String file = folder.resolve("none.json").toString();
-    assertEquals(file, keyAtFault(Map.of("GW_CONFIG", file)));
+  void reportsMissingConfigurationFile() {
+    String file = tempFolder.resolve("none.json").toString();
+    assertEquals(file, rejectedKey(Map.of("GW_CONFIG", file)));
   }
 
-  /** The environment goes before the file, so a wrong address in it must not be passed over. */
+  /** The environment takes precedence over the file, so an invalid address in the environment must not be ignored. */
   @Test
-  void invalidAdminAddressOfTheEnvironmentIsNamed() throws Exception {
-    Path file = folder.resolve("config.json");
+  void reportsInvalidAdminAddressFromEnvironment() throws Exception {
+    Path file = tempFolder.resolve("config.json");
     Files.writeString(file, fixture.config());
-    assertEquals("mgmt", keyAtFault(Map.of("GW_CONFIG", file.toString(), "GW_MGMT", "nowhere")));
+    assertEquals("mgmt", rejectedKey(Map.of("GW_CONFIG", file.toString(), "GW_MGMT", "nowhere")));
   }
 }
--- a/src/test/java/quotagateway/server/StalledClientTest.java
+++ b/src/test/java/quotagateway/server/StalledClientTest.java
@@ -26,11 +26,11 @@
 import quotagateway.transport.MonotonicClock;
 import quotagateway.transport.SocketTransport;
 
-/** Clients that read nothing of a streamed response, in time that the test advances. */
+/** Tests clients that stop reading a streamed response, with a clock that the test advances. */
 @Timeout(60)
 class StalledClientTest {
 
-  private static final long STALL_NANOS = TimeUnit.SECONDS.toNanos(31);
+  private static final long CLOCK_STEP_NANOS = TimeUnit.SECONDS.toNanos(31);
   private static final int CHUNK_BYTES = 64 * 1024;
   private static final String CHUNK =
       Integer.toHexString(CHUNK_BYTES) + "\r\n" + "x".repeat(CHUNK_BYTES) + "\r\n";
@@ -41,9 +41,9 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
   private final EventLoop loop = group.next();
-  private final AtomicLong nanos = new AtomicLong();
+  private final AtomicLong clockNanos = new AtomicLong();
   private final AtomicLong chunksWritten = new AtomicLong();
-  private final CountDownLatch cutOff = new CountDownLatch(1);
+  private final CountDownLatch backendConnectionClosed = new CountDownLatch(1);
 
   @AfterEach
   void close() throws Exception {
@@ -52,23 +52,22 @@
   }
 
   /**
-   * To a client of HTTP/1.0 the end of the connection is the end of a response without a length. A
-   * response that is given up because the client reads nothing must not look like a whole one.
+   * To an HTTP/1.0 client, the end of the connection is the end of a response without a length. A response that the gateway abandons because the client stopped reading must not look like a complete one.
    */
   @Test
-  void responseWithoutALengthThatIsNotReadEndsWithAReset() throws Exception {
-    peers.backend.responder = (request, out) -> respondWithoutEnd(out);
+  void unreadResponseWithoutLengthEndsWithReset() throws Exception {
+    peers.backend.responder = (request, out) -> streamEndlessResponse(out);
     try (TestClient client = new TestClient(startGateway())) {
       client.ask(TestRequests.get("r1", 3000).replace("HTTP/1.1", "HTTP/1.0"));
       awaitBackPressure();
-      while (!cutOff.await(100, TimeUnit.MILLISECONDS)) {
-        nanos.addAndGet(STALL_NANOS);
+      while (!backendConnectionClosed.await(100, TimeUnit.MILLISECONDS)) {
+        clockNanos.addAndGet(CLOCK_STEP_NANOS);
       }
       assertThrows(IOException.class, client::rest);
     }
   }
 
-  private boolean respondWithoutEnd(OutputStream out) throws IOException {
+  private boolean streamEndlessResponse(OutputStream out) throws IOException {
     TextStreams.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     try {
       while (true) {
@@ -76,33 +75,33 @@
         chunksWritten.incrementAndGet();
       }
     } catch (IOException e) {
-      cutOff.countDown();
+      backendConnectionClosed.countDown();
       throw e;
     }
   }
 
-  /** Returns when the backend has written for a while and cannot write any more. */
+  /** Returns once the backend has written some chunks and back pressure has blocked it for 100 ms. */
   private void awaitBackPressure() throws InterruptedException {
-    long before;
+    long previous;
     do {
-      before = chunksWritten.get();
+      previous = chunksWritten.get();
       TimeUnit.MILLISECONDS.sleep(100);
-    } while (before == 0 || chunksWritten.get() != before);
+    } while (previous == 0 || chunksWritten.get() != previous);
   }
 
   private InetSocketAddress startGateway() throws Exception {
     GatewayConfig config =
         GatewayFixture.parse(
             peers.config(EndpointListJson.entry("s-1", peers.backend.port(), "active")));
-    MonotonicClock clock = new MonotonicClock(nanos::get);
+    MonotonicClock clock = new MonotonicClock(clockNanos::get);
     Lifecycle lifecycle = new Lifecycle(clock);
-    UpgradeCoordinator started = new UpgradeCoordinator(sharedFolder, UpgradeCoordinator.STARTED);
-    GatewayComponents gateway =
-        loop.submit(() -> GatewayComponents.start(config, loop, clock, lifecycle, started))
+    UpgradeCoordinator startedProcesses = new UpgradeCoordinator(sharedFolder, UpgradeCoordinator.STARTED);
+    GatewayComponents components =
+        loop.submit(() -> GatewayComponents.start(config, loop, clock, lifecycle, startedProcesses))
             .sync()
             .getNow();
     lifecycle.startServing();
     return (InetSocketAddress)
-        gateway.clients().listen(group, config.listenAddress()).sync().channel().localAddress();
+        components.clients().listen(group, config.listenAddress()).sync().channel().localAddress();
   }
 }
--- a/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
+++ b/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
@@ -18,15 +18,15 @@
 import quotagateway.testing.TestRequests;
 import quotagateway.transport.ConnectionBudget;
 
-/** An upgrade: a second process starts beside the old one, which then shuts down. */
+/** Tests an upgrade, in which a second process starts and the old one then shuts down. */
 @Timeout(30)
 class UpgradeCoordinatorTest {
 
-  private static final String UP = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
+  private static final String READINESS_REQUEST = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
   private final GatewayFixture fixture = new GatewayFixture();
 
-  @TempDir Path folder;
+  @TempDir Path tempFolder;
 
   @AfterEach
   void close() throws Exception {
@@ -34,82 +34,78 @@
   }
 
   /**
-   * Clients are connected to the old process when it gets SIGTERM, and others connect afterwards.
-   * All get their responses, and the balancer in front never sees a gateway that is not ready.
+   * Some clients are connected to the old process when it receives SIGTERM, and others connect afterwards. All receive their responses, and the upstream load balancer never sees a gateway that is not ready.
    */
   @Test
-  void oldProcessShutsDownWithoutRejectingAnybody() throws Exception {
-    GatewayServer old = fixture.start();
+  void oldProcessShutsDownWithoutRejectingRequests() throws Exception {
+    GatewayServer oldGateway = fixture.start();
     fixture.startBeside();
     assertEquals(200, fixture.operator("GET /ready"));
-    List<TestClient> before = new ArrayList<>();
+    List<TestClient> clientsOfOldGateway = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      before.add(fixture.client());
+      clientsOfOldGateway.add(fixture.client());
     }
-    Thread end = new Thread(old::shutDownGracefully);
-    end.start();
+    Thread shutdownThread = new Thread(oldGateway::shutDownGracefully);
+    shutdownThread.start();
     for (int i = 0; i < 20; i++) {
-      assertEquals(200, before.get(i).ask(TestRequests.get("r" + i, 3000)).status());
+      assertEquals(200, clientsOfOldGateway.get(i).ask(TestRequests.get("r" + i, 3000)).status());
     }
-    end.join(10_000);
-    assertFalse(end.isAlive());
+    shutdownThread.join(10_000);
+    assertFalse(shutdownThread.isAlive());
     for (int i = 0; i < 20; i++) {
-      assertEquals(200, fixture.client().ask(UP).status());
+      assertEquals(200, fixture.client().ask(READINESS_REQUEST).status());
       assertEquals(200, fixture.client().ask(TestRequests.get("s" + i, 3000)).status());
     }
   }
 
   /**
-   * SIGTERM without a second process: connections are accepted until the balancer in front has
-   * noticed, or they would be refused.
+   * Without a second process, connections must still be accepted after SIGTERM until the upstream load balancer has noticed the shutdown, or they would be refused.
    */
   @Test
-  void onlyProcessGoesOnAcceptingAfterTheShutdownHasBegun() throws Exception {
+  void singleProcessStillAcceptsConnectionsAfterShutdownHasBegun() throws Exception {
     GatewayServer gateway = fixture.start();
-    Thread end = new Thread(gateway::shutDownGracefully);
-    end.start();
+    Thread shutdownThread = new Thread(gateway::shutDownGracefully);
+    shutdownThread.start();
     while (gateway.lifecycle().isServing()) {
       Thread.onSpinWait();
     }
-    assertEquals(503, fixture.client().ask(UP).status());
-    end.join(10_000);
+    assertEquals(503, fixture.client().ask(READINESS_REQUEST).status());
+    shutdownThread.join(10_000);
   }
 
   /**
-   * A process was killed and its lock files stay. Taken for a process that runs, they would have
-   * the next shutdown refuse connections that nobody else accepts.
+   * A process was killed, and its lock files remain. If they were mistaken for a running process, the next shutdown would refuse connections that no other process accepts.
    */
   @Test
-  void filesOfAKilledProcessAreNoProcess() throws Exception {
-    Files.writeString(folder.resolve("serving-0"), "junk of one that was kil");
-    Files.createDirectory(folder.resolve("started-0"));
-    UpgradeCoordinator barred = new UpgradeCoordinator(folder, "started");
-    barred.announce();
+  void lockFilesOfKilledProcessDoNotCountAsAProcess() throws Exception {
+    Files.writeString(tempFolder.resolve("serving-0"), "junk of one that was kil");
+    Files.createDirectory(tempFolder.resolve("started-0"));
+    UpgradeCoordinator blocked = new UpgradeCoordinator(tempFolder, "started");
+    blocked.announce();
     assertFalse(
-        barred.isOtherProcessPresent(), "what is in the way of a lock is no process either");
-    UpgradeCoordinator first = new UpgradeCoordinator(folder, "serving");
+        blocked.isOtherProcessPresent(), "a folder in place of a lock file counts as a process");
+    UpgradeCoordinator first = new UpgradeCoordinator(tempFolder, "serving");
     first.announce();
     assertFalse(first.isOtherProcessPresent());
-    UpgradeCoordinator second = new UpgradeCoordinator(folder, "serving");
+    UpgradeCoordinator second = new UpgradeCoordinator(tempFolder, "serving");
     second.announce();
     assertTrue(first.isOtherProcessPresent());
     assertTrue(second.isOtherProcessPresent());
   }
 
   /**
-   * Both processes together are held to the limits of one. The one that stays gets all descriptors
-   * back.
+   * Two processes together stay within the limits of one. The remaining process gets all descriptors back.
    */
   @Test
-  void twoProcessesShareTheDescriptorsOfOne() {
+  void twoProcessesShareTheDescriptorLimitOfOne() {
     ResourceLimits limits = ResourceLimits.of(384, 144, 0.3);
-    ConnectionBudget places = new ConnectionBudget(limits.connections());
-    int alone = places.maxClientConnections();
-    places.shareWithOtherProcess(limits.connectionsDuringUpgrade());
+    ConnectionBudget budget = new ConnectionBudget(limits.connections());
+    int maxClientConnectionsAlone = budget.maxClientConnections();
+    budget.shareWithOtherProcess(limits.connectionsDuringUpgrade());
     assertTrue(
-        places.maxClientConnections() <= alone / 2, places.maxClientConnections() + " of " + alone);
+        budget.maxClientConnections() <= maxClientConnectionsAlone / 2, budget.maxClientConnections() + " of " + maxClientConnectionsAlone);
     assertTrue(2 * limits.connectionsDuringUpgrade() < 384);
-    places.shareWithOtherProcess(0);
-    assertEquals(alone, places.maxClientConnections());
+    budget.shareWithOtherProcess(0);
+    assertEquals(maxClientConnectionsAlone, budget.maxClientConnections());
   }
 }
--- a/src/test/java/quotagateway/server/WarmUpTest.java
+++ b/src/test/java/quotagateway/server/WarmUpTest.java
@@ -11,7 +11,7 @@
 import quotagateway.testing.TestQueues;
 import quotagateway.testing.TestRequests;
 
-/** The made-up requests before clients are accepted. */
+/** Tests the synthetic requests that are served before clients are accepted. */
 @Timeout(30)
 class WarmUpTest {
 
@@ -23,24 +23,23 @@
   }
 
   /**
-   * On a part of a core the same work takes longer; cut off, it would be left to the first clients.
+   * On a fraction of a core the same work takes longer. If it were cut off, the rest would be left to the first clients' requests.
    */
   @Test
-  void timeLimitGrowsAsThePartOfACoreShrinks() throws Exception {
-    String whole = fixture.smallConfig();
-    String part = whole.replace("\"cores\":1", "\"cores\":0.25");
+  void timeLimitIsInverselyProportionalToTheShareOfACore() throws Exception {
+    String fullCoreConfig = fixture.smallConfig();
+    String quarterCoreConfig = fullCoreConfig.replace("\"cores\":1", "\"cores\":0.25");
     assertEquals(
-        4 * new WarmUp(GatewayFixture.parse(whole)).timeLimitMs(),
-        new WarmUp(GatewayFixture.parse(part)).timeLimitMs(),
+        4 * new WarmUp(GatewayFixture.parse(fullCoreConfig)).timeLimitMs(),
+        new WarmUp(GatewayFixture.parse(quarterCoreConfig)).timeLimitMs(),
         1e-6);
   }
 
   /**
-   * Requests that were rejected early would warm up nothing, and ones that reached a peer would
-   * charge customers.
+   * Requests that are rejected early would not warm up the code, and requests that reach a peer would charge customers.
    */
   @Test
-  void requestsAreServedWithoutASocket() throws Exception {
+  void servesRequestsWithoutContactingPeers() throws Exception {
     String config = fixture.config(EndpointListJson.entry("s-1", fixture.backend.port(), "active"));
     int served = new WarmUp(GatewayFixture.parse(config)).run(20_000);
     assertTrue(served > WarmUp.REQUESTS / 2, served + " served");
