--- a/src/main/java/quotagateway/server/ConfigReload.java
+++ b/src/main/java/quotagateway/server/ConfigReload.java
@@ -9,7 +9,9 @@
 import quotagateway.config.InvalidConfigurationException;
 
 /**
- * Replaces the configuration of a running gateway, either completely or not at all. Settings that the sockets were created with (resource limits, the gateway's own addresses, connection timeouts) take effect only at the next start.
+ * Replaces the configuration of a running gateway, either completely or not at all. Settings that
+ * the sockets were created with (resource limits, the gateway's own addresses, connection timeouts)
+ * take effect only at the next start.
  */
 final class ConfigReload {
 
@@ -31,7 +33,11 @@
   }
 
   /**
-   * Reads and validates the file on the caller's thread, so that the event loop stays free for clients, and applies it on the event loop. <p>If anything in the file is invalid, none of it is applied, and the log states why. The gateway therefore never serves with part of a configuration.
+   * Reads and validates the file on the caller's thread, so that the event loop stays free for
+   * clients, and applies it on the event loop.
+   *
+   * <p>If anything in the file is invalid, none of it is applied, and the log states why. The
+   * gateway therefore never serves with part of a configuration.
    */
   synchronized void reload(Path file) {
     try {
@@ -42,13 +48,16 @@
     } catch (InvalidConfigurationException e) {
       LOG.warning("configuration rejected file=" + file + " reason=" + e.getMessage());
     } catch (RuntimeException e) {
-      // Either the event loop has shut down and rejects the task, as the process is about to end, or
+      // Either the event loop has shut down and rejects the task, as the process is about to end,
+      // or
       // a bug made reading fail, which leaves the configuration in use unchanged.
       LOG.warning("configuration not applied file=" + file + " reason=" + e);
     }
   }
 
-  /** Applies the configuration in one turn of the event loop, so that no request sees part of it. */
+  /**
+   * Applies the configuration in one turn of the event loop, so that no request sees part of it.
+   */
   private void apply(GatewayConfig config) {
     components.counter().changeAddress(config.counterAddress());
     components.discovery().changeAddress(config.discoveryAddress());
--- a/src/main/java/quotagateway/server/GatewayComponents.java
+++ b/src/main/java/quotagateway/server/GatewayComponents.java
@@ -15,7 +15,8 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * Holds the running components of one gateway. They are confined to the gateway's event loop: their methods are called on its thread unless documented otherwise.
+ * Holds the running components of one gateway. They are confined to the gateway's event loop: their
+ * methods are called on its thread unless documented otherwise.
  */
 record GatewayComponents(
     PolicyDriver driver, ClientServer clients, CounterClient counter, DiscoveryClient discovery) {
@@ -24,8 +25,8 @@
   private static final long OTHER_PROCESS_CHECK_INTERVAL_MS = 500;
 
   /**
-   * Creates the components and connects them to the shared counter and to discovery; clients are not accepted yet. Must be called on the event loop's thread.
-   *
+   * Creates the components and connects them to the shared counter and to discovery; clients are
+   * not accepted yet. Must be called on the event loop's thread.
    *
    * @param startedProcesses locks that tell which processes of this gateway have started
    */
@@ -71,7 +72,8 @@
   /** Leaves half of the descriptors to a second process of this gateway while one runs. */
   private static void shareDescriptors(
       ConnectionBudget budget, ResourceLimits limits, UpgradeCoordinator startedProcesses) {
-    int sharedLimit = startedProcesses.isOtherProcessPresent() ? limits.connectionsDuringUpgrade() : 0;
+    int sharedLimit =
+        startedProcesses.isOtherProcessPresent() ? limits.connectionsDuringUpgrade() : 0;
     budget.shareWithOtherProcess(sharedLimit);
   }
 }
--- a/src/main/java/quotagateway/server/GatewayServer.java
+++ b/src/main/java/quotagateway/server/GatewayServer.java
@@ -20,7 +20,8 @@
 import quotagateway.transport.SocketTransport;
 
 /**
- * Runs one gateway in this process, from startup to shutdown. A single event loop serves clients, backends, the shared counter and discovery; the admin server has an event loop of its own.
+ * Runs one gateway in this process, from startup to shutdown. A single event loop serves clients,
+ * backends, the shared counter and discovery; the admin server has an event loop of its own.
  */
 public final class GatewayServer {
 
@@ -34,7 +35,10 @@
   private final UpgradeCoordinator startedProcesses;
   private final UpgradeCoordinator servingProcesses;
 
-  /** Null until the components are started. Volatile because the admin server opens earlier and reads this field on its own thread. */
+  /**
+   * Null until the components are started. Volatile because the admin server opens earlier and
+   * reads this field on its own thread.
+   */
   private volatile GatewayComponents components;
 
   private ConfigReload configReload;
@@ -56,7 +60,6 @@
   /**
    * Starts a gateway and returns once it accepts clients.
    *
-   *
    * @param sharedFolder folder for lock files, shared by all processes of this gateway
    * @throws IOException if the client address cannot be bound
    */
@@ -83,7 +86,8 @@
     openAdmin(config);
     loop.submit(
             () -> {
-              components = GatewayComponents.start(config, loop, clock, lifecycle, startedProcesses);
+              components =
+                  GatewayComponents.start(config, loop, clock, lifecycle, startedProcesses);
             })
         .sync();
     configReload = new ConfigReload(loop, components, config);
@@ -108,7 +112,10 @@
     listener = bound.channel();
   }
 
-  /** Opens the admin server. A failure is logged and does not stop the gateway, which can serve clients without it. */
+  /**
+   * Opens the admin server. A failure is logged and does not stop the gateway, which can serve
+   * clients without it.
+   */
   private void openAdmin(GatewayConfig config) {
     if (config.adminAddress() == null) {
       return;
@@ -135,7 +142,9 @@
     return admin.address();
   }
 
-  /** Returns the component that accepts clients. For tests, which also inspect it on the event loop. */
+  /**
+   * Returns the component that accepts clients. For tests, which also inspect it on the event loop.
+   */
   public ClientServer clients() {
     return components.clients();
   }
@@ -152,7 +161,8 @@
 
   /** Shuts down without losing an accepted request, and returns when the shutdown is complete. */
   public void shutDownGracefully() {
-    new GracefulShutdown(loop, lifecycle, components, servingProcesses).run(configReload.inUse().settings());
+    new GracefulShutdown(loop, lifecycle, components, servingProcesses)
+        .run(configReload.inUse().settings());
     stop();
   }
 
--- a/src/main/java/quotagateway/server/GracefulShutdown.java
+++ b/src/main/java/quotagateway/server/GracefulShutdown.java
@@ -9,17 +9,21 @@
 import quotagateway.policy.settings.RequestClass;
 
 /**
- * Shuts a gateway down without losing an accepted request: continues to accept connections for a short time, responds to all accepted requests, then closes the remaining connections. Runs on a thread other than the event loop's.
+ * Shuts a gateway down without losing an accepted request: continues to accept connections for a
+ * short time, responds to all accepted requests, then closes the remaining connections. Runs on a
+ * thread other than the event loop's.
  */
 final class GracefulShutdown {
 
   /**
-   * How long connections are still accepted. After SIGTERM, new connections arrive for up to 0.4 s, until the upstream load balancer has noticed that this gateway is not ready.
+   * How long connections are still accepted. After SIGTERM, new connections arrive for up to 0.4 s,
+   * until the upstream load balancer has noticed that this gateway is not ready.
    */
   private static final long ACCEPT_MS = (long) ClientServer.DRAIN_NOTICE_MS;
 
   /**
-   * How long requests may stay open beyond the longest deadline. SIGKILL follows SIGTERM no earlier than that deadline plus 0.7 s.
+   * How long requests may stay open beyond the longest deadline. SIGKILL follows SIGTERM no earlier
+   * than that deadline plus 0.7 s.
    */
   private static final long RESPONSE_GRACE_MS = 300;
 
@@ -27,7 +31,8 @@
   private static final double MAX_AWAITED_DEADLINE_MS = 3_000;
 
   /**
-   * How long clients have to read their last responses after open requests have failed. SIGKILL comes later than that.
+   * How long clients have to read their last responses after open requests have failed. SIGKILL
+   * comes later than that.
    */
   private static final long LAST_RESPONSE_READ_MS = 330;
 
@@ -40,11 +45,13 @@
   private final CountDownLatch idle = new CountDownLatch(1);
 
   /**
-   *
    * @param servingProcesses locks that tell which processes of this gateway serve clients
    */
   GracefulShutdown(
-      EventLoop loop, Lifecycle lifecycle, GatewayComponents components, UpgradeCoordinator servingProcesses) {
+      EventLoop loop,
+      Lifecycle lifecycle,
+      GatewayComponents components,
+      UpgradeCoordinator servingProcesses) {
     this.loop = loop;
     this.lifecycle = lifecycle;
     this.components = components;
@@ -52,7 +59,9 @@
   }
 
   /**
-   * Shuts down and returns once no client is connected or the remaining connections have been closed.
+   * Shuts down and returns once no client is connected or the remaining connections have been
+   * closed.
+   *
    * @param settings the settings in use, whose longest deadline bounds the wait
    */
   void run(PolicySettings settings) {
@@ -69,7 +78,9 @@
   }
 
   /**
-   * Schedules the end of accepting connections: at once if another process serves at the same address, otherwise after {@link #ACCEPT_MS}. The other process gets all new connections as soon as this one stops accepting, and it is the one that the upstream load balancer checks.
+   * Schedules the end of accepting connections: at once if another process serves at the same
+   * address, otherwise after {@link #ACCEPT_MS}. The other process gets all new connections as soon
+   * as this one stops accepting, and it is the one that the upstream load balancer checks.
    */
   private void stopAccepting() {
     long delayMs = servingProcesses.isOtherProcessPresent() ? 0 : ACCEPT_MS;
@@ -94,7 +105,10 @@
     return RESPONSE_GRACE_MS + (long) Math.min(MAX_AWAITED_DEADLINE_MS, longestDeadlineMs);
   }
 
-  /** Fails open requests and waits for clients to read their last responses. Responses that are being streamed continue until they are complete, without a time limit. */
+  /**
+   * Fails open requests and waits for clients to read their last responses. Responses that are
+   * being streamed continue until they are complete, without a time limit.
+   */
   private void closeRemaining() throws InterruptedException {
     loop.submit(components.clients()::shutDown).sync();
     do {
--- a/src/main/java/quotagateway/server/ReloadSignal.java
+++ b/src/main/java/quotagateway/server/ReloadSignal.java
@@ -5,7 +5,9 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handles SIGHUP, which requests a reload of the configuration; without a handler it would end the JVM. The JDK's only API for signals, {@code sun.misc.Signal}, is accessed by reflection: the compiler warns about direct use, and this build treats warnings as errors.
+ * Handles SIGHUP, which requests a reload of the configuration; without a handler it would end the
+ * JVM. The JDK's only API for signals, {@code sun.misc.Signal}, is accessed by reflection: the
+ * compiler warns about direct use, and this build treats warnings as errors.
  */
 final class ReloadSignal {
 
@@ -24,10 +26,14 @@
   private ReloadSignal() {}
 
   /**
-   * Runs the action on each SIGHUP from now on, on a JVM thread. <p>Startup fails if the JVM does not handle the signal. Otherwise a reload would be silently ignored, leaving the gateway on an old configuration, or it would end the process.
+   * Runs the action on each SIGHUP from now on, on a JVM thread.
    *
+   * <p>Startup fails if the JVM does not handle the signal. Otherwise a reload would be silently
+   * ignored, leaving the gateway on an old configuration, or it would end the process.
    *
-   * @throws UnavailableException if the JVM does not handle the signal: because it was ignored when the process started, a disposition that processes inherit (for example from nohup), or because JVM options forbid signal handlers
+   * @throws UnavailableException if the JVM does not handle the signal: because it was ignored when
+   *     the process started, a disposition that processes inherit (for example from nohup), or
+   *     because JVM options forbid signal handlers
    */
   static void handle(Runnable reload) throws UnavailableException {
     if (install(reload) == ignoringHandler()) {
@@ -61,7 +67,9 @@
   }
 
   /**
-   * Returns the handler that stands for an ignored signal. HotSpot returns it as the previous handler if the process inherited the signal as ignored; in this case it installs nothing and reports no error.
+   * Returns the handler that stands for an ignored signal. HotSpot returns it as the previous
+   * handler if the process inherited the signal as ignored; in this case it installs nothing and
+   * reports no error.
    */
   private static Object ignoringHandler() throws UnavailableException {
     try {
--- a/src/main/java/quotagateway/server/RequestPath.java
+++ b/src/main/java/quotagateway/server/RequestPath.java
@@ -13,18 +13,19 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * Holds the components that process a request between its client and a backend. They are confined to one event loop.
-   * @param driver runs the policy
-   * @param clients accepts requests and passes them to the driver
+ * Holds the components that process a request between its client and a backend. They are confined
+ * to one event loop.
+ *
+ * @param driver runs the policy
+ * @param clients accepts requests and passes them to the driver
  */
 record RequestPath(PolicyDriver driver, ClientServer clients) {
 
   /**
    * Creates the components; the caller starts the driver.
-   * @param seed seed of the policy's random generator
    *
+   * @param seed seed of the policy's random generator
    * @param backendDialer opens connections to backends
-   *
    * @param budget shared by client and backend connections
    */
   static RequestPath create(
--- a/src/main/java/quotagateway/server/ServeCommand.java
+++ b/src/main/java/quotagateway/server/ServeCommand.java
@@ -8,7 +8,9 @@
 import quotagateway.config.InvalidConfigurationException;
 
 /**
- * Implements the command that serves clients until the process is terminated. Only this class reads the environment and registers signal handlers: SIGHUP reloads the configuration, and SIGTERM shuts down gracefully.
+ * Implements the command that serves clients until the process is terminated. Only this class reads
+ * the environment and registers signal handlers: SIGHUP reloads the configuration, and SIGTERM
+ * shuts down gracefully.
  */
 public final class ServeCommand {
 
@@ -20,7 +22,6 @@
   /**
    * Starts the gateway and returns; its threads keep the process alive.
    *
-   *
    * @param environment the environment variables of the process
    * @throws InvalidConfigurationException if the configuration cannot be read or is invalid
    * @throws IOException if SIGHUP cannot be handled or the client address cannot be bound
@@ -35,12 +36,16 @@
     GatewayConfig config =
         ConfigurationFile.read(file).withAdminAddress(environment.get(ADMIN_ADDRESS_VARIABLE));
     Path sharedFolder = Path.of(System.getProperty("java.io.tmpdir"));
-    GatewayServer.start(config, sharedFolder, server -> installHandlersAndWarmUp(server, file, config));
+    GatewayServer.start(
+        config, sharedFolder, server -> installHandlersAndWarmUp(server, file, config));
   }
 
-  /** Installs the signal handlers and warms up before clients are accepted, so that no accepted request is lost to a signal. */
-  private static void installHandlersAndWarmUp(GatewayServer server, Path file, GatewayConfig config)
-      throws IOException {
+  /**
+   * Installs the signal handlers and warms up before clients are accepted, so that no accepted
+   * request is lost to a signal.
+   */
+  private static void installHandlersAndWarmUp(
+      GatewayServer server, Path file, GatewayConfig config) throws IOException {
     ReloadSignal.handle(() -> server.reload(file));
     Runtime.getRuntime().addShutdownHook(new Thread(server::shutDownGracefully, "shutdown"));
     WarmUp warmUp = new WarmUp(config);
--- a/src/main/java/quotagateway/server/UpgradeCoordinator.java
+++ b/src/main/java/quotagateway/server/UpgradeCoordinator.java
@@ -8,7 +8,12 @@
 import java.util.logging.Logger;
 
 /**
- * Detects whether another process of this gateway has reached the same state, as during an upgrade. Each process holds a lock on a file in a folder that both share. <p>A lock is released when its holder dies, whereas the content of a file may be stale. Without locks, a killed process could be mistaken for a running one, and a shutdown would refuse connections that no other process accepts. The drawback is that each check opens a file.
+ * Detects whether another process of this gateway has reached the same state, as during an upgrade.
+ * Each process holds a lock on a file in a folder that both share.
+ *
+ * <p>A lock is released when its holder dies, whereas the content of a file may be stale. Without
+ * locks, a killed process could be mistaken for a running one, and a shutdown would refuse
+ * connections that no other process accepts. The drawback is that each check opens a file.
  */
 final class UpgradeCoordinator {
 
@@ -33,7 +38,6 @@
   private FileChannel ownLock;
 
   /**
-   *
    * @param folder the folder that the processes share
    * @param state the state that a lock stands for
    */
@@ -42,7 +46,10 @@
     this.state = state;
   }
 
-  /** Acquires a lock to tell other processes that this one has reached the state. A failure is logged. */
+  /**
+   * Acquires a lock to tell other processes that this one has reached the state. A failure is
+   * logged.
+   */
   void announce() {
     for (int slot = 0; slot < MAX_PROCESSES && ownSlot == NO_SLOT; slot++) {
       try {
@@ -56,7 +63,10 @@
     }
   }
 
-  /** Returns whether another process has reached the state; always false if this process holds no lock itself. */
+  /**
+   * Returns whether another process has reached the state; always false if this process holds no
+   * lock itself.
+   */
   boolean isOtherProcessPresent() {
     if (ownSlot == NO_SLOT) {
       return false;
--- a/src/main/java/quotagateway/server/WarmUp.java
+++ b/src/main/java/quotagateway/server/WarmUp.java
@@ -27,7 +27,12 @@
 import quotagateway.transport.MonotonicClock;
 
 /**
- * Serves synthetic requests with a separate gateway that has no sockets, so that the code is loaded and compiled before the first client connects. <p>Cold code needs about ten times the CPU for a request. Without a warm-up, the first requests would be served late where CPU is short. The drawback is a longer startup, by the time limit at most, during which a restarted gateway is unavailable.
+ * Serves synthetic requests with a separate gateway that has no sockets, so that the code is loaded
+ * and compiled before the first client connects.
+ *
+ * <p>Cold code needs about ten times the CPU for a request. Without a warm-up, the first requests
+ * would be served late where CPU is short. The drawback is a longer startup, by the time limit at
+ * most, during which a restarted gateway is unavailable.
  */
 final class WarmUp {
 
@@ -37,7 +42,8 @@
   static final int REQUESTS = 200;
 
   /**
-   * The CPU time that a warm-up may use, since a restarted gateway is unavailable meanwhile. The requests need about 500 ms of it.
+   * The CPU time that a warm-up may use, since a restarted gateway is unavailable meanwhile. The
+   * requests need about 500 ms of it.
    */
   private static final double MAX_CPU_MS = 1_200;
 
@@ -70,19 +76,24 @@
   }
 
   /**
-   * Returns the wall-clock time, in milliseconds, in which the available share of a core provides {@link #MAX_CPU_MS} of CPU time.
+   * Returns the wall-clock time, in milliseconds, in which the available share of a core provides
+   * {@link #MAX_CPU_MS} of CPU time.
    */
   double timeLimitMs() {
     double cores = Math.min(1, Math.max(MIN_CORES, config.limits().cores()));
     return MAX_CPU_MS / cores;
   }
 
-  /** Serves the synthetic requests until all are served or the time limit has passed. Returns how many succeeded. */
+  /**
+   * Serves the synthetic requests until all are served or the time limit has passed. Returns how
+   * many succeeded.
+   */
   int run(double timeLimitMs) {
     try {
       serveRequests(clock.now() + timeLimitMs);
     } catch (RuntimeException e) {
-      // Either a bug, or settings for which no valid request can be built. Clients use another gateway
+      // Either a bug, or settings for which no valid request can be built. Clients use another
+      // gateway
       // instance, so startup continues with code that is less warm.
       LOG.log(Level.WARNING, "warm-up failed served=" + servedRequests, e);
     }
--- a/src/test/java/quotagateway/server/AdminServerTest.java
+++ b/src/test/java/quotagateway/server/AdminServerTest.java
@@ -19,7 +19,10 @@
 import quotagateway.testing.TestRequests;
 import quotagateway.testing.TextStreams;
 
-/** Tests the operators' calls: their effects, and their responses regardless of what clients and other callers do. */
+/**
+ * Tests the operators' calls: their effects, and their responses regardless of what clients and
+ * other callers do.
+ */
 @Timeout(30)
 class AdminServerTest {
 
@@ -86,7 +89,8 @@
   }
 
   /**
-   * An operator drains while a client has three pipelined requests. All were accepted, so only the last response closes the connection.
+   * An operator drains while a client has three pipelined requests. All were accepted, so only the
+   * last response closes the connection.
    */
   @Test
   void pipelinedRequestsGetTheirResponsesWhileDraining() throws Exception {
@@ -106,7 +110,9 @@
   }
 
   /**
-   * A client has sent part of its next request when the last response closes its connection. The bytes that the client still sends must not cause a reset, which could discard a response that the client has not read yet.
+   * A client has sent part of its next request when the last response closes its connection. The
+   * bytes that the client still sends must not cause a reset, which could discard a response that
+   * the client has not read yet.
    */
   @Test
   void connectionLingersAfterLastResponseDespitePartialRequest() throws Exception {
@@ -127,7 +133,10 @@
     }
   }
 
-  /** Returns whether a second write succeeds. If the first write caused a reset, it has arrived by then. */
+  /**
+   * Returns whether a second write succeeds. If the first write caused a reset, it has arrived by
+   * then.
+   */
   private static boolean sendsTwice(TestClient client, String text) {
     try {
       client.send(text);
@@ -157,7 +166,10 @@
     assertEquals(503, fixture.client().ask(READINESS_REQUEST).status());
   }
 
-  /** Fifty callers send half a call each. Their connections are closed, and operators are still served. */
+  /**
+   * Fifty callers send half a call each. Their connections are closed, and operators are still
+   * served.
+   */
   @Test
   void incompleteCallsAreClosedAndDoNotBlockOperators() throws Exception {
     fixture.start();
@@ -171,11 +183,16 @@
     for (TestClient caller : incompleteCallers) {
       assertTrue(caller.ended());
     }
-    assertEquals(200, fixture.client().ask(READINESS_REQUEST).status(), "an incomplete call was carried out");
+    assertEquals(
+        200,
+        fixture.client().ask(READINESS_REQUEST).status(),
+        "an incomplete call was carried out");
   }
 
   /**
-   * A second call arrives in the same read as the first, whose response closes the connection. If the second call were carried out without a response, the gateway would drain although its operator has to assume that the call had no effect.
+   * A second call arrives in the same read as the first, whose response closes the connection. If
+   * the second call were carried out without a response, the gateway would drain although its
+   * operator has to assume that the call had no effect.
    */
   @Test
   void pipelinedCallIsNotCarriedOut() throws Exception {
@@ -193,7 +210,10 @@
     assertEquals(404, fixture.operator("GET /up"));
     assertEquals(405, fixture.operator("GET /drain"));
     assertEquals(405, fixture.operator("POST /ready"));
-    assertEquals(200, fixture.operator("POST http://127.0.0.1/undrain"), "undrain of a serving gateway was not accepted");
+    assertEquals(
+        200,
+        fixture.operator("POST http://127.0.0.1/undrain"),
+        "undrain of a serving gateway was not accepted");
     assertEquals(200, fixture.client().ask(READINESS_REQUEST).status());
   }
 
--- a/src/test/java/quotagateway/server/ClientDisconnectTest.java
+++ b/src/test/java/quotagateway/server/ClientDisconnectTest.java
@@ -27,7 +27,10 @@
 import quotagateway.testing.TestRequests;
 import quotagateway.testing.TextStreams;
 
-/** Verifies that no attempt starts for a client that has disconnected, whatever its request was waiting for. */
+/**
+ * Verifies that no attempt starts for a client that has disconnected, whatever its request was
+ * waiting for.
+ */
 @Timeout(30)
 class ClientDisconnectTest {
 
@@ -41,8 +44,8 @@
 
   /** A body whose rest does not fit into the kernel's receive buffer. */
   private static final int HUGE_BODY_BYTES = 400_000;
-  private static final String NEEDS_EPOLL =
-      "only epoll reports a close that follows unread bytes";
+
+  private static final String NEEDS_EPOLL = "only epoll reports a close that follows unread bytes";
 
   /** Ways in which a client disconnects: closing, shutting down only its output, or resetting. */
   enum DisconnectKind {
@@ -101,16 +104,21 @@
   }
 
   /**
-   * Sends a request and leaves its first call to the counter unanswered. Returns the connection of that call.
+   * Sends a request and leaves its first call to the counter unanswered. Returns the connection of
+   * that call.
    */
-  private OutputStream sendWithCounterCallUnanswered(TestClient client, String request) throws Exception {
+  private OutputStream sendWithCounterCallUnanswered(TestClient client, String request)
+      throws Exception {
     AtomicBoolean first = new AtomicBoolean(true);
     fixture.counter.replies = line -> first.getAndSet(false) ? null : fixture.counter.count(line);
     client.send(request);
     return TestQueues.next(fixture.counter.unanswered);
   }
 
-  /** Opens idle connections to the backend, on which the next requests are written without a connect. */
+  /**
+   * Opens idle connections to the backend, on which the next requests are written without a
+   * connect.
+   */
   private void openIdleConnections(int count) throws Exception {
     fixture.backend.responder = (request, out) -> openResponses.add(out);
     List<TestClient> clients = new ArrayList<>();
@@ -132,7 +140,8 @@
   private void awaitNoConnections() throws Exception {
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
     while (gateway.loop.submit(() -> !gateway.clients().hasNoConnections()).get()) {
-      assertTrue(System.nanoTime() < deadline, "the connection of a disconnected client is still open");
+      assertTrue(
+          System.nanoTime() < deadline, "the connection of a disconnected client is still open");
     }
   }
 
@@ -149,17 +158,20 @@
   }
 
   /**
-   * The event loop is blocked while the counter replies and the client disconnects. The loop then reads the reply first and could start the first attempt for a disconnected client. The reply admits the request or, if the plan limits concurrency, gives it a permit.
+   * The event loop is blocked while the counter replies and the client disconnects. The loop then
+   * reads the reply first and could start the first attempt for a disconnected client. The reply
+   * admits the request or, if the plan limits concurrency, gives it a permit.
    */
   @ParameterizedTest
   @CsvSource({"CLOSE,false", "HALF_CLOSE,false", "RESET,false", "CLOSE,true"})
-  void noAttemptStartsWhenCounterReplyIsReadBeforeDisconnect(DisconnectKind disconnectKind, boolean limitsConcurrency)
-      throws Exception {
+  void noAttemptStartsWhenCounterReplyIsReadBeforeDisconnect(
+      DisconnectKind disconnectKind, boolean limitsConcurrency) throws Exception {
     assumeTrue(Epoll.isAvailable(), NEEDS_EPOLL);
     start(limitsConcurrency ? config().replace("\"Refill\":400,", "\"Open\":1,") : config());
     openIdleConnections(1);
     TestClient client = fixture.client();
-    OutputStream counterCall = sendWithCounterCallUnanswered(client, TestRequests.get("gone", 90_000));
+    OutputStream counterCall =
+        sendWithCounterCallUnanswered(client, TestRequests.get("gone", 90_000));
     blockLoop();
     TextStreams.write(counterCall, "ok 1\r\n");
     disconnectKind.disconnect(client);
@@ -168,11 +180,13 @@
   }
 
   /**
-   * The event loop is blocked while a backend responds with an error and the client disconnects. The loop then reads the error first and could start a retry for a disconnected client.
+   * The event loop is blocked while a backend responds with an error and the client disconnects.
+   * The loop then reads the error first and could start a retry for a disconnected client.
    */
   @ParameterizedTest
   @EnumSource
-  void noRetryStartsWhenBackendErrorIsReadBeforeDisconnect(DisconnectKind disconnectKind) throws Exception {
+  void noRetryStartsWhenBackendErrorIsReadBeforeDisconnect(DisconnectKind disconnectKind)
+      throws Exception {
     assumeTrue(Epoll.isAvailable(), NEEDS_EPOLL);
     start(config());
     openIdleConnections(2);
@@ -188,7 +202,9 @@
   }
 
   /**
-   * The gateway stops reading a large body while its request, or an earlier one, waits for the counter. The client disconnects, and its close follows the unread body, so the gateway must query the kernel to detect it.
+   * The gateway stops reading a large body while its request, or an earlier one, waits for the
+   * counter. The client disconnects, and its close follows the unread body, so the gateway must
+   * query the kernel to detect it.
    */
   @ParameterizedTest
   @CsvSource({
@@ -199,14 +215,15 @@
     "HALF_CLOSE,true",
     "RESET,true"
   })
-  void noAttemptStartsWhenDisconnectFollowsUnreadBody(DisconnectKind disconnectKind, boolean afterAnotherRequest)
-      throws Exception {
+  void noAttemptStartsWhenDisconnectFollowsUnreadBody(
+      DisconnectKind disconnectKind, boolean afterAnotherRequest) throws Exception {
     assumeTrue(Epoll.isAvailable(), NEEDS_EPOLL);
     start(config());
     TestClient client = fixture.client();
     String post = post(PARTIALLY_READ_BODY_BYTES);
     OutputStream counterCall =
-        sendWithCounterCallUnanswered(client, afterAnotherRequest ? TestRequests.get("first", 90_000) + post : post);
+        sendWithCounterCallUnanswered(
+            client, afterAnotherRequest ? TestRequests.get("first", 90_000) + post : post);
     disconnectKind.disconnect(client);
     awaitNoConnections();
     TextStreams.write(counterCall, "ok 2\r\n");
@@ -214,11 +231,14 @@
   }
 
   /**
-   * A huge body does not fit into the kernel's receive buffer, so the kernel receives the client's close only after the rest has been read, while the body is being streamed. The backend must not get the last byte, or it would execute the request.
+   * A huge body does not fit into the kernel's receive buffer, so the kernel receives the client's
+   * close only after the rest has been read, while the body is being streamed. The backend must not
+   * get the last byte, or it would execute the request.
    */
   @ParameterizedTest
   @EnumSource
-  void backendDoesNotGetLastByteWhenDisconnectFollowsHugeBody(DisconnectKind disconnectKind) throws Exception {
+  void backendDoesNotGetLastByteWhenDisconnectFollowsHugeBody(DisconnectKind disconnectKind)
+      throws Exception {
     assumeTrue(Epoll.isAvailable(), NEEDS_EPOLL);
     start(config());
     TestClient client = fixture.client();
@@ -229,11 +249,13 @@
   }
 
   /**
-   * A request waits for a backend, as discovery has listed none yet. The client disconnects before a backend is listed. The request must not be sent to that backend.
+   * A request waits for a backend, as discovery has listed none yet. The client disconnects before
+   * a backend is listed. The request must not be sent to that backend.
    */
   @ParameterizedTest
   @EnumSource
-  void noAttemptStartsWhenClientDisconnectsBeforeABackendIsKnown(DisconnectKind disconnectKind) throws Exception {
+  void noAttemptStartsWhenClientDisconnectsBeforeABackendIsKnown(DisconnectKind disconnectKind)
+      throws Exception {
     start(fixture.config());
     TestClient client = fixture.client();
     client.send(TestRequests.get("gone", 90_000));
--- a/src/test/java/quotagateway/server/DiscoveryTest.java
+++ b/src/test/java/quotagateway/server/DiscoveryTest.java
@@ -29,7 +29,10 @@
 import quotagateway.testing.TestRequests;
 import quotagateway.testing.TextStreams;
 
-/** Tests updates of the endpoint list: how they are received and which backends get requests afterwards. */
+/**
+ * Tests updates of the endpoint list: how they are received and which backends get requests
+ * afterwards.
+ */
 @Timeout(40)
 class DiscoveryTest {
 
@@ -55,7 +58,10 @@
     TestClient client = fixture.client();
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
     int requestNumber = 0;
-    while (!client.ask(TestRequests.get("to-" + name + requestNumber++, 3000)).text().equals(name)) {
+    while (!client
+        .ask(TestRequests.get("to-" + name + requestNumber++, 3000))
+        .text()
+        .equals(name)) {
       assertTrue(System.nanoTime() < deadline, "no request goes to " + name);
     }
   }
@@ -87,7 +93,8 @@
   }
 
   /**
-   * An endpoint starts draining while a connection to it is still being established. The attempt that waits for the connection must not be written to it.
+   * An endpoint starts draining while a connection to it is still being established. The attempt
+   * that waits for the connection must not be written to it.
    */
   @Test
   void doesNotWriteAttemptToBackendThatDrainsDuringConnect() throws Exception {
@@ -99,7 +106,8 @@
         channel.configureBlocking(false);
         channel.connect(blockedServer.getLocalSocketAddress());
       }
-      String config = fixture.config(EndpointListJson.entry("s-1", blockedServer.getLocalPort(), "active"));
+      String config =
+          fixture.config(EndpointListJson.entry("s-1", blockedServer.getLocalPort(), "active"));
       fixture.start(
           config
               .replace("\"DialTimeoutMs\":250", "\"DialTimeoutMs\":20000")
@@ -181,7 +189,8 @@
   }
 
   /**
-   * Discovery's host vanishes without resetting the connection. The watch is replaced because it is silent.
+   * Discovery's host vanishes without resetting the connection. The watch is replaced because it is
+   * silent.
    */
   @Test
   void replacesASilentWatch() throws Exception {
@@ -191,7 +200,8 @@
   }
 
   /**
-   * An update that a silent watch missed must arrive within 6 s, even if the next watches receive no response.
+   * An update that a silent watch missed must arrive within 6 s, even if the next watches receive
+   * no response.
    */
   @Test
   void receivesUpdateMissedBySilentWatchAlthoughNextWatchesGetNoResponse() throws Exception {
@@ -225,7 +235,10 @@
     assertTrue(System.nanoTime() - silentSince.get() < TimeUnit.SECONDS.toNanos(6));
   }
 
-  /** Watches are retried at short intervals, however many have failed while the discovery agent was unavailable. */
+  /**
+   * Watches are retried at short intervals, however many have failed while the discovery agent was
+   * unavailable, so that an update arrives within the second that a draining endpoint has.
+   */
   @Test
   void resumesWatchSoonAfterAgentReturns() throws Exception {
     int secondPort = namedBackend("2").port();
@@ -257,7 +270,10 @@
   }
 
   /**
-   * Discovery may indent its messages and send several at once. An invalid message would be logged, and its watch closed before any request could use a list that follows it. The test does not count watches: on a busy machine the first watch may start too late or be silent for too long, so that another one is opened.
+   * Discovery may indent its messages and send several at once. An invalid message would be logged,
+   * and its watch closed before any request could use a list that follows it. The test does not
+   * count watches: on a busy machine the first watch may start too late or be silent for too long,
+   * so that another one is opened.
    */
   @Test
   void acceptsConsecutiveIndentedLists() throws Exception {
@@ -276,7 +292,9 @@
   }
 
   /**
-   * A watch whose response begins after the time limit has been replaced by then. The fake agent holds the first response back until the next watch has been requested. Lists on the next watch must be accepted.
+   * A watch whose response begins after the time limit has been replaced by then. The fake agent
+   * holds the first response back until the next watch has been requested. Lists on the next watch
+   * must be accepted.
    */
   @Test
   void acceptsListsAfterWatchWithLateResponse() throws Exception {
--- a/src/test/java/quotagateway/server/EventLoopStallTest.java
+++ b/src/test/java/quotagateway/server/EventLoopStallTest.java
@@ -48,7 +48,8 @@
   }
 
   /**
-   * While the event loop is blocked, 20 clients send a request and disconnect, and one stays connected. Afterwards only the request of the connected client reaches a backend.
+   * While the event loop is blocked, 20 clients send a request and disconnect, and one stays
+   * connected. Afterwards only the request of the connected client reaches a backend.
    */
   @Test
   void requestsOfClientsThatDisconnectDuringAStallAreNotForwarded() throws Exception {
@@ -65,7 +66,8 @@
   }
 
   /**
-   * A request arrives while the event loop is blocked and is read 500 ms later. The backend receives the time that remains since the arrival, not the timeout that the client stated.
+   * A request arrives while the event loop is blocked and is read 500 ms later. The backend
+   * receives the time that remains since the arrival, not the timeout that the client stated.
    */
   @Test
   void requestTimeoutCountsFromArrivalDuringAStall() throws Exception {
@@ -77,11 +79,14 @@
     assertEquals(200, client.receive().status());
     HttpMessage forwarded = TestQueues.next(fixture.backend.received);
     int forwardedTimeoutMs = Integer.parseInt(forwarded.header("Request-Timeout-Ms"));
-    assertTrue(forwardedTimeoutMs < 2_600, forwardedTimeoutMs + "  ms forwarded although 500 of 3000 ms had passed");
+    assertTrue(
+        forwardedTimeoutMs < 2_600,
+        forwardedTimeoutMs + " ms forwarded although 500 of 3000 ms had passed");
   }
 
   /**
-   * A request arrives while the event loop is blocked, and its timeout expires before it is read. It is rejected and reaches no backend.
+   * A request arrives while the event loop is blocked, and its timeout expires before it is read.
+   * It is rejected and reaches no backend.
    */
   @Test
   void requestThatTimesOutDuringAStallIsRejectedWithoutAnAttempt() throws Exception {
--- a/src/test/java/quotagateway/server/GatewayServerTest.java
+++ b/src/test/java/quotagateway/server/GatewayServerTest.java
@@ -32,7 +32,9 @@
 import quotagateway.testing.TestRequests;
 import quotagateway.testing.TextStreams;
 
-/** Tests the gateway with fake peers on loopback: what clients receive and what backends are sent. */
+/**
+ * Tests the gateway with fake peers on loopback: what clients receive and what backends are sent.
+ */
 @Timeout(30)
 class GatewayServerTest {
 
@@ -108,7 +110,10 @@
     }
   }
 
-  /** A backend that rejects an attempt has not executed it, so the gateway may retry a request that is not idempotent. */
+  /**
+   * A backend that rejects an attempt has not executed it, so the gateway may retry a request that
+   * is not idempotent.
+   */
   @Test
   void rejectedAttemptIsRetried() throws Exception {
     fixture.start();
@@ -125,7 +130,8 @@
   }
 
   /**
-   * If the connection breaks after the request was sent, the backend may have executed it. Without the same idempotency key, the backend would execute the retry a second time.
+   * If the connection breaks after the request was sent, the backend may have executed it. Without
+   * the same idempotency key, the backend would execute the retry a second time.
    */
   @Test
   void retriesWithSameIdempotencyKeyAfterConnectionBreaks() throws Exception {
@@ -151,7 +157,10 @@
     assertNotEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
   }
 
-  /** A backend responds with something other than HTTP. Its connection is lost, but the request is retried. */
+  /**
+   * A backend responds with something other than HTTP. Its connection is lost, but the request is
+   * retried.
+   */
   @Test
   void malformedResponseIsRetriedAndLaterRequestsAreServed() throws Exception {
     fixture.start();
@@ -160,7 +169,9 @@
         (request, out) ->
             TextStreams.write(
                 out,
-                attempts.incrementAndGet() == 1 ? "no http at all\r\n\r\n" : FakeBackend.OK_RESPONSE);
+                attempts.incrementAndGet() == 1
+                    ? "no http at all\r\n\r\n"
+                    : FakeBackend.OK_RESPONSE);
     assertEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
     assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
   }
@@ -174,7 +185,8 @@
   }
 
   /**
-   * A vanished host does not respond to a connect. The connect timeout is far shorter than the client's deadline.
+   * A vanished host does not respond to a connect. The connect timeout is far shorter than the
+   * client's deadline.
    */
   @Test
   void unansweredConnectFailsAfterConnectTimeout() throws Exception {
@@ -186,7 +198,8 @@
         channel.connect(blockedServer.getLocalSocketAddress());
         fillingChannels.add(channel);
       }
-      fixture.start(fixture.config(EndpointListJson.entry("s-1", blockedServer.getLocalPort(), "active")));
+      fixture.start(
+          fixture.config(EndpointListJson.entry("s-1", blockedServer.getLocalPort(), "active")));
       long startNanos = System.nanoTime();
       assertEquals(503, fixture.client().ask(TestRequests.post("r1", "b")).status());
       assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(2_900));
@@ -197,7 +210,9 @@
   }
 
   /**
-   * A backend accepts a request and never responds. Its connection is closed, as a late response could be mistaken for the response to the next request, and the client receives an error before its deadline.
+   * A backend accepts a request and never responds. Its connection is closed, as a late response
+   * could be mistaken for the response to the next request, and the client receives an error before
+   * its deadline.
    */
   @Test
   void unansweredAttemptFailsBeforeDeadlineAndItsConnectionIsClosed() throws Exception {
@@ -272,7 +287,10 @@
     assertEquals(405, fixture.client().ask(readinessRequest.replace("GET", "PUT")).status());
   }
 
-  /** A gateway that starts while discovery is unavailable knows no backend and could only reject requests. */
+  /**
+   * A gateway that starts while discovery is unavailable knows no backend and could only reject
+   * requests.
+   */
   @Test
   void isNotReadyUntilDiscoveryReportsABackend() throws Exception {
     fixture.start(fixture.config());
@@ -290,7 +308,8 @@
   }
 
   /**
-   * A client disconnects while its attempt is in flight. The client receives nothing, the policy still receives the attempt's outcome, and later requests are served.
+   * A client disconnects while its attempt is in flight. The client receives nothing, the policy
+   * still receives the attempt's outcome, and later requests are served.
    */
   @Test
   void clientDisconnectDuringAttemptDoesNotAffectLaterRequests() throws Exception {
@@ -310,7 +329,8 @@
   }
 
   /**
-   * A graceful shutdown begins while a request is open. The request receives its response, which announces the end of the connection; idle connections are closed, and the shutdown completes.
+   * A graceful shutdown begins while a request is open. The request receives its response, which
+   * announces the end of the connection; idle connections are closed, and the shutdown completes.
    */
   @Test
   void gracefulShutdownCompletesOpenRequest() throws Exception {
@@ -346,7 +366,8 @@
   }
 
   /**
-   * Initializing the logging framework is slow on a fraction of a core. Writing the first log line after the gateway has started listening would delay all requests that have arrived by then.
+   * Initializing the logging framework is slow on a fraction of a core. Writing the first log line
+   * after the gateway has started listening would delay all requests that have arrived by then.
    */
   @Test
   void writesFirstLogLineBeforeAcceptingClients() throws Exception {
--- a/src/test/java/quotagateway/server/MalformedResponseTest.java
+++ b/src/test/java/quotagateway/server/MalformedResponseTest.java
@@ -33,7 +33,9 @@
   }
 
   /**
-   * A backend sends surplus bytes after its response: a second copy, garbage, or part of a status line. If these were treated as the response to the next request on the connection, the wrong client would receive it.
+   * A backend sends surplus bytes after its response: a second copy, garbage, or part of a status
+   * line. If these were treated as the response to the next request on the connection, the wrong
+   * client would receive it.
    */
   @Test
   void surplusBytesAreNotUsedAsTheNextResponse() throws Exception {
@@ -51,7 +53,8 @@
         }) {
       String id = "r" + requestNumber++;
       fixture.backend.responder =
-          (request, out) -> TextStreams.write(out, okResponse(request.header("Request-Id")) + surplus);
+          (request, out) ->
+              TextStreams.write(out, okResponse(request.header("Request-Id")) + surplus);
       assertEquals(id, client.ask(TestRequests.get(id, 3000)).text());
       fixture.backend.responder =
           (request, out) -> TextStreams.write(out, okResponse(request.header("Request-Id")));
@@ -74,13 +77,15 @@
   }
 
   /**
-   * Bytes that do not form a complete response follow a response. If the connection were reused, they would corrupt the next response, and its request would need a retry.
+   * Bytes that do not form a complete response follow a response. If the connection were reused,
+   * they would corrupt the next response, and its request would need a retry.
    */
   @Test
   void connectionWithSurplusBytesIsNotReused() throws Exception {
     fixture.start();
     TestClient client = fixture.client();
-    fixture.backend.responder = (request, out) -> TextStreams.write(out, okResponse("first") + "noise");
+    fixture.backend.responder =
+        (request, out) -> TextStreams.write(out, okResponse("first") + "noise");
     assertEquals("first", client.ask(TestRequests.get("r1", 3000)).text());
     fixture.backend.responder = (request, out) -> TextStreams.write(out, okResponse("second"));
     TimeUnit.MILLISECONDS.sleep(50);
@@ -112,7 +117,8 @@
   }
 
   /**
-   * A response cannot be parsed or ends prematurely. It is not forwarded, and the policy retries the request immediately instead of waiting.
+   * A response cannot be parsed or ends prematurely. It is not forwarded, and the policy retries
+   * the request immediately instead of waiting.
    */
   @Test
   void malformedResponseFailsTheAttemptAndIsRetriedImmediately() throws Exception {
@@ -142,18 +148,21 @@
               TextStreams.write(
                   out, attempts.incrementAndGet() == 1 ? malformed : FakeBackend.OK_RESPONSE);
       long startNanos = System.nanoTime();
-      assertEquals("fine", client.ask(TestRequests.get("r" + requestNumber++, 3900)).text(), malformed);
+      assertEquals(
+          "fine", client.ask(TestRequests.get("r" + requestNumber++, 3900)).text(), malformed);
       assertEquals(2, attempts.get(), malformed);
       assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(900), malformed);
       for (int i = 0; i < 8; i++) {
         // First attempts earn the budget for the next retry.
-        assertEquals(200, client.ask(TestRequests.get("g" + requestNumber + "-" + i, 3900)).status());
+        assertEquals(
+            200, client.ask(TestRequests.get("g" + requestNumber + "-" + i, 3900)).status());
       }
     }
   }
 
   /**
-   * Idle connections repeatedly turn out to be closed by the backend at their next request. Each costs one attempt without using up the retry budget, so that all requests are served.
+   * Idle connections repeatedly turn out to be closed by the backend at their next request. Each
+   * costs one attempt without using up the retry budget, so that all requests are served.
    */
   @Test
   void closedIdleConnectionsDoNotFailRequests() throws Exception {
@@ -177,7 +186,8 @@
   }
 
   /**
-   * A backend sends an X-Units-Charged header that cannot be parsed. The charge is unknown rather than 0, so the customer's account keeps the estimate.
+   * A backend sends an X-Units-Charged header that cannot be parsed. The charge is unknown rather
+   * than 0, so the customer's account keeps the estimate.
    */
   @Test
   void unparsableChargedUnitsLeaveTheEstimateInPlace() throws Exception {
--- a/src/test/java/quotagateway/server/MisbehavingClientTest.java
+++ b/src/test/java/quotagateway/server/MisbehavingClientTest.java
@@ -30,7 +30,9 @@
 @Timeout(40)
 class MisbehavingClientTest {
 
+  /** Misbehaving clients must receive an error or a close within this time. */
   private static final long MAX_RESPONSE_NANOS = TimeUnit.SECONDS.toNanos(3);
+
   private static final int MAX_CLIENT_CONNECTIONS =
       new ConnectionBudget(ResourceLimits.of(GatewayFixture.FEW_DESCRIPTORS, 128, 1).connections())
           .maxClientConnections();
@@ -43,7 +45,9 @@
   }
 
   /**
-   * Without a limit on connections, many clients could use up all descriptors, and no client would be served. A connection over the limit is rejected with a 503 and closed; those within the limit keep working.
+   * Without a limit on connections, many clients could use up all descriptors, and no client would
+   * be served. A connection over the limit is rejected with a 503 and closed; those within the
+   * limit keep working.
    */
   @Test
   void connectionOverTheLimitIsRejectedWhileOthersAreServed() throws Exception {
@@ -67,7 +71,9 @@
   }
 
   /**
-   * Clients send one request each and never close their connections. Twice as many clients as the connection limit connect one after another. Each is served, as connections are closed with their responses when few are left.
+   * Clients send one request each and never close their connections. Twice as many clients as the
+   * connection limit connect one after another. Each is served, as connections are closed with
+   * their responses when few are left.
    */
   @Test
   void idleClientsDoNotLockOutNewClients() throws Exception {
@@ -82,7 +88,8 @@
   }
 
   /**
-   * A slow client has sent half of its request when its connection is evicted for another client. Without a response, the client would not know what became of its request.
+   * A slow client has sent half of its request when its connection is evicted for another client.
+   * Without a response, the client would not know what became of its request.
    */
   @Test
   void partialRequestIsRejectedWhenItsConnectionIsEvicted() throws Exception {
@@ -100,7 +107,9 @@
   }
 
   /**
-   * As many clients as the connection limit connect and send nothing. After a period of silence, the oldest is evicted for a new client. That client may still be rejected, as the evicted connection ends after it has arrived, but the next one is accepted.
+   * As many clients as the connection limit connect and send nothing. After a period of silence,
+   * the oldest is evicted for a new client. That client may still be rejected, as the evicted
+   * connection ends after it has arrived, but the next one is accepted.
    */
   @Test
   void silentConnectionIsEvictedAtTheConnectionLimit() throws Exception {
@@ -116,7 +125,8 @@
   }
 
   /**
-   * Client and backend connections share the descriptors. Clients fill their share, backends get only what is reserved for them, and each side gets back what the other releases.
+   * Client and backend connections share the descriptors. Clients fill their share, backends get
+   * only what is reserved for them, and each side gets back what the other releases.
    */
   @Test
   void connectionBudgetIsSharedAndNeverExceeded() {
@@ -135,7 +145,9 @@
   }
 
   /**
-   * An event loop never again runs a periodic task that has thrown, so one faulty connection could keep all overdue connections from being closed. One connection throws when it is checked; a silent one must still be closed, and new clients are served.
+   * An event loop never again runs a periodic task that has thrown, so one faulty connection could
+   * keep all overdue connections from being closed. One connection throws when it is checked; a
+   * silent one must still be closed, and new clients are served.
    */
   @Test
   void overdueConnectionIsClosedAlthoughCheckOfAnotherThrows() throws Exception {
@@ -178,7 +190,8 @@
   }
 
   /**
-   * A client sends one header after another and never ends the request. It must receive an error within 3 s: the time counts from the beginning of the request, not from the last bytes.
+   * A client sends one header after another and never ends the request. It must receive an error
+   * within 3 s: the time counts from the beginning of the request, not from the last bytes.
    */
   @Test
   void trickledRequestHeadIsRejectedWith408WithinThreeSeconds() throws Exception {
@@ -192,16 +205,16 @@
         assertEquals(408, client.receive().status());
         break;
       } catch (IOException e) {
-        assertTrue(System.nanoTime() - startNanos < MAX_RESPONSE_NANOS, "neither an error nor a close within 3 s");
+        assertTrue(
+            System.nanoTime() - startNanos < MAX_RESPONSE_NANOS,
+            "neither an error nor a close within 3 s");
         client.send("X-Pad: 1\r\n");
       }
     }
     assertTrue(System.nanoTime() - startNanos < MAX_RESPONSE_NANOS);
   }
 
-  /**
-   * A client connects and sends nothing. Its connection must be closed within 3 s.
-   */
+  /** A client connects and sends nothing. Its connection must be closed within 3 s. */
   @Test
   void silentConnectionIsClosedWithinThreeSeconds() throws Exception {
     fixture.start();
@@ -211,7 +224,9 @@
   }
 
   /**
-   * Request smuggling: with two lengths, or a malformed one, one parser sees a second request in what another parser treats as a body. Such a request is rejected with a 400 and the connection is closed; the hidden request reaches no backend.
+   * Request smuggling: with two lengths, or a malformed one, one parser sees a second request in
+   * what another parser treats as a body. Such a request is rejected with a 400 and the connection
+   * is closed; the hidden request reaches no backend.
    */
   @Test
   void requestWithAmbiguousFramingIsRejectedAndTheConnectionCloses() throws Exception {
@@ -247,7 +262,8 @@
   }
 
   /**
-   * A request with a header value out of range is rejected with a 400 and reaches neither a backend nor the counter. Otherwise one client could change the account of another customer.
+   * A request with a header value out of range is rejected with a 400 and reaches neither a backend
+   * nor the counter. Otherwise one client could change the account of another customer.
    */
   @Test
   void headerValuesOutOfRangeReachNeitherBackendNorCounter() throws Exception {
@@ -281,7 +297,9 @@
   }
 
   /**
-   * A client announces a body of 60 MB, or sends as much in chunks. It receives an error, or its connection is closed, before the body has arrived; the request is not executed, and other clients are served.
+   * A client announces a body of 60 MB, or sends as much in chunks. It receives an error, or its
+   * connection is closed, before the body has arrived; the request is not executed, and other
+   * clients are served.
    */
   @Test
   void oversizedBodyIsRejectedWith413BeforeItHasArrived() throws Exception {
@@ -305,11 +323,14 @@
     assertEquals(
         "r2",
         TestQueues.next(fixture.backend.received).header("Request-Id"),
-        "the oversized requests reached no backend");
+        "an oversized request reached a backend");
   }
 
   /**
-   * A client continues to send a body after it was rejected with an error. Closing a socket with unread bytes resets the connection, and the reset may discard the error before the client has read it. The gateway therefore shuts down only its output and continues to read for a limited time: the client sees the error and an orderly close.
+   * A client continues to send a body after it was rejected with an error. Closing a socket with
+   * unread bytes resets the connection, and the reset may discard the error before the client has
+   * read it. The gateway therefore shuts down only its output and continues to read for a limited
+   * time: the client sees the error and an orderly close.
    */
   @Test
   void clientThatKeepsSendingReadsTheErrorAndAnOrderlyClose() throws Exception {
@@ -326,7 +347,9 @@
   }
 
   /**
-   * A client completes its request just after the gateway has rejected it with a 408, while the gateway still reads so that the error is not lost. The client will send the request again, so it must not be forwarded and executed without a response.
+   * A client completes its request just after the gateway has rejected it with a 408, while the
+   * gateway still reads so that the error is not lost. The client will send the request again, so
+   * it must not be forwarded and executed without a response.
    */
   @Test
   void requestCompletedAfterItsTimeoutIsNotForwarded() throws Exception {
@@ -342,7 +365,9 @@
   }
 
   /**
-   * A client pipelines requests with bodies after a request that closes the connection. They are dropped with the connection. If they still counted as buffered bytes, they would add up until all requests are rejected for lack of memory.
+   * A client pipelines requests with bodies after a request that closes the connection. They are
+   * dropped with the connection. If they still counted as buffered bytes, they would add up until
+   * all requests are rejected for lack of memory.
    */
   @Test
   void requestsPipelinedAfterConnectionCloseReleaseTheirMemory() throws Exception {
@@ -353,7 +378,8 @@
           LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(150));
           return TextStreams.write(out, FakeBackend.OK_RESPONSE);
         };
-    String closingRequest = TestRequests.get("last", 3000).replace("X-Plan", "Connection: close\r\nX-Plan");
+    String closingRequest =
+        TestRequests.get("last", 3000).replace("X-Plan", "Connection: close\r\nX-Plan");
     String pipelinedRequests = TestRequests.post("behind", "x".repeat(64_000)).repeat(15);
     for (int i = 0; i < 12; i++) {
       TestClient client = fixture.client();
@@ -365,7 +391,8 @@
   }
 
   /**
-   * A client pipelines 200 requests on one connection, all of which would be held in memory. Those within the limit receive responses, and then the connection is closed.
+   * A client pipelines 200 requests on one connection, all of which would be held in memory. Those
+   * within the limit receive responses, and then the connection is closed.
    */
   @Test
   void pipelinedRequestsBeyondTheLimitGetNoResponse() throws Exception {
@@ -384,6 +411,6 @@
     } catch (IOException e) {
       // The connection is closed.
     }
-    assertTrue(responses > 0 && responses < 200, "responses:  " + responses);
+    assertTrue(responses > 0 && responses < 200, "responses: " + responses);
   }
 }
--- a/src/test/java/quotagateway/server/ReloadSignalTest.java
+++ b/src/test/java/quotagateway/server/ReloadSignalTest.java
@@ -23,14 +23,18 @@
 import quotagateway.testing.TestQueues;
 
 /**
- * Starts the program from a shell that ignores SIGHUP, as nohup and some supervisors do. A process inherits this disposition, and the JVM then never handles the signal, so a reload would be silently ignored.
+ * Starts the program from a shell that ignores SIGHUP, as nohup and some supervisors do. A process
+ * inherits this disposition, and the JVM then never handles the signal, so a reload would be
+ * silently ignored.
  */
 @Timeout(60)
 class ReloadSignalTest {
 
   private static final long TIMEOUT_SECONDS = 20;
 
-  /** Matches the launcher, which is the part of the deploy file's run command between exec and java. */
+  /**
+   * Matches the launcher, which is the part of the deploy file's run command between exec and java.
+   */
   private static final Pattern RUN_COMMAND = Pattern.compile("run = \"exec (.*?)java .*");
 
   private final GatewayFixture before = new GatewayFixture();
@@ -67,7 +71,9 @@
             + " started; start it by env --default-signal=HUP");
   }
 
-  /** With {@code -Xrs} the JVM leaves the signal to its default action, which would end the program. */
+  /**
+   * With {@code -Xrs} the JVM leaves the signal to its default action, which would end the program.
+   */
   @Test
   void startFailsWhenTheJvmForbidsSignalHandlers() throws Exception {
     start(launcher(), "-Xrs");
@@ -119,14 +125,17 @@
   }
 
   /**
-   * Waits until the program accepts clients. It installs the signal handler before that, and creates a lock file in its folder when it begins to serve.
+   * Waits until the program accepts clients. It installs the signal handler before that, and
+   * creates a lock file in its folder when it begins to serve.
    */
   private void awaitServing() throws Exception {
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
     try (WatchService changes = tempFolder.getFileSystem().newWatchService()) {
       tempFolder.register(changes, StandardWatchEventKinds.ENTRY_CREATE);
       while (!Files.exists(tempFolder.resolve("serving-0"))) {
-        assertTrue(program.isAlive() && System.nanoTime() < deadline, () -> "the program does not serve: " + output());
+        assertTrue(
+            program.isAlive() && System.nanoTime() < deadline,
+            () -> "the program does not serve: " + output());
         WatchKey change = changes.poll(1, TimeUnit.SECONDS);
         if (change != null) {
           change.reset();
--- a/src/test/java/quotagateway/server/ReloadTest.java
+++ b/src/test/java/quotagateway/server/ReloadTest.java
@@ -48,7 +48,8 @@
   }
 
   /**
-   * Discovery and the counter move to other addresses, and the connections to the old ones close 1.5 s later. No request fails during the change, and the watch resumes from its last version.
+   * Discovery and the counter move to other addresses, and the connections to the old ones close
+   * 1.5 s later. No request fails during the change, and the watch resumes from its last version.
    */
   @Test
   void changesDiscoveryAndCounterAddressesWithoutFailingRequests() throws Exception {
@@ -69,7 +70,9 @@
     assertTrue(before.discovery.watches.isEmpty());
   }
 
-  /** The file is truncated, contains an invalid address, or is missing. The addresses in use remain. */
+  /**
+   * The file is truncated, contains an invalid address, or is missing. The addresses in use remain.
+   */
   @Test
   void rejectedFileDoesNotChangeAddresses() throws Exception {
     reload("{\"discovery\":");
@@ -80,7 +83,9 @@
     assertEquals(200, client.ask(TestRequests.get("r1", 3000)).status());
     TestQueues.next(before.counter.calls);
     before.discovery.send(EndpointListJson.list(8, true) + "\n");
-    for (int requestNumber = 0; client.ask(TestRequests.get("r" + requestNumber, 500)).status() == 200; requestNumber++) {
+    for (int requestNumber = 0;
+        client.ask(TestRequests.get("r" + requestNumber, 500)).status() == 200;
+        requestNumber++) {
       Thread.onSpinWait();
     }
     assertTrue(after.discovery.watches.isEmpty());
@@ -105,7 +110,9 @@
     TestClient client = before.client();
     String extraClassRequest = TestRequests.get("r1", 3000).replace("quote", "extra");
     assertEquals(400, client.ask(extraClassRequest).status());
-    reload(withClass(configWithOwnBackend(), "extra", "pure").replace("\"Name\":\"quote\"", "\"Name\":\"other\""));
+    reload(
+        withClass(configWithOwnBackend(), "extra", "pure")
+            .replace("\"Name\":\"quote\"", "\"Name\":\"other\""));
     while (client.ask(extraClassRequest).status() != 200) {
       Thread.onSpinWait();
     }
@@ -113,20 +120,27 @@
         200,
         client.ask(TestRequests.get("r2", 3000)).status(),
         "requests under way still name the removed class");
-    for (int requestNumber = 0; client.ask(TestRequests.get("r" + requestNumber, 3000)).status() == 200; requestNumber++) {
+    for (int requestNumber = 0;
+        client.ask(TestRequests.get("r" + requestNumber, 3000)).status() == 200;
+        requestNumber++) {
       TimeUnit.MILLISECONDS.sleep(50);
     }
     assertEquals(400, client.ask(TestRequests.get("r4", 3000)).status());
     assertEquals(200, client.ask(extraClassRequest).status());
   }
 
-  /** Clients use the old method until they learn of the change, so both methods are accepted for a transitional period. */
+  /**
+   * Clients use the old method until they learn of the change, so both methods are accepted for a
+   * transitional period.
+   */
   @Test
   void classWithChangedIdempotencyAcceptsBothMethods() throws Exception {
     TestClient client = before.client();
     String requestWithKey = TestRequests.post("p1", "b").replace("buy", "quote");
     assertEquals(400, client.ask(requestWithKey).status());
-    reload(configWithOwnBackend().replace("\"quote\",\"Repeat\":\"pure\"", "\"quote\",\"Repeat\":\"token\""));
+    reload(
+        configWithOwnBackend()
+            .replace("\"quote\",\"Repeat\":\"pure\"", "\"quote\",\"Repeat\":\"token\""));
     while (client.ask(requestWithKey).status() != 200) {
       Thread.onSpinWait();
     }
@@ -134,16 +148,21 @@
   }
 
   /**
-   * A request whose class exists only in the previous settings is read with those, even if it arrives after the reload. It must get the number of attempts that the previous settings allow. It must have the number of attempts that those allow, not that of the new ones.
+   * A request whose class exists only in the previous settings is read with those, even if it
+   * arrives after the reload. It must get the number of attempts that the previous settings allow.
    */
   @Test
   void requestReadWithPreviousSettingsGetsTheirNumberOfAttempts() throws Exception {
     TestClient client = before.client();
-    reload(withClass(configWithOwnBackend(), "extra", "pure").replace("\"MaxAttempts\":6", "\"MaxAttempts\":1"));
+    reload(
+        withClass(configWithOwnBackend(), "extra", "pure")
+            .replace("\"MaxAttempts\":6", "\"MaxAttempts\":1"));
     while (client.ask(TestRequests.get("e1", 3000).replace("quote", "extra")).status() == 400) {
       Thread.onSpinWait();
     }
-    reload(withClass(configWithOwnBackend(), "extra", "pure").replace("\"Name\":\"quote\"", "\"Name\":\"other\""));
+    reload(
+        withClass(configWithOwnBackend(), "extra", "pure")
+            .replace("\"Name\":\"quote\"", "\"Name\":\"other\""));
     while (client.ask(TestRequests.get("o1", 3000).replace("quote", "other")).status() == 400) {
       Thread.onSpinWait();
     }
@@ -155,7 +174,8 @@
   }
 
   /**
-   * A file with one error, a new class and a new address is rejected completely: neither the class nor the address takes effect. The same file without the error then applies both.
+   * A file with one error, a new class and a new address is rejected completely: neither the class
+   * nor the address takes effect. The same file without the error then applies both.
    */
   @Test
   void rejectedFileIsNotAppliedInPart() throws Exception {
@@ -185,7 +205,8 @@
         }) {
       reload(invalidConfig);
       // By the second request, the event loop has run any task that the reload submitted.
-      assertEquals(200, client.ask(TestRequests.get("g" + invalidConfig.hashCode(), 3000)).status());
+      assertEquals(
+          200, client.ask(TestRequests.get("g" + invalidConfig.hashCode(), 3000)).status());
       assertEquals(400, client.ask(extraClassRequest).status(), invalidConfig);
     }
     assertTrue(after.discovery.watches.isEmpty());
--- a/src/test/java/quotagateway/server/ResourceLimitsTest.java
+++ b/src/test/java/quotagateway/server/ResourceLimitsTest.java
@@ -38,7 +38,10 @@
 import quotagateway.testing.TextStreams;
 import quotagateway.transport.ConnectionBudget;
 
-/** Tests a gateway in a separate process with the JVM options of the deploy file and a limited number of descriptors. */
+/**
+ * Tests a gateway in a separate process with the JVM options of the deploy file and a limited
+ * number of descriptors.
+ */
 @Timeout(90)
 class ResourceLimitsTest {
 
@@ -56,7 +59,8 @@
   @TempDir Path tempFolder;
 
   /**
-   * Reserves a port for the gateway process. The socket is bound but does not listen; the process binds the same port with SO_REUSEPORT.
+   * Reserves a port for the gateway process. The socket is bound but does not listen; the process
+   * binds the same port with SO_REUSEPORT.
    */
   @BeforeEach
   void reservePort() throws IOException {
@@ -90,7 +94,8 @@
   }
 
   /**
-   * Starts the gateway process with the JVM options of the deploy file and a descriptor limit, and waits until it serves.
+   * Starts the gateway process with the JVM options of the deploy file and a descriptor limit, and
+   * waits until it serves.
    */
   private void start(String config, int descriptorLimit) throws Exception {
     Path file = tempFolder.resolve("config.json");
@@ -98,7 +103,8 @@
         file,
         config
             .replace(
-                "\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + gatewayAddress.getPort() + "\"")
+                "\"listen\":\"127.0.0.1:0\"",
+                "\"listen\":\"127.0.0.1:" + gatewayAddress.getPort() + "\"")
             .replace(
                 "\"seed\"",
                 "\"limits\":{\"cores\":1,\"memory_mb\":"
@@ -140,13 +146,16 @@
   }
 
   /**
-   * Sends requests, each on a new connection, until the named backend responds. Connections may be refused until then.
+   * Sends requests, each on a new connection, until the named backend responds. Connections may be
+   * refused until then.
    */
   private void requestUntilServedBy(String name, long nanos) throws IOException {
     long deadline = System.nanoTime() + nanos;
     for (int requestNumber = 0; ; requestNumber++) {
-      assertTrue(process.isAlive(), () -> "the gateway process has exited:  " + output());
-      assertTrue(System.nanoTime() < deadline, () -> "no response from backend " + name + " in time; " + output());
+      assertTrue(process.isAlive(), () -> "the gateway process has exited: " + output());
+      assertTrue(
+          System.nanoTime() < deadline,
+          () -> "no response from backend " + name + " in time; " + output());
       try (TestClient client = new TestClient(gatewayAddress)) {
         if (client.ask(TestRequests.get(name + "-" + requestNumber, 3000)).text().equals(name)) {
           return;
@@ -173,7 +182,10 @@
     return Integer.toHexString(list.length()) + "\r\n" + list + "\r\n";
   }
 
-  /** Starts a fake discovery agent that closes all connections while the peers are unavailable and responds to watches with the list afterwards. */
+  /**
+   * Starts a fake discovery agent that closes all connections while the peers are unavailable and
+   * responds to watches with the list afterwards.
+   */
   private int startDiscovery(String list, AtomicInteger watches) {
     return fixture
         .listen(
@@ -207,11 +219,14 @@
   }
 
   /**
-   * Many clients connect while discovery and the counter are unavailable. The connection limit must leave descriptors for all connections that the gateway itself opens, so that it recovers within 3 s once both are available again.
+   * Many clients connect while discovery and the counter are unavailable. The connection limit must
+   * leave descriptors for all connections that the gateway itself opens, so that it recovers within
+   * 3 s once both are available again.
    */
   @ParameterizedTest
   @ValueSource(ints = {80, GatewayFixture.FEW_DESCRIPTORS})
-  void connectedClientsLeaveDescriptorsForDiscoveryCounterAndBackends(int descriptorLimit) throws Exception {
+  void connectedClientsLeaveDescriptorsForDiscoveryCounterAndBackends(int descriptorLimit)
+      throws Exception {
     int firstPort = startNamedBackend("1");
     int secondPort = startNamedBackend("2");
     peersUnavailable.set(true);
@@ -244,7 +259,9 @@
     int maxClientConnections =
         new ConnectionBudget(ResourceLimits.of(descriptorLimit, MEMORY_MB, 1).connections())
             .maxClientConnections();
-    assertTrue(maxDescriptors > maxClientConnections, "clients do not use up their connections:  " + maxDescriptors + " descriptors");
+    assertTrue(
+        maxDescriptors > maxClientConnections,
+        "clients do not use up their connections: " + maxDescriptors + " descriptors");
     peersUnavailable.set(false);
     long recoveryStartNanos = System.nanoTime();
     while (watches.get() == 0 || counterConnections.get() < CounterClient.CONNECTIONS) {
@@ -271,7 +288,8 @@
   }
 
   /**
-   * Discovery repeatedly reports the largest supported number of backends. Applying the lists must not exceed the memory of the deploy file, or the process would be killed.
+   * Discovery repeatedly reports the largest supported number of backends. Applying the lists must
+   * not exceed the memory of the deploy file, or the process would be killed.
    */
   @Test
   void largeEndpointListsStayWithinTheMemoryLimit() throws Exception {
@@ -289,9 +307,17 @@
     TestQueues.next(fixture.discovery.watches);
     sendEndpointList(endpointList(8, true, MANY_BACKENDS, 2 * MANY_BACKENDS, secondPort, "active"));
     requestUntilServedBy("2", TimeUnit.SECONDS.toNanos(20));
-    sendEndpointList(endpointList(9, false, MANY_BACKENDS, 2 * MANY_BACKENDS, secondPort, "leaving"));
+    sendEndpointList(
+        endpointList(9, false, MANY_BACKENDS, 2 * MANY_BACKENDS, secondPort, "leaving"));
     for (int version = 10; version < 40; version++) {
-      sendEndpointList(endpointList(version, true, version * MANY_BACKENDS, (version + 1) * MANY_BACKENDS, thirdPort, "active"));
+      sendEndpointList(
+          endpointList(
+              version,
+              true,
+              version * MANY_BACKENDS,
+              (version + 1) * MANY_BACKENDS,
+              thirdPort,
+              "active"));
     }
     requestUntilServedBy("3", TimeUnit.SECONDS.toNanos(20));
     try (TestClient client = new TestClient(gatewayAddress)) {
--- a/src/test/java/quotagateway/server/ServeCommandTest.java
+++ b/src/test/java/quotagateway/server/ServeCommandTest.java
@@ -40,7 +40,10 @@
     assertEquals(file, rejectedKey(Map.of("GW_CONFIG", file)));
   }
 
-  /** The environment takes precedence over the file, so an invalid address in the environment must not be ignored. */
+  /**
+   * The environment takes precedence over the file, so an invalid address in the environment must
+   * not be ignored.
+   */
   @Test
   void reportsInvalidAdminAddressFromEnvironment() throws Exception {
     Path file = tempFolder.resolve("config.json");
--- a/src/test/java/quotagateway/server/StaleHangUpTest.java
+++ b/src/test/java/quotagateway/server/StaleHangUpTest.java
@@ -35,17 +35,23 @@
 import quotagateway.testing.TextStreams;
 
 /**
- * Epoll reports a hang-up by descriptor number. If one event of a batch closes connections and the next one opens a connection that reuses one of their numbers, the hang-ups still in the batch must not reach the new connection.
+ * Epoll reports a hang-up by descriptor number. If one event of a batch closes connections and the
+ * next one opens a connection that reuses one of their numbers, the hang-ups still in the batch
+ * must not reach the new connection.
  */
 @Timeout(60)
 class StaleHangUpTest {
 
   /**
-   * Number of connections closed at once. With a single one, a file that the JVM opens at the same time could take the only free number.
+   * Number of connections closed at once. With a single one, a file that the JVM opens at the same
+   * time could take the only free number.
    */
   private static final int CLOSED_CONNECTIONS = 8;
 
-  /** Larger than what is forwarded before a backend reads any of the body, and smaller than the kernel's buffers. */
+  /**
+   * Larger than what is forwarded before a backend reads any of the body, and smaller than the
+   * kernel's buffers.
+   */
   private static final int HALF_BODY_BYTES = 700_000;
 
   /** More turns of the event loop than it needs to read the bytes sent so far. */
@@ -87,7 +93,9 @@
   }
 
   /**
-   * While the event loop is blocked, these events arrive in order: bytes for a connection whose handler closes other connections, a client that reuses the descriptor number of one of those, and the hang-ups of the closed connections.
+   * While the event loop is blocked, these events arrive in order: bytes for a connection whose
+   * handler closes other connections, a client that reuses the descriptor number of one of those,
+   * and the hang-ups of the closed connections.
    */
   @Test
   void hangUpOfClosedConnectionDoesNotReachNewClientConnection() throws Exception {
@@ -111,7 +119,8 @@
     unblocked.countDown();
 
     client.send(
-        TestRequests.post("r1", "").replace("Length: 0", "Length: " + 2 * HALF_BODY_BYTES) + "x".repeat(HALF_BODY_BYTES));
+        TestRequests.post("r1", "").replace("Length: 0", "Length: " + 2 * HALF_BODY_BYTES)
+            + "x".repeat(HALF_BODY_BYTES));
     for (int turn = 0; turn < LOOP_TURNS; turn++) {
       gateway.loop.submit(() -> {}).sync();
     }
@@ -160,9 +169,16 @@
     return peers;
   }
 
-  /** Occupies the free lower numbers, so that the next descriptor reuses the number of a closed connection. */
+  /**
+   * Occupies the free lower numbers, so that the next descriptor reuses the number of a closed
+   * connection.
+   */
   private void occupyLowerNumbers() {
-    int highest = connectionsToClose.stream().mapToInt(channel -> channel.fd().intValue()).max().orElseThrow();
+    int highest =
+        connectionsToClose.stream()
+            .mapToInt(channel -> channel.fd().intValue())
+            .max()
+            .orElseThrow();
     do {
       placeholders.add(new EpollSocketChannel());
     } while (placeholders.get(placeholders.size() - 1).fd().intValue() < highest);
--- a/src/test/java/quotagateway/server/StalledClientTest.java
+++ b/src/test/java/quotagateway/server/StalledClientTest.java
@@ -52,7 +52,9 @@
   }
 
   /**
-   * To an HTTP/1.0 client, the end of the connection is the end of a response without a length. A response that the gateway abandons because the client stopped reading must not look like a complete one.
+   * To an HTTP/1.0 client, the end of the connection is the end of a response without a length. A
+   * response that the gateway abandons because the client stopped reading must not look like a
+   * complete one.
    */
   @Test
   void unreadResponseWithoutLengthEndsWithReset() throws Exception {
@@ -80,7 +82,9 @@
     }
   }
 
-  /** Returns once the backend has written some chunks and back pressure has blocked it for 100 ms. */
+  /**
+   * Returns once the backend has written some chunks and back pressure has blocked it for 100 ms.
+   */
   private void awaitBackPressure() throws InterruptedException {
     long previous;
     do {
@@ -95,7 +99,8 @@
             peers.config(EndpointListJson.entry("s-1", peers.backend.port(), "active")));
     MonotonicClock clock = new MonotonicClock(clockNanos::get);
     Lifecycle lifecycle = new Lifecycle(clock);
-    UpgradeCoordinator startedProcesses = new UpgradeCoordinator(sharedFolder, UpgradeCoordinator.STARTED);
+    UpgradeCoordinator startedProcesses =
+        new UpgradeCoordinator(sharedFolder, UpgradeCoordinator.STARTED);
     GatewayComponents components =
         loop.submit(() -> GatewayComponents.start(config, loop, clock, lifecycle, startedProcesses))
             .sync()
--- a/src/test/java/quotagateway/server/StartupCostTest.java
+++ b/src/test/java/quotagateway/server/StartupCostTest.java
@@ -21,7 +21,10 @@
 import quotagateway.testing.EndpointListJson;
 import quotagateway.testing.GatewayFixture;
 
-/** Tests the cost of a start with the JVM options of the deploy file, since a restarted gateway is unavailable until it serves. */
+/**
+ * Tests the cost of a start with the JVM options of the deploy file, since a restarted gateway is
+ * unavailable until it serves.
+ */
 @Timeout(60)
 class StartupCostTest {
 
@@ -37,7 +40,8 @@
   }
 
   /**
-   * Registering the events of Netty's buffers with Java Flight Recorder took 0.2 s of CPU time on one core.
+   * Registering the events of Netty's buffers with Java Flight Recorder took 0.2 s of CPU time on
+   * one core.
    */
   @Test
   void startRegistersNoFlightRecorderEvents() throws Exception {
@@ -58,7 +62,8 @@
   }
 
   /**
-   * By default javac compiles string concatenation to invokedynamic, whose code is generated at run time when each call site is first reached.
+   * By default javac compiles string concatenation to invokedynamic, whose code is generated at run
+   * time when each call site is first reached.
    */
   @Test
   void stringConcatenationDoesNotGenerateCodeAtRunTime() throws Exception {
@@ -70,13 +75,17 @@
   }
 
   /**
-   * If the warm-up made fewer calls than the compiler's threshold, compilation would be left to the first clients' requests.
+   * If the warm-up made fewer calls than the compiler's threshold, compilation would be left to the
+   * first clients' requests.
    */
   @Test
   void warmUpMakesTenTimesTheCallsOfTheCompilerThreshold() throws Exception {
-    String option =
-        options().stream().filter(option -> option.startsWith(THRESHOLD_OPTION)).findFirst().orElse(THRESHOLD_OPTION + 200);
-    int threshold = Integer.parseInt(option.substring(THRESHOLD_OPTION.length()));
+    String thresholdOption =
+        options().stream()
+            .filter(option -> option.startsWith(THRESHOLD_OPTION))
+            .findFirst()
+            .orElse(THRESHOLD_OPTION + 200);
+    int threshold = Integer.parseInt(thresholdOption.substring(THRESHOLD_OPTION.length()));
     assertTrue(10 * threshold <= WarmUp.REQUESTS, threshold + " calls of " + WarmUp.REQUESTS);
   }
 
--- a/src/test/java/quotagateway/server/StreamingTest.java
+++ b/src/test/java/quotagateway/server/StreamingTest.java
@@ -28,7 +28,10 @@
 import quotagateway.testing.TestRequests;
 import quotagateway.testing.TextStreams;
 
-/** Tests request bodies and responses that are too large to buffer, slow ones, and the syntax variants of HTTP/1.1. */
+/**
+ * Tests request bodies and responses that are too large to buffer, slow ones, and the syntax
+ * variants of HTTP/1.1.
+ */
 @Timeout(60)
 class StreamingTest {
 
@@ -100,7 +103,9 @@
   }
 
   /**
-   * The end of a body just over the buffer size arrives in the read after which reading pauses. Nothing then requests more of that body, and without a special case the connection would never be read again.
+   * The end of a body just over the buffer size arrives in the read after which reading pauses.
+   * Nothing then requests more of that body, and without a special case the connection would never
+   * be read again.
    */
   @Test
   void connectionIsStillReadAfterBodyJustOverBufferSize() throws Exception {
@@ -115,7 +120,9 @@
   }
 
   /**
-   * A client does not read its large response. Without back pressure the gateway would buffer all of it for as long as the client stalls; instead, the gateway stops reading from the backend until the client reads on.
+   * A client does not read its large response. Without back pressure the gateway would buffer all
+   * of it for as long as the client stalls; instead, the gateway stops reading from the backend
+   * until the client reads on.
    */
   @Test
   void responseIsReadNoFasterThanTheClientReadsIt() throws Exception {
@@ -139,14 +146,15 @@
         TimeUnit.MILLISECONDS.sleep(500)) {
       previous = written.get();
     }
-    assertTrue(written.get() < size / 2, "bytes written without a reading client:  " + written);
+    assertTrue(written.get() < size / 2, "bytes written without a reading client: " + written);
     assertEquals(size, client.receive().body().length);
     assertEquals(
         200, fixture.client().ask(TestRequests.get("r2", 3000).replace("r2", "next")).status());
   }
 
   /**
-   * A backend aborts a response of which the client has received a part. The client must be able to detect that the response is incomplete, and no second response may follow the first part.
+   * A backend aborts a response of which the client has received a part. The client must be able to
+   * detect that the response is incomplete, and no second response may follow the first part.
    */
   @Test
   void abortedStreamedResponseIsDetectablyIncompleteAndNotRetried() throws Exception {
@@ -160,12 +168,14 @@
           };
       assertThrows(IOException.class, () -> fixture.client().ask(TestRequests.get("r1", 3000)));
       TestQueues.next(fixture.backend.received);
-      assertNull(fixture.backend.received.poll(300, TimeUnit.MILLISECONDS), "no further attempt expected");
+      assertNull(
+          fixture.backend.received.poll(300, TimeUnit.MILLISECONDS), "no further attempt expected");
     }
   }
 
   /**
-   * The end of the connection is the end of a response if the backend announces it. A reset never ends a response: the part received before it must not be served.
+   * The end of the connection is the end of a response if the backend announces it. A reset never
+   * ends a response: the part received before it must not be served.
    */
   @Test
   void responseMayEndWithConnectionCloseButNotWithReset() throws Exception {
@@ -198,7 +208,11 @@
   }
 
   /**
-   * A response arrives in small pieces and takes longer in total than the stall limit for a single pause. Such a response is slow rather than broken: it is served, and no second attempt is made. On a busy machine the fake backend's thread can itself stall for longer than the limit, and the gateway may then abandon the response. StalledResponseTest checks the limit with a clock that the test advances.
+   * A response arrives in small pieces and takes longer in total than the stall limit for a single
+   * pause. Such a response is slow rather than broken: it is served, and no second attempt is made.
+   * On a busy machine the fake backend's thread can itself stall for longer than the limit, and the
+   * gateway may then abandon the response. StalledResponseTest checks the limit with a clock that
+   * the test advances.
    */
   @Test
   void slowResponsesAreServedByTheirFirstAttempt() throws Exception {
@@ -230,7 +244,9 @@
   }
 
   /**
-   * A backend closes the connection while a large request body is streamed to it. The gateway no longer has the streamed part, so only the client can send it again. The request was never executed, so it is rejected with a 503.
+   * A backend closes the connection while a large request body is streamed to it. The gateway no
+   * longer has the streamed part, so only the client can send it again. The request was never
+   * executed, so it is rejected with a 503.
    */
   @Test
   void streamedBodyIsNotRetried() throws Exception {
@@ -256,7 +272,8 @@
   }
 
   /**
-   * The first backend for a request with a large body refuses the connection. Nothing of the body has been streamed yet, so the request goes to another backend.
+   * The first backend for a request with a large body refuses the connection. Nothing of the body
+   * has been streamed yet, so the request goes to another backend.
    */
   @Test
   void largeBodyIsRetriedWhenConnectionIsRefused() throws Exception {
@@ -278,7 +295,8 @@
   }
 
   /**
-   * A client stops sending in the middle of a large body but stays connected. The client receives a 408, and no backend executes the request.
+   * A client stops sending in the middle of a large body but stays connected. The client receives a
+   * 408, and no backend executes the request.
    */
   @Test
   void stalledBodyIsRejectedWith408AndNotExecuted() throws Exception {
@@ -292,7 +310,8 @@
   }
 
   /**
-   * A client may send as slowly as 64 kB/s, no matter how long the body takes. The request timeout counts from the end of the body.
+   * A client may send as slowly as 64 kB/s, no matter how long the body takes. The request timeout
+   * counts from the end of the body.
    */
   @Test
   void slowBodyWithinTheMinimumRateIsServed() throws Exception {
@@ -339,7 +358,8 @@
     assertEquals("keep-alive", keepAliveResponse.header("Connection"));
     assertEquals(
         200,
-        keepAliveClient.ask(TestRequests.get("r3", 3000).replace("GET /", "GET http://backend.local/"))
+        keepAliveClient
+            .ask(TestRequests.get("r3", 3000).replace("GET /", "GET http://backend.local/"))
             .status());
     TestQueues.next(fixture.backend.received);
     TestQueues.next(fixture.backend.received);
@@ -385,7 +405,8 @@
   }
 
   /**
-   * To an HTTP/1.0 client, the end of the connection is the end of a response without a length, so an aborted response must not end like a complete one.
+   * To an HTTP/1.0 client, the end of the connection is the end of a response without a length, so
+   * an aborted response must not end like a complete one.
    */
   @Test
   void http10ClientDetectsAbortedStreamedResponse() throws Exception {
@@ -416,7 +437,9 @@
   }
 
   /**
-   * A client resets its connection in the middle of a streamed response. Before the event loop sees the reset, the rest of the response proves malformed. The client's socket is already closed, but the attempt must still end, or its request would be retained forever.
+   * A client resets its connection in the middle of a streamed response. Before the event loop sees
+   * the reset, the rest of the response proves malformed. The client's socket is already closed,
+   * but the attempt must still end, or its request would be retained forever.
    */
   @Test
   void attemptEndsWhenResponseBreaksJustAfterClientDisconnects() throws Exception {
--- a/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
+++ b/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
@@ -34,7 +34,9 @@
   }
 
   /**
-   * Some clients are connected to the old process when it receives SIGTERM, and others connect afterwards. All receive their responses, and the upstream load balancer never sees a gateway that is not ready.
+   * Some clients are connected to the old process when it receives SIGTERM, and others connect
+   * afterwards. All receive their responses, and the upstream load balancer never sees a gateway
+   * that is not ready.
    */
   @Test
   void oldProcessShutsDownWithoutRejectingRequests() throws Exception {
@@ -59,7 +61,8 @@
   }
 
   /**
-   * Without a second process, connections must still be accepted after SIGTERM until the upstream load balancer has noticed the shutdown, or they would be refused.
+   * Without a second process, connections must still be accepted after SIGTERM until the upstream
+   * load balancer has noticed the shutdown, or they would be refused.
    */
   @Test
   void singleProcessStillAcceptsConnectionsAfterShutdownHasBegun() throws Exception {
@@ -74,7 +77,8 @@
   }
 
   /**
-   * A process was killed, and its lock files remain. If they were mistaken for a running process, the next shutdown would refuse connections that no other process accepts.
+   * A process was killed, and its lock files remain. If they were mistaken for a running process,
+   * the next shutdown would refuse connections that no other process accepts.
    */
   @Test
   void lockFilesOfKilledProcessDoNotCountAsAProcess() throws Exception {
@@ -94,7 +98,8 @@
   }
 
   /**
-   * Two processes together stay within the limits of one. The remaining process gets all descriptors back.
+   * Two processes together stay within the limits of one. The remaining process gets all
+   * descriptors back.
    */
   @Test
   void twoProcessesShareTheDescriptorLimitOfOne() {
@@ -103,7 +108,8 @@
     int maxClientConnectionsAlone = budget.maxClientConnections();
     budget.shareWithOtherProcess(limits.connectionsDuringUpgrade());
     assertTrue(
-        budget.maxClientConnections() <= maxClientConnectionsAlone / 2, budget.maxClientConnections() + " of " + maxClientConnectionsAlone);
+        budget.maxClientConnections() <= maxClientConnectionsAlone / 2,
+        budget.maxClientConnections() + " of " + maxClientConnectionsAlone);
     assertTrue(2 * limits.connectionsDuringUpgrade() < 384);
     budget.shareWithOtherProcess(0);
     assertEquals(maxClientConnectionsAlone, budget.maxClientConnections());
--- a/src/test/java/quotagateway/server/WarmUpTest.java
+++ b/src/test/java/quotagateway/server/WarmUpTest.java
@@ -23,7 +23,8 @@
   }
 
   /**
-   * On a fraction of a core the same work takes longer. If it were cut off, the rest would be left to the first clients' requests.
+   * On a fraction of a core the same work takes longer. If it were cut off, the rest would be left
+   * to the first clients' requests.
    */
   @Test
   void timeLimitIsInverselyProportionalToTheShareOfACore() throws Exception {
@@ -36,7 +37,8 @@
   }
 
   /**
-   * Requests that are rejected early would not warm up the code, and requests that reach a peer would charge customers.
+   * Requests that are rejected early would not warm up the code, and requests that reach a peer
+   * would charge customers.
    */
   @Test
   void servesRequestsWithoutContactingPeers() throws Exception {
