--- a/src/test/java/quotagateway/counter/CounterClientTest.java
+++ b/src/test/java/quotagateway/counter/CounterClientTest.java
@@ -82,7 +82,7 @@
     add("a", -0.0000125);
     assertEquals("incr a -0.000013 4000", TestQueues.next(counter.calls));
     TestQueues.next(results);
-    counter.replies = line -> "busy";
+    counter.responder = line -> "busy";
     add("a", 1);
     assertEquals(Status.REJECTED, TestQueues.next(results).status());
   }
@@ -94,7 +94,7 @@
   @Test
   void slowReplyDoesNotDelayCallForAnotherCounterName() throws Exception {
     CountDownLatch replyAllowed = new CountDownLatch(1);
-    counter.replies =
+    counter.responder =
         line -> {
           if (line.contains("slow")) {
             TestLatches.await(replyAllowed);
@@ -117,7 +117,7 @@
   void lateReplyToTimedOutCallIsNotMatchedToAnotherCall() throws Exception {
     start(1_500);
     CountDownLatch replyAllowed = new CountDownLatch(1);
-    counter.replies =
+    counter.responder =
         line -> {
           if (line.contains(" 5 ")) {
             TestLatches.await(replyAllowed);
@@ -140,10 +140,10 @@
   @Test
   void malformedReplyFailsItsCallAndClosesTheConnection() throws Exception {
     start(5_000);
-    counter.replies = line -> "what?";
+    counter.responder = line -> "what?";
     add("a", 1);
     assertEquals(Status.MALFORMED_RESPONSE, TestQueues.next(results).status());
-    counter.replies = counter::count;
+    counter.responder = counter::count;
     add("b", 1);
     assertEquals(Status.OK, TestQueues.next(results).status());
   }
@@ -156,12 +156,12 @@
   @Test
   void replacesSilentConnections() throws Exception {
     start(50);
-    counter.replies = line -> null;
+    counter.responder = line -> null;
     for (int i = 0; i < 24; i++) {
       add("n" + i, 1);
       assertNotEquals(Status.OK, TestQueues.next(results).status());
     }
-    counter.replies = counter::count;
+    counter.responder = counter::count;
     do {
       add("recovered", 0);
     } while (TestQueues.next(results).status() != Status.OK);
@@ -175,7 +175,7 @@
   void reportsPendingRepliesOfOldAddressAfterAddressChange() throws Exception {
     start(5_000);
     CountDownLatch addressChanged = new CountDownLatch(1);
-    counter.replies =
+    counter.responder =
         line -> {
           TestLatches.await(addressChanged);
           return "ok 77";
@@ -204,7 +204,7 @@
         new ScriptedServer(50, CounterClientTest::replyWithoutLineEnd)) {
       changeAddress(malformedReplyServer.address());
       assertEquals(Status.MALFORMED_RESPONSE, callUntilFailure());
-      counter.replies = line -> "total?";
+      counter.responder = line -> "total?";
       changeAddress(counter.address());
       counter.calls.clear();
       Status status = Status.OK;
@@ -213,7 +213,7 @@
         status = TestQueues.next(results).status();
       }
       assertEquals(Status.MALFORMED_RESPONSE, status);
-      counter.replies = counter::count;
+      counter.responder = counter::count;
       do {
         add("c", 1);
       } while (TestQueues.next(results).status() != Status.OK);
--- a/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
+++ b/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
@@ -425,12 +425,12 @@
     TestClient client = fixture.client();
     client.send(TestRequests.get("h1", 1000).substring(0, 60));
     TestClient idleClient = fixture.client();
-    assertEquals(200, idleClient.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
+    assertEquals(200, idleClient.exchange("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status());
     Thread shutdownThread = new Thread(gateway::shutDownGracefully);
     shutdownThread.start();
-    assertTrue(idleClient.ended());
+    assertTrue(idleClient.isClosedByPeer());
     assertEquals(503, client.receive().status());
-    assertTrue(client.ended());
+    assertTrue(client.isClosedByPeer());
     shutdownThread.join(10_000);
     assertTrue(!shutdownThread.isAlive());
   }
@@ -457,6 +457,6 @@
         .sync();
     assertNotEquals(200, client.receive().status());
     assertEquals(503, client.receive().status());
-    assertTrue(client.ended());
+    assertTrue(client.isClosedByPeer());
   }
 }
--- a/src/test/java/quotagateway/policy/GatewayFleetTest.java
+++ b/src/test/java/quotagateway/policy/GatewayFleetTest.java
@@ -45,7 +45,8 @@
   private void createFleet(int gateways, int backends) {
     for (int i = 0; i < gateways; i++) {
       fleet.add(
-          new PolicyFixture(PolicyFixture.settings(true, gateways, false, i)).backends(backends));
+          new PolicyFixture(PolicyFixture.settings(true, gateways, false, i))
+              .updateBackends(backends));
     }
   }
 
@@ -368,13 +369,13 @@
 
   private int countUsedBackends(int gateways, int backends) {
     PolicyFixture gateway =
-        new PolicyFixture(PolicyFixture.settings(true, gateways, false)).backends(backends);
+        new PolicyFixture(PolicyFixture.settings(true, gateways, false)).updateBackends(backends);
     Set<Long> endpointIds = new HashSet<>();
     for (int i = 0; i < 400; i++) {
       gateway.runFor(25).request("safe", "free", 1);
-      if (gateway.did(StartAttempt.class)) {
-        endpointIds.add(gateway.only(StartAttempt.class).endpointId());
-        gateway.outcome(gateway.only(StartAttempt.class), 0, Status.OK, true);
+      if (gateway.hasAction(StartAttempt.class)) {
+        endpointIds.add(gateway.lastActionOfType(StartAttempt.class).endpointId());
+        gateway.endAttempt(gateway.lastActionOfType(StartAttempt.class), 0, Status.OK, true);
       }
     }
     return endpointIds.size();
@@ -387,20 +388,21 @@
   @Test
   void doesNotCancelOrRejectRequestsForOwnStall() {
     PolicyFixture gateway =
-        new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(12);
+        new PolicyFixture(PolicyFixture.settings(true, 300, false)).updateBackends(12);
     for (int round = 0; round < 10; round++) {
       gateway.runFor(25).request("safe", "free", 1);
-      StartAttempt start = gateway.only(StartAttempt.class);
+      StartAttempt start = gateway.lastActionOfType(StartAttempt.class);
       gateway.runFor(25);
-      gateway.pass(2000).on(new TimerFired(Timer.REQUEST_CHECK));
-      assertFalse(gateway.did(CancelAttempt.class), "the response may not have been read yet");
+      gateway.advanceClock(2000).on(new TimerFired(Timer.REQUEST_CHECK));
+      assertFalse(
+          gateway.hasAction(CancelAttempt.class), "the response may not have been read yet");
       gateway.on(
           new AttemptEnded(
               start.requestId(), 0, start.endpointId(), Status.OK, 2020, true, 0, null));
-      gateway.pass(1).on(new TimerFired(Timer.REQUEST_CHECK));
+      gateway.advanceClock(1).on(new TimerFired(Timer.REQUEST_CHECK));
     }
     gateway.request("safe", "free", 1);
-    assertTrue(gateway.did(StartAttempt.class));
+    assertTrue(gateway.hasAction(StartAttempt.class));
   }
 
   /**
@@ -410,18 +412,18 @@
   @Test
   void lostResponsesDoNotCountAsOverload() {
     PolicyFixture gateway =
-        new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(12);
+        new PolicyFixture(PolicyFixture.settings(true, 300, false)).updateBackends(12);
     for (int i = 0; i < 30; i++) {
       gateway.runFor(100).request("unsafe", "free", 1);
-      StartAttempt lost = gateway.only(StartAttempt.class);
+      StartAttempt lost = gateway.lastActionOfType(StartAttempt.class);
       gateway.runFor(100).request("safe", "free", 1);
-      gateway.outcome(gateway.only(StartAttempt.class), 0, Status.OK, true);
+      gateway.endAttempt(gateway.lastActionOfType(StartAttempt.class), 0, Status.OK, true);
       gateway.on(
           new AttemptEnded(
               lost.requestId(), 0, lost.endpointId(), Status.TIMED_OUT, 3900, false, 0, null));
     }
     gateway.runFor(50).request("safe", "free", 1);
-    assertTrue(gateway.did(StartAttempt.class));
+    assertTrue(gateway.hasAction(StartAttempt.class));
   }
 
   /**
@@ -433,7 +435,7 @@
     for (int gateways : new int[] {0, 1, 400}) {
       for (int gatewaysOfCustomer : new int[] {-1, 0, 1, 1000}) {
         PolicyFixture gateway =
-            new PolicyFixture(PolicyFixture.settings(true, gateways, false)).backends(1000);
+            new PolicyFixture(PolicyFixture.settings(true, gateways, false)).updateBackends(1000);
         int[] finalResponses = new int[1];
         assertDoesNotThrow(
             () -> {
@@ -448,13 +450,15 @@
                       gateway.now + 4000));
               for (int i = 0; i < 500; i++) {
                 finalResponses[0] +=
-                    gateway.did(RejectRequest.class) || gateway.did(FailRequest.class) ? 1 : 0;
-                if (gateway.did(StartAttempt.class)) {
+                    gateway.hasAction(RejectRequest.class) || gateway.hasAction(FailRequest.class)
+                        ? 1
+                        : 0;
+                if (gateway.hasAction(StartAttempt.class)) {
                   gateway.on(
                       new AttemptEnded(
                           "x",
                           0,
-                          gateway.only(StartAttempt.class).endpointId(),
+                          gateway.lastActionOfType(StartAttempt.class).endpointId(),
                           Status.OK,
                           1e9,
                           true,
@@ -481,16 +485,18 @@
    */
   @Test
   void treatsBackendThatRefusesConnectionsAsWarmingUp() {
-    PolicyFixture gateway = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(1);
+    PolicyFixture gateway =
+        new PolicyFixture(PolicyFixture.settings(true, 300, false)).updateBackends(1);
     gateway.request("safe", "free", 1);
-    gateway.outcome(gateway.only(StartAttempt.class), 0, Status.CONNECT_FAILED, false);
+    gateway.endAttempt(
+        gateway.lastActionOfType(StartAttempt.class), 0, Status.CONNECT_FAILED, false);
     gateway.runFor(9_000);
     int sent = 0;
     for (int i = 0; i < 40; i++) {
       gateway.runFor(25).request("safe", "free", 1);
-      if (gateway.did(StartAttempt.class)) {
+      if (gateway.hasAction(StartAttempt.class)) {
         sent++;
-        gateway.outcome(gateway.only(StartAttempt.class), 0, Status.OK, true);
+        gateway.endAttempt(gateway.lastActionOfType(StartAttempt.class), 0, Status.OK, true);
       }
     }
     assertTrue(sent < 20, sent + " of 40 requests forwarded immediately");
@@ -502,17 +508,18 @@
    */
   @Test
   void doesNotTreatBackendThatAnswersEarlierAttemptAsRestarted() {
-    PolicyFixture gateway = new PolicyFixture(PolicyFixture.settings(true, 2, false)).backends(1);
+    PolicyFixture gateway =
+        new PolicyFixture(PolicyFixture.settings(true, 2, false)).updateBackends(1);
     gateway.request("safe", "free", 1);
-    StartAttempt before = gateway.only(StartAttempt.class);
-    gateway.pass(10).request("safe", "free", 1);
-    StartAttempt failed = gateway.only(StartAttempt.class);
-    gateway.pass(10).outcome(failed, 0, Status.CONNECT_FAILED, true);
-    gateway.pass(10).outcome(before, 0, Status.OK, true);
+    StartAttempt before = gateway.lastActionOfType(StartAttempt.class);
+    gateway.advanceClock(10).request("safe", "free", 1);
+    StartAttempt failed = gateway.lastActionOfType(StartAttempt.class);
+    gateway.advanceClock(10).endAttempt(failed, 0, Status.CONNECT_FAILED, true);
+    gateway.advanceClock(10).endAttempt(before, 0, Status.OK, true);
     for (int i = 0; i < 40; i++) {
       gateway.runFor(25).request("safe", "free", 1);
-      assertTrue(gateway.did(StartAttempt.class), "not forwarded immediately: request " + i);
-      gateway.outcome(gateway.only(StartAttempt.class), 0, Status.OK, true);
+      assertTrue(gateway.hasAction(StartAttempt.class), "not forwarded immediately: request " + i);
+      gateway.endAttempt(gateway.lastActionOfType(StartAttempt.class), 0, Status.OK, true);
     }
   }
 
@@ -523,16 +530,16 @@
   @Test
   void avoidsUnreachableZoneAfterFewFailures() {
     PolicyFixture gateway =
-        new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
+        new PolicyFixture(PolicyFixture.settings(true, 300, false)).updateBackends(200);
     int matching = 0;
     int all = 0;
     for (int i = 0; i < 60; i++) {
       gateway.runFor(25).request("unsafe", "free", 1);
-      StartAttempt start = gateway.only(StartAttempt.class);
+      StartAttempt start = gateway.lastActionOfType(StartAttempt.class);
       boolean lost = start.endpointId() % 2 == 1;
       matching += i >= 20 && !lost ? 1 : 0;
       all += i >= 20 ? 1 : 0;
-      gateway.outcome(start, 0, lost ? Status.RESET : Status.OK, !lost);
+      gateway.endAttempt(start, 0, lost ? Status.RESET : Status.OK, !lost);
     }
     assertTrue(matching > 0.85 * all, matching + " of " + all + " requests to the reachable zone");
   }
@@ -541,16 +548,16 @@
   @Test
   void errorResponsesDoNotCountAgainstZone() {
     PolicyFixture gateway =
-        new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
+        new PolicyFixture(PolicyFixture.settings(true, 300, false)).updateBackends(200);
     int matching = 0;
     for (int i = 0; i < 60; i++) {
       gateway.runFor(4_000).request("unsafe", "free", 1);
-      StartAttempt failing = gateway.only(StartAttempt.class);
-      gateway.outcome(failing, 0, Status.ERROR, false);
+      StartAttempt failing = gateway.lastActionOfType(StartAttempt.class);
+      gateway.endAttempt(failing, 0, Status.ERROR, false);
       gateway.runFor(25).request("unsafe", "free", 1);
-      StartAttempt next = gateway.only(StartAttempt.class);
+      StartAttempt next = gateway.lastActionOfType(StartAttempt.class);
       matching += next.endpointId() % 2 == failing.endpointId() % 2 ? 1 : 0;
-      gateway.outcome(next, 0, Status.OK, true);
+      gateway.endAttempt(next, 0, Status.OK, true);
     }
     assertTrue(matching > 15, matching + " of 60 requests to the zone of the failing backend");
   }
@@ -559,20 +566,20 @@
   @Test
   void timeoutDoesNotCountAgainstZoneThatAnsweredSince() {
     PolicyFixture gateway =
-        new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
+        new PolicyFixture(PolicyFixture.settings(true, 300, false)).updateBackends(200);
     int matching = 0;
     for (int i = 0; i < 60; i++) {
       gateway.runFor(4_000).request("unsafe", "free", 1);
-      StartAttempt slow = gateway.only(StartAttempt.class);
+      StartAttempt slow = gateway.lastActionOfType(StartAttempt.class);
       for (int k = 0; k < 6; k++) {
         gateway.runFor(25).request("unsafe", "free", 1);
-        gateway.outcome(gateway.only(StartAttempt.class), 0, Status.OK, true);
+        gateway.endAttempt(gateway.lastActionOfType(StartAttempt.class), 0, Status.OK, true);
       }
-      gateway.runFor(2_000).outcome(slow, 0, Status.TIMED_OUT, false);
+      gateway.runFor(2_000).endAttempt(slow, 0, Status.TIMED_OUT, false);
       gateway.runFor(25).request("unsafe", "free", 1);
-      StartAttempt next = gateway.only(StartAttempt.class);
+      StartAttempt next = gateway.lastActionOfType(StartAttempt.class);
       matching += next.endpointId() % 2 == slow.endpointId() % 2 ? 1 : 0;
-      gateway.outcome(next, 0, Status.OK, true);
+      gateway.endAttempt(next, 0, Status.OK, true);
     }
     assertTrue(matching > 22, matching + " of 60 requests to the zone of the slow request");
   }
@@ -581,15 +588,15 @@
   @Test
   void usesZoneSoonAfterItIsReachableAgain() {
     PolicyFixture gateway =
-        new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(200);
+        new PolicyFixture(PolicyFixture.settings(true, 300, false)).updateBackends(200);
     int matching = 0;
     int all = 0;
     for (int i = 0; i < 200; i++) {
       gateway.runFor(300).request("unsafe", "free", 1);
-      StartAttempt start = gateway.only(StartAttempt.class);
+      StartAttempt start = gateway.lastActionOfType(StartAttempt.class);
       boolean odd = start.endpointId() % 2 == 1;
       boolean lost = odd && i % 40 < 20;
-      gateway.outcome(start, 0, lost ? Status.RESET : Status.OK, !lost);
+      gateway.endAttempt(start, 0, lost ? Status.RESET : Status.OK, !lost);
       matching += i % 40 >= 25 && odd ? 1 : 0;
       all += i % 40 >= 25 ? 1 : 0;
     }
@@ -607,22 +614,24 @@
    */
   @Test
   void restartedGatewayReadsUsedQuotaFromCounter() {
-    PolicyFixture gateway = PolicyFixture.counted();
+    PolicyFixture gateway = PolicyFixture.withCounterAndBackends();
     gateway.request("safe", "rate-limited", 4);
     gateway.counterReplies(4);
-    assertTrue(gateway.did(StartAttempt.class));
+    assertTrue(gateway.hasAction(StartAttempt.class));
     PolicyFixture again =
-        new PolicyFixture(PolicyFixture.settings(true, 2, false), gateway.now + 100).backends(4);
+        new PolicyFixture(PolicyFixture.settings(true, 2, false), gateway.now + 100)
+            .updateBackends(4);
     again.request("safe", "rate-limited", 4);
     again.counterReplies(200);
-    assertTrue(again.did(RejectRequest.class));
+    assertTrue(again.hasAction(RejectRequest.class));
   }
 
   @Test
   void requestGetsOneFinalResponseInTimeWithoutBackends() {
-    PolicyFixture gateway = new PolicyFixture(PolicyFixture.settings(true, 300, false)).backends(0);
+    PolicyFixture gateway =
+        new PolicyFixture(PolicyFixture.settings(true, 300, false)).updateBackends(0);
     gateway.request("safe", "free", 1);
-    assertFalse(gateway.did(StartAttempt.class));
+    assertFalse(gateway.hasAction(StartAttempt.class));
     gateway.runFor(3900);
     assertEquals(
         1,
--- a/src/test/java/quotagateway/policy/GatewayPolicyTest.java
+++ b/src/test/java/quotagateway/policy/GatewayPolicyTest.java
@@ -43,70 +43,71 @@
 
   @Test
   void forwardsRequestOnceCounterConfirmsItsEstimatedUnits() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("safe", "rate-limited", 3);
-    assertEquals(3, fixture.only(IncrementCounter.class).amount());
-    assertFalse(fixture.did(StartAttempt.class));
+    assertEquals(3, fixture.lastActionOfType(IncrementCounter.class).amount());
+    assertFalse(fixture.hasAction(StartAttempt.class));
     fixture.counterReplies(3);
-    assertTrue(fixture.did(StartAttempt.class));
+    assertTrue(fixture.hasAction(StartAttempt.class));
   }
 
   @Test
   void refundsUnitsOfRequestRejectedOverQuota() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("safe", "rate-limited", 3);
     fixture.counterReplies(200);
-    assertTrue(fixture.did(RejectRequest.class));
-    fixture.pass(500).request("safe", "rate-limited", 1);
+    assertTrue(fixture.hasAction(RejectRequest.class));
+    fixture.advanceClock(500).request("safe", "rate-limited", 1);
     assertEquals(
         -3,
-        fixture.only(IncrementCounter.class).amount(),
+        fixture.lastActionOfType(IncrementCounter.class).amount(),
         "the call only reads the counter and refunds the 3 rejected units");
   }
 
   @Test
   void settlesChargedUnitsWithNextCounterCall() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("safe", "rate-limited", 2);
-    StartAttempt start = fixture.counterReplies(2).only(StartAttempt.class);
+    StartAttempt start = fixture.counterReplies(2).lastActionOfType(StartAttempt.class);
     fixture.on(
         new AttemptEnded(start.requestId(), 0, start.endpointId(), Status.OK, 50, true, 4, null));
     fixture.request("safe", "rate-limited", 1);
-    assertEquals(1 + 2, fixture.only(IncrementCounter.class).amount());
+    assertEquals(1 + 2, fixture.lastActionOfType(IncrementCounter.class).amount());
   }
 
   @Test
   void rejectsExhaustedCustomerWithoutCounterCall() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("safe", "rate-limited", 3);
     fixture.counterReplies(200);
-    fixture.pass(10).request("safe", "rate-limited", 3);
-    assertTrue(fixture.did(RejectRequest.class));
-    assertFalse(fixture.did(IncrementCounter.class));
+    fixture.advanceClock(10).request("safe", "rate-limited", 3);
+    assertTrue(fixture.hasAction(RejectRequest.class));
+    assertFalse(fixture.hasAction(IncrementCounter.class));
   }
 
   @Test
   void rejectsSecondBurstWhenCounterWindowChanges() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     String first = null;
     int sent = 0;
     for (double total = 2; fixture.allActions.size() < 4000; total += 2) {
-      fixture.pass(50).request("safe", "rate-limited", 2);
-      if (!fixture.did(IncrementCounter.class)) {
+      fixture.advanceClock(50).request("safe", "rate-limited", 2);
+      if (!fixture.hasAction(IncrementCounter.class)) {
         continue;
       }
       String name = fixture.lastIncrement().counterName();
       if (first != null && !name.equals(first)) {
         fixture.counterReplies(fixture.lastIncrement().amount());
-        assertTrue(fixture.did(RejectRequest.class), "a new window must not grant a new burst");
+        assertTrue(
+            fixture.hasAction(RejectRequest.class), "a new window must not grant a new burst");
         return;
       }
       first = name;
       fixture.counterReplies(total);
-      sent += fixture.did(StartAttempt.class) ? 1 : 0;
-      if (fixture.did(StartAttempt.class)) {
-        StartAttempt start = fixture.only(StartAttempt.class);
-        fixture.outcome(start, 0, Status.OK, true);
+      sent += fixture.hasAction(StartAttempt.class) ? 1 : 0;
+      if (fixture.hasAction(StartAttempt.class)) {
+        StartAttempt start = fixture.lastActionOfType(StartAttempt.class);
+        fixture.endAttempt(start, 0, Status.OK, true);
       }
     }
     throw new AssertionError("counter window did not change; attempts sent: " + sent);
@@ -118,31 +119,31 @@
    */
   @Test
   void readsCounterAgainAfterConnectionReset() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("safe", "rate-limited", 3);
     fixture.counterCallFails(Status.RESET);
     assertEquals(
         0,
-        fixture.only(IncrementCounter.class).amount(),
+        fixture.lastActionOfType(IncrementCounter.class).amount(),
         "the amount may have been added, so the call only reads the counter");
-    assertFalse(fixture.did(StartAttempt.class));
+    assertFalse(fixture.hasAction(StartAttempt.class));
     fixture.counterReplies(0);
-    assertTrue(fixture.did(StartAttempt.class));
+    assertTrue(fixture.hasAction(StartAttempt.class));
     fixture.request("safe", "rate-limited", 1);
     assertEquals(
         1 + 3,
-        fixture.only(IncrementCounter.class).amount(),
+        fixture.lastActionOfType(IncrementCounter.class).amount(),
         "the total shows that the 3 units were not added");
   }
 
   @Test
   void doesNotRepeatIncrementAppliedBeforeConnectionReset() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("safe", "rate-limited", 3);
     fixture.counterCallFails(Status.RESET).counterReplies(3);
-    assertTrue(fixture.did(StartAttempt.class));
+    assertTrue(fixture.hasAction(StartAttempt.class));
     fixture.request("safe", "rate-limited", 1);
-    assertEquals(1, fixture.only(IncrementCounter.class).amount());
+    assertEquals(1, fixture.lastActionOfType(IncrementCounter.class).amount());
   }
 
   /**
@@ -151,13 +152,13 @@
    */
   @Test
   void doesNotThrottleCounterCallsAfterConnectionResets() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     for (int i = 0; i < 20; i++) {
-      fixture.pass(100).request("safe", "rate-limited-large", 1);
+      fixture.advanceClock(100).request("safe", "rate-limited-large", 1);
       assertTrue(
-          fixture.did(IncrementCounter.class), "request " + i + " does not call the counter");
+          fixture.hasAction(IncrementCounter.class), "request " + i + " does not call the counter");
       fixture.counterCallFails(Status.RESET).counterReplies(i);
-      fixture.outcome(fixture.only(StartAttempt.class), 0, Status.OK, true);
+      fixture.endAttempt(fixture.lastActionOfType(StartAttempt.class), 0, Status.OK, true);
     }
   }
 
@@ -167,35 +168,38 @@
    */
   @Test
   void cancelsAttemptWhenBackendAnswersAttemptSentLongAfterIt() {
-    PolicyFixture fixture = new PolicyFixture(PolicyFixture.settings(true, 2, false)).backends(1);
+    PolicyFixture fixture =
+        new PolicyFixture(PolicyFixture.settings(true, 2, false)).updateBackends(1);
     String lost = fixture.request("safe", "free", 1);
     fixture.runFor(500);
     fixture.request("safe", "free", 1);
-    fixture.outcome(fixture.only(StartAttempt.class), 0, Status.OK, true).runFor(200);
+    fixture
+        .endAttempt(fixture.lastActionOfType(StartAttempt.class), 0, Status.OK, true)
+        .runFor(200);
     assertFalse(
-        fixture.did(CancelAttempt.class),
+        fixture.hasAction(CancelAttempt.class),
         "the answered attempt was sent too soon after the first one to show a loss");
     fixture.request("safe", "free", 1);
-    fixture.outcome(fixture.only(StartAttempt.class), 0, Status.OK, true).runFor(25);
-    assertEquals(lost, fixture.only(CancelAttempt.class).requestId());
+    fixture.endAttempt(fixture.lastActionOfType(StartAttempt.class), 0, Status.OK, true).runFor(25);
+    assertEquals(lost, fixture.lastActionOfType(CancelAttempt.class).requestId());
   }
 
   @Test
   void forwardsWithoutCounterCallWhenPlanHasNoRate() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("safe", "free", 3);
-    assertTrue(fixture.did(StartAttempt.class));
-    assertFalse(fixture.did(IncrementCounter.class));
+    assertTrue(fixture.hasAction(StartAttempt.class));
+    assertFalse(fixture.hasAction(IncrementCounter.class));
   }
 
   @Test
   void splitsConcurrencyLimitAmongGateways() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("safe", "concurrency-limited", 1);
-    assertTrue(fixture.did(StartAttempt.class));
+    assertTrue(fixture.hasAction(StartAttempt.class));
     fixture.request("safe", "concurrency-limited", 1);
     assertTrue(
-        fixture.only(RejectRequest.class).retryAfterMs() > 0,
+        fixture.lastActionOfType(RejectRequest.class).retryAfterMs() > 0,
         "the client is advised to retry when an open request may have ended");
   }
 
@@ -205,37 +209,41 @@
    */
   @Test
   void releasesConcurrencyPermitHoweverRequestEnds() {
-    PolicyFixture fixture = new PolicyFixture(PolicyFixture.settings(true, 5, false)).backends(4);
+    PolicyFixture fixture =
+        new PolicyFixture(PolicyFixture.settings(true, 5, false)).updateBackends(4);
     requestWithPermit(fixture, "safe");
     fixture.counterReplies(2);
-    fixture.outcome(fixture.only(StartAttempt.class), 0, Status.OK, true);
-    assertEquals(-1, fixture.only(IncrementCounter.class).amount(), "request was served");
+    fixture.endAttempt(fixture.lastActionOfType(StartAttempt.class), 0, Status.OK, true);
+    assertEquals(
+        -1, fixture.lastActionOfType(IncrementCounter.class).amount(), "request was served");
     fixture.counterReplies(0);
     requestWithPermit(fixture, "unsafe");
     fixture.counterReplies(1);
-    fixture.outcome(fixture.only(StartAttempt.class), 0, Status.ERROR, false);
-    assertTrue(fixture.did(FailRequest.class));
-    assertEquals(-1, fixture.only(IncrementCounter.class).amount(), "request failed");
+    fixture.endAttempt(fixture.lastActionOfType(StartAttempt.class), 0, Status.ERROR, false);
+    assertTrue(fixture.hasAction(FailRequest.class));
+    assertEquals(-1, fixture.lastActionOfType(IncrementCounter.class).amount(), "request failed");
     fixture.counterReplies(0);
     requestWithPermit(fixture, "safe");
     fixture.counterReplies(3);
-    assertTrue(fixture.did(RejectRequest.class));
+    assertTrue(fixture.hasAction(RejectRequest.class));
     assertEquals(
         -1,
-        fixture.only(IncrementCounter.class).amount(),
+        fixture.lastActionOfType(IncrementCounter.class).amount(),
         "request was rejected because other requests hold all permits");
     fixture.counterReplies(0);
     String disconnected = requestWithPermit(fixture, "safe");
     fixture.on(new ClientDisconnected(disconnected));
     assertFalse(
-        fixture.did(IncrementCounter.class), "it is not known yet whether the permit was acquired");
+        fixture.hasAction(IncrementCounter.class),
+        "it is not known yet whether the permit was acquired");
     fixture.counterReplies(1);
-    assertEquals(-1, fixture.only(IncrementCounter.class).amount(), "client disconnected");
-    assertFalse(fixture.did(StartAttempt.class));
+    assertEquals(
+        -1, fixture.lastActionOfType(IncrementCounter.class).amount(), "client disconnected");
+    assertFalse(fixture.hasAction(StartAttempt.class));
     fixture.counterReplies(0);
     String disconnectedEarly = requestWithPermit(fixture, "safe");
     fixture.on(new ClientDisconnected(disconnectedEarly)).counterCallFails(Status.REJECTED);
-    assertFalse(fixture.did(IncrementCounter.class), "no permit was acquired");
+    assertFalse(fixture.hasAction(IncrementCounter.class), "no permit was acquired");
   }
 
   /**
@@ -244,19 +252,21 @@
    */
   @Test
   void grantsPermitToFirstRequestWhileCounterIsUnavailable() {
-    PolicyFixture fixture = new PolicyFixture(PolicyFixture.settings(true, 5, false)).backends(4);
+    PolicyFixture fixture =
+        new PolicyFixture(PolicyFixture.settings(true, 5, false)).updateBackends(4);
     requestWithPermit(fixture, "safe");
     fixture.counterCallFails(Status.REJECTED);
-    assertTrue(fixture.did(StartAttempt.class));
+    assertTrue(fixture.hasAction(StartAttempt.class));
     requestWithPermit(fixture, "safe");
     fixture.counterCallFails(Status.REJECTED);
-    assertTrue(fixture.did(RejectRequest.class), "this gateway's share of the limit is in use");
+    assertTrue(
+        fixture.hasAction(RejectRequest.class), "this gateway's share of the limit is in use");
   }
 
   private static String requestWithPermit(PolicyFixture fixture, String className) {
     String id = "with permit at " + fixture.now;
     fixture
-        .pass(1)
+        .advanceClock(1)
         .on(
             new RequestReceived(
                 id,
@@ -266,24 +276,26 @@
                 5,
                 1,
                 fixture.now + 4000));
-    assertEquals(1, fixture.only(IncrementCounter.class).amount());
-    assertFalse(fixture.did(StartAttempt.class));
+    assertEquals(1, fixture.lastActionOfType(IncrementCounter.class).amount());
+    assertFalse(fixture.hasAction(StartAttempt.class));
     return id;
   }
 
   @Test
   void splitsQuotaEvenlyWithoutCounter() {
-    PolicyFixture fixture = new PolicyFixture(PolicyFixture.settings(false, 2, false)).backends(4);
+    PolicyFixture fixture =
+        new PolicyFixture(PolicyFixture.settings(false, 2, false)).updateBackends(4);
     fixture.request("safe", "rate-limited", 4);
-    assertTrue(fixture.did(StartAttempt.class));
+    assertTrue(fixture.hasAction(StartAttempt.class));
     fixture.request("safe", "rate-limited", 4);
     assertTrue(
-        fixture.did(RejectRequest.class), "half of a burst of 10 covers one request of 4 units");
+        fixture.hasAction(RejectRequest.class),
+        "half of a burst of 10 covers one request of 4 units");
   }
 
   @Test
   void requestOfUnknownPlanAndClassGetsOneFinalResponse() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.on(
         new RequestReceived(
             "x",
@@ -293,37 +305,38 @@
             2,
             1,
             fixture.now + 4000));
-    StartAttempt start = fixture.counterReplies(1).only(StartAttempt.class);
-    fixture.outcome(start, 0, Status.ERROR, false);
+    StartAttempt start = fixture.counterReplies(1).lastActionOfType(StartAttempt.class);
+    fixture.endAttempt(start, 0, Status.ERROR, false);
     assertTrue(
-        fixture.did(FailRequest.class), "a request of an unknown class must not be executed twice");
+        fixture.hasAction(FailRequest.class),
+        "a request of an unknown class must not be executed twice");
   }
 
   // Quota with a failing counter
 
   @Test
   void decidesByReplicaWhenCounterCallTimesOut() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("safe", "rate-limited", 3);
     fixture.counterCallFails(Status.TIMED_OUT);
-    assertTrue(fixture.did(StartAttempt.class));
+    assertTrue(fixture.hasAction(StartAttempt.class));
   }
 
   @Test
   void forwardsRequestAfterMaximumWaitForSilentCounter() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("safe", "rate-limited", 3);
     fixture.runFor(100);
-    assertTrue(fixture.did(StartAttempt.class));
+    assertTrue(fixture.hasAction(StartAttempt.class));
   }
 
   @Test
   void probesUnreachableCounterRarelyAndResumesCallsAfterRecovery() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     int calls = 0;
     for (int i = 0; i < 200; i++) {
       fixture
-          .pass(20)
+          .advanceClock(20)
           .on(
               new RequestReceived(
                   "q" + i,
@@ -333,7 +346,7 @@
                   2,
                   1,
                   fixture.now + 4000));
-      if (fixture.did(IncrementCounter.class)) {
+      if (fixture.hasAction(IncrementCounter.class)) {
         calls++;
         fixture.counterCallFails(Status.CONNECT_FAILED);
       }
@@ -342,7 +355,7 @@
     int answered = 0;
     for (int i = 0; i < 200; i++) {
       fixture
-          .pass(20)
+          .advanceClock(20)
           .on(
               new RequestReceived(
                   "p" + i,
@@ -352,7 +365,7 @@
                   2,
                   1,
                   fixture.now + 4000));
-      if (fixture.did(IncrementCounter.class)) {
+      if (fixture.hasAction(IncrementCounter.class)) {
         answered++;
         fixture.counterReplies(1);
       }
@@ -362,17 +375,17 @@
 
   @Test
   void addsUnitsOfRejectedCounterCallToNextCall() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("safe", "rate-limited", 3);
     fixture.counterCallFails(Status.REJECTED);
-    assertTrue(fixture.did(StartAttempt.class));
+    assertTrue(fixture.hasAction(StartAttempt.class));
     fixture.request("safe", "rate-limited", 1);
-    assertEquals(4, fixture.only(IncrementCounter.class).amount());
+    assertEquals(4, fixture.lastActionOfType(IncrementCounter.class).amount());
   }
 
   @Test
   void derivesFromNextTotalWhetherTimedOutCallWasApplied() {
-    PolicyFixture added = PolicyFixture.counted();
+    PolicyFixture added = PolicyFixture.withCounterAndBackends();
     added.request("safe", "rate-limited", 1);
     added.counterReplies(1);
     added.request("safe", "rate-limited", 3);
@@ -380,9 +393,9 @@
     added.request("safe", "rate-limited", 1);
     added.counterReplies(5);
     added.request("safe", "rate-limited", 1);
-    assertEquals(1, added.only(IncrementCounter.class).amount());
+    assertEquals(1, added.lastActionOfType(IncrementCounter.class).amount());
 
-    PolicyFixture lost = PolicyFixture.counted();
+    PolicyFixture lost = PolicyFixture.withCounterAndBackends();
     lost.request("safe", "rate-limited", 1);
     lost.counterReplies(1);
     lost.request("safe", "rate-limited", 3);
@@ -390,30 +403,30 @@
     lost.request("safe", "rate-limited", 1);
     lost.counterReplies(2);
     lost.request("safe", "rate-limited", 1);
-    assertEquals(1 + 3, lost.only(IncrementCounter.class).amount());
+    assertEquals(1 + 3, lost.lastActionOfType(IncrementCounter.class).amount());
   }
 
   @Test
   void doesNotGrantFreshQuotaWhenCounterIsEmptied() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("safe", "rate-limited", 1);
     fixture.counterReplies(200);
-    fixture.pass(500).request("safe", "rate-limited", 1);
+    fixture.advanceClock(500).request("safe", "rate-limited", 1);
     fixture.counterReplies(fixture.lastIncrement().amount());
-    assertTrue(fixture.did(RejectRequest.class));
+    assertTrue(fixture.hasAction(RejectRequest.class));
   }
 
   @Test
   void doesNotForwardRequestWhoseClientDisconnectsDuringCounterWait() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     String id = fixture.request("safe", "rate-limited", 1);
     fixture.on(new ClientDisconnected(id));
     fixture.counterReplies(1);
-    assertFalse(fixture.did(StartAttempt.class));
+    assertFalse(fixture.hasAction(StartAttempt.class));
     fixture.request("safe", "rate-limited", 2);
     assertEquals(
         2 - 1,
-        fixture.only(IncrementCounter.class).amount(),
+        fixture.lastActionOfType(IncrementCounter.class).amount(),
         "the units of the disconnected request are refunded");
   }
 
@@ -421,88 +434,90 @@
 
   @Test
   void failsNonIdempotentRequestThatMayHaveExecuted() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("unsafe", "free", 1);
-    StartAttempt start = fixture.only(StartAttempt.class);
-    fixture.outcome(start, 0, Status.RESET, false);
-    assertTrue(fixture.did(FailRequest.class));
-    assertFalse(fixture.did(StartAttempt.class));
+    StartAttempt start = fixture.lastActionOfType(StartAttempt.class);
+    fixture.endAttempt(start, 0, Status.RESET, false);
+    assertTrue(fixture.hasAction(FailRequest.class));
+    assertFalse(fixture.hasAction(StartAttempt.class));
   }
 
   @Test
   void retriesNonIdempotentRequestElsewhereWhenNotExecuted() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("unsafe", "free", 1);
-    StartAttempt start = fixture.only(StartAttempt.class);
-    fixture.outcome(start, 0, Status.CONNECT_FAILED, false);
-    assertNotEquals(start.endpointId(), fixture.only(StartAttempt.class).endpointId());
+    StartAttempt start = fixture.lastActionOfType(StartAttempt.class);
+    fixture.endAttempt(start, 0, Status.CONNECT_FAILED, false);
+    assertNotEquals(start.endpointId(), fixture.lastActionOfType(StartAttempt.class).endpointId());
   }
 
   @Test
   void retryAfterPossibleExecutionMustStartWithinDeduplicationWindow() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("zone", "free", 1);
-    StartAttempt first = fixture.only(StartAttempt.class);
+    StartAttempt first = fixture.lastActionOfType(StartAttempt.class);
     assertEquals(Double.POSITIVE_INFINITY, first.maxStartDelayMs());
-    fixture.pass(500).outcome(first, 0, Status.CONNECT_FAILED, false);
-    StartAttempt second = fixture.only(StartAttempt.class);
+    fixture.advanceClock(500).endAttempt(first, 0, Status.CONNECT_FAILED, false);
+    StartAttempt second = fixture.lastActionOfType(StartAttempt.class);
     assertEquals(
         Double.POSITIVE_INFINITY,
         second.maxStartDelayMs(),
         "the first attempt cannot have been executed");
-    fixture.pass(2000).outcome(second, 1, Status.ERROR, false);
+    fixture.advanceClock(2000).endAttempt(second, 1, Status.ERROR, false);
     double remainingMs = 3000 - 2000;
     assertTrue(
-        fixture.only(StartAttempt.class).maxStartDelayMs() > remainingMs - 50
-            && fixture.only(StartAttempt.class).maxStartDelayMs() < remainingMs);
+        fixture.lastActionOfType(StartAttempt.class).maxStartDelayMs() > remainingMs - 50
+            && fixture.lastActionOfType(StartAttempt.class).maxStartDelayMs() < remainingMs);
   }
 
   @Test
   void retriesKeyedRequestOnlyWithinDeduplicationScopeAndWindow() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("cell", "free", 1);
-    StartAttempt start = fixture.only(StartAttempt.class);
-    fixture.outcome(start, 0, Status.ERROR, false);
-    if (fixture.did(StartAttempt.class)) {
+    StartAttempt start = fixture.lastActionOfType(StartAttempt.class);
+    fixture.endAttempt(start, 0, Status.ERROR, false);
+    if (fixture.hasAction(StartAttempt.class)) {
       assertEquals(
           start.endpointId(),
-          fixture.only(StartAttempt.class).endpointId(),
+          fixture.lastActionOfType(StartAttempt.class).endpointId(),
           "the cell has only this backend");
     }
     fixture.request("zone", "free", 1);
-    StartAttempt zoneStart = fixture.only(StartAttempt.class);
-    fixture.outcome(zoneStart, 0, Status.ERROR, false);
-    assertEquals(zoneStart.endpointId() % 2, fixture.only(StartAttempt.class).endpointId() % 2);
-    StartAttempt again = fixture.only(StartAttempt.class);
-    fixture.pass(3500).outcome(again, 1, Status.ERROR, false);
-    assertFalse(fixture.did(StartAttempt.class), "the deduplication window has ended");
+    StartAttempt zoneStart = fixture.lastActionOfType(StartAttempt.class);
+    fixture.endAttempt(zoneStart, 0, Status.ERROR, false);
+    assertEquals(
+        zoneStart.endpointId() % 2, fixture.lastActionOfType(StartAttempt.class).endpointId() % 2);
+    StartAttempt again = fixture.lastActionOfType(StartAttempt.class);
+    fixture.advanceClock(3500).endAttempt(again, 1, Status.ERROR, false);
+    assertFalse(fixture.hasAction(StartAttempt.class), "the deduplication window has ended");
     assertTrue(
-        fixture.did(FailRequest.class), "a rejection would wrongly promise that a retry is safe");
+        fixture.hasAction(FailRequest.class),
+        "a rejection would wrongly promise that a retry is safe");
   }
 
   @Test
   void rejectsRequestBeforeItsDeadlineWhenNoBackendIsKnown() {
     PolicyFixture fixture = new PolicyFixture(PolicyFixture.settings(true, 2, false));
     fixture.request("safe", "free", 1);
-    assertFalse(fixture.did(StartAttempt.class), "no backend is known");
+    assertFalse(fixture.hasAction(StartAttempt.class), "no backend is known");
     fixture.runFor(1000);
-    assertTrue(fixture.did(RejectRequest.class));
+    assertTrue(fixture.hasAction(RejectRequest.class));
     fixture.on(
         new RequestReceived(
             "short", PolicyFixture.requestClass("safe"), "free", 1, 2, 1, fixture.now + 5));
-    assertTrue(fixture.did(RejectRequest.class), "the deadline is before the next check");
+    assertTrue(fixture.hasAction(RejectRequest.class), "the deadline is before the next check");
   }
 
   @Test
   void attemptTimesOutBeforeClientDeadline() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("safe", "free", 1);
-    assertTrue(fixture.only(StartAttempt.class).timeoutMs() < 4000);
+    assertTrue(fixture.lastActionOfType(StartAttempt.class).timeoutMs() < 4000);
   }
 
   @Test
   void doesNotCancelStreamedResponseInProgress() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     String id = fixture.request("stream", "free", 1);
     fixture.on(new ResponseStarted(id, 0)).runFor(6000);
     assertTrue(fixture.lastActions.isEmpty(), fixture.lastActions.toString());
@@ -510,13 +525,14 @@
 
   @Test
   void cancelsAttemptAtSilentBackendAndRetriesElsewhere() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("safe", "free", 1);
-    StartAttempt start = fixture.only(StartAttempt.class);
+    StartAttempt start = fixture.lastActionOfType(StartAttempt.class);
     fixture.runFor(700);
-    assertEquals(new CancelAttempt(start.requestId(), 0), fixture.only(CancelAttempt.class));
-    fixture.outcome(start, 0, Status.CANCELLED, false);
-    assertNotEquals(start.endpointId(), fixture.only(StartAttempt.class).endpointId());
+    assertEquals(
+        new CancelAttempt(start.requestId(), 0), fixture.lastActionOfType(CancelAttempt.class));
+    fixture.endAttempt(start, 0, Status.CANCELLED, false);
+    assertNotEquals(start.endpointId(), fixture.lastActionOfType(StartAttempt.class).endpointId());
   }
 
   /**
@@ -525,7 +541,7 @@
    */
   @Test
   void handlesEveryEventType() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     List<Event> events =
         List.of(
             new RequestReceived(
@@ -548,7 +564,7 @@
 
   @Test
   void ignoresEventsForUnknownRequestsAndCounters() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.on(new AttemptEnded("nobody", 0, 1, Status.OK, 5, true, 0, null));
     fixture.on(new CounterReplied("nothing", Status.OK, 5, 1));
     fixture.on(new ClientDisconnected("nobody"));
@@ -560,7 +576,7 @@
 
   @Test
   void sendsNoNewAttemptsToDrainingOrRemovedBackends() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.on(
         new EndpointsUpdated(
             EndpointListForm.DELTA,
@@ -570,16 +586,16 @@
     Set<Long> usedBackends = new HashSet<>();
     for (int i = 0; i < 400; i++) {
       fixture.runFor(25).request("safe", "free", 1);
-      StartAttempt start = fixture.only(StartAttempt.class);
+      StartAttempt start = fixture.lastActionOfType(StartAttempt.class);
       usedBackends.add(start.endpointId());
-      fixture.outcome(start, 0, Status.OK, true);
+      fixture.endAttempt(start, 0, Status.OK, true);
     }
     assertEquals(Set.of(2L, 3L), usedBackends);
   }
 
   @Test
   void limitsTrafficToBackendThatIsWarmingUp() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.on(
         new EndpointsUpdated(
             EndpointListForm.DELTA,
@@ -588,11 +604,11 @@
     int allAttempts = 0;
     for (int i = 0; i < 200; i++) {
       fixture.runFor(25).request("safe", "free", 1);
-      if (fixture.did(StartAttempt.class)) {
-        StartAttempt start = fixture.only(StartAttempt.class);
+      if (fixture.hasAction(StartAttempt.class)) {
+        StartAttempt start = fixture.lastActionOfType(StartAttempt.class);
         warmingUpAttempts += start.endpointId() == 0 ? 1 : 0;
         allAttempts++;
-        fixture.outcome(start, 0, Status.OK, true);
+        fixture.endAttempt(start, 0, Status.OK, true);
       }
     }
     assertTrue(warmingUpAttempts > 0, "the backend is never used");
@@ -606,7 +622,7 @@
 
   @Test
   void ejectsBackendThatFailsFastAndProbesItLater() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     int attemptsAtFailingBackend = failAttemptsAtFirstBackend(fixture, 100);
     assertTrue(
         attemptsAtFailingBackend < 20,
@@ -614,9 +630,9 @@
     for (int i = 0, probes = 0; probes == 0; i++) {
       assertTrue(i < 2000, "the backend is never probed");
       fixture.runFor(25).request("safe", "free", 1);
-      StartAttempt start = fixture.only(StartAttempt.class);
+      StartAttempt start = fixture.lastActionOfType(StartAttempt.class);
       probes += start.endpointId() == 0 ? 1 : 0;
-      fixture.outcome(start, 0, Status.OK, true);
+      fixture.endAttempt(start, 0, Status.OK, true);
     }
   }
 
@@ -624,17 +640,17 @@
     int failing = 0;
     for (int i = 0; i < requests; i++) {
       fixture.runFor(25).request("safe", "free", 1);
-      StartAttempt start = fixture.only(StartAttempt.class);
+      StartAttempt start = fixture.lastActionOfType(StartAttempt.class);
       int attempt = 0;
       while (start.endpointId() == 0) {
         failing++;
-        fixture.outcome(start, attempt++, Status.ERROR, false);
-        if (!fixture.did(StartAttempt.class)) {
+        fixture.endAttempt(start, attempt++, Status.ERROR, false);
+        if (!fixture.hasAction(StartAttempt.class)) {
           break;
         }
-        start = fixture.only(StartAttempt.class);
+        start = fixture.lastActionOfType(StartAttempt.class);
       }
-      fixture.outcome(start, attempt, Status.OK, true);
+      fixture.endAttempt(start, attempt, Status.OK, true);
     }
     return failing;
   }
@@ -645,18 +661,18 @@
    */
   @Test
   void usesBackendAgainAfterOldReportOfHighLoad() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("safe", "free", 1);
-    StartAttempt busy = fixture.only(StartAttempt.class);
+    StartAttempt busy = fixture.lastActionOfType(StartAttempt.class);
     fixture.succeedWithLoad(busy, 0, 30);
     for (int i = 1; i < 4; i++) {
       fixture.request("safe", "free", 1);
-      fixture.succeedWithLoad(fixture.only(StartAttempt.class), 0, 0);
+      fixture.succeedWithLoad(fixture.lastActionOfType(StartAttempt.class), 0, 0);
     }
     Set<Long> usedBackends = new HashSet<>();
     for (int i = 0; i < 200; i++) {
       fixture.runFor(25).request("safe", "free", 1);
-      StartAttempt start = fixture.only(StartAttempt.class);
+      StartAttempt start = fixture.lastActionOfType(StartAttempt.class);
       usedBackends.add(start.endpointId());
       fixture.succeedWithLoad(start, 0, 1);
     }
@@ -665,18 +681,18 @@
 
   @Test
   void rejectsRequestWhenBackendsAreOverloaded() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     for (int i = 0; i < 60; i++) {
       fixture.request("safe", "free", 1);
-      if (i >= 30 && fixture.did(StartAttempt.class)) {
-        StartAttempt start = fixture.only(StartAttempt.class);
+      if (i >= 30 && fixture.hasAction(StartAttempt.class)) {
+        StartAttempt start = fixture.lastActionOfType(StartAttempt.class);
         fixture.on(
             new AttemptEnded(
                 start.requestId(), 0, start.endpointId(), Status.OK, 900, true, 0, null));
       }
     }
     fixture.request("safe", "free", 1);
-    assertTrue(fixture.did(RejectRequest.class));
+    assertTrue(fixture.hasAction(RejectRequest.class));
   }
 
   /**
@@ -687,12 +703,12 @@
   void admitsAsManyOpenRequestsAsSettingsAllow() {
     PolicyFixture fixture =
         new PolicyFixture(withMaxOpen(PolicyFixture.settings(true, 2, false), 2));
-    fixture.backends(4);
+    fixture.updateBackends(4);
     fixture.request("safe", "free", 1);
     fixture.request("safe", "free", 1);
-    assertTrue(fixture.did(StartAttempt.class), "second request with a limit of 2");
+    assertTrue(fixture.hasAction(StartAttempt.class), "second request with a limit of 2");
     fixture.request("safe", "free", 1);
-    assertTrue(fixture.did(RejectRequest.class), "third request with a limit of 2");
+    assertTrue(fixture.hasAction(RejectRequest.class), "third request with a limit of 2");
   }
 
   private static PolicySettings withMaxOpen(PolicySettings settings, int maxOpenRequests) {
@@ -703,10 +719,10 @@
   @Test
   void watchesPolledEndpointListAgainAfterFailure() {
     PolicyFixture fixture = new PolicyFixture(PolicyFixture.settings(true, 2, true));
-    assertTrue(fixture.did(WatchEndpoints.class));
+    assertTrue(fixture.hasAction(WatchEndpoints.class));
     fixture.on(new EndpointsUpdated(EndpointListForm.FAILED, List.of()));
     fixture.on(new TimerFired(Timer.ENDPOINT_WATCH));
-    assertTrue(fixture.did(WatchEndpoints.class));
+    assertTrue(fixture.hasAction(WatchEndpoints.class));
   }
 
   private static PolicySettings withChanges(
@@ -759,19 +775,20 @@
   /** Open requests use the settings under which they were received, later ones the new settings. */
   @Test
   void openRequestsKeepTheirRequestClassWhenSettingsChange() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("safe", "free", 1);
-    StartAttempt open = fixture.only(StartAttempt.class);
+    StartAttempt open = fixture.lastActionOfType(StartAttempt.class);
     PolicySettings notIdempotent =
         withChanges(PolicyFixture.settings(true, 2, false), Idempotency.NOT_IDEMPOTENT, 4);
     fixture.on(new SettingsChanged(notIdempotent));
-    fixture.outcome(open, 0, Status.RESET, false);
-    assertTrue(fixture.did(StartAttempt.class), "a retry is allowed for the open request");
+    fixture.endAttempt(open, 0, Status.RESET, false);
+    assertTrue(fixture.hasAction(StartAttempt.class), "a retry is allowed for the open request");
     fixture.on(
         new RequestReceived(
             "late", notIdempotent.requestClasses().get(0), "free", 42, 2, 1, fixture.now + 4000));
-    fixture.outcome(fixture.only(StartAttempt.class), 0, Status.RESET, false);
-    assertTrue(fixture.did(FailRequest.class), "a retry is not allowed for the later request");
+    fixture.endAttempt(fixture.lastActionOfType(StartAttempt.class), 0, Status.RESET, false);
+    assertTrue(
+        fixture.hasAction(FailRequest.class), "a retry is not allowed for the later request");
   }
 
   /**
@@ -781,18 +798,19 @@
   @Test
   void limitsAttemptsToLowerOfOldAndNewSettings() {
     for (int newMaxAttempts : new int[] {1, 9}) {
-      PolicyFixture fixture = PolicyFixture.counted();
+      PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
       fixture.request("safe", "free", 1);
-      StartAttempt open = fixture.only(StartAttempt.class);
+      StartAttempt open = fixture.lastActionOfType(StartAttempt.class);
       fixture.on(
           new SettingsChanged(
               withChanges(
                   PolicyFixture.settings(true, 2, false), Idempotency.IDEMPOTENT, newMaxAttempts)));
       int attempts = 1;
-      for (fixture.outcome(open, 0, Status.NOT_SENT, false);
-          fixture.did(StartAttempt.class);
+      for (fixture.endAttempt(open, 0, Status.NOT_SENT, false);
+          fixture.hasAction(StartAttempt.class);
           attempts++) {
-        fixture.outcome(fixture.only(StartAttempt.class), attempts, Status.NOT_SENT, false);
+        fixture.endAttempt(
+            fixture.lastActionOfType(StartAttempt.class), attempts, Status.NOT_SENT, false);
       }
       assertEquals(Math.min(4, newMaxAttempts), attempts);
     }
@@ -801,16 +819,16 @@
   /** New settings must not grant a fresh quota to a customer that has used up its quota. */
   @Test
   void keepsChargedUnitsWhenSettingsChange() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.request("safe", "rate-limited", 4);
     fixture.counterReplies(200);
-    assertTrue(fixture.did(RejectRequest.class));
+    assertTrue(fixture.hasAction(RejectRequest.class));
     fixture.on(
         new SettingsChanged(
             withChanges(PolicyFixture.settings(true, 2, false), Idempotency.IDEMPOTENT, 3)));
     fixture.request("safe", "rate-limited", 4);
     assertTrue(
-        fixture.did(RejectRequest.class),
+        fixture.hasAction(RejectRequest.class),
         "the customer is still exhausted, without another counter call");
   }
 
@@ -820,7 +838,7 @@
    */
   @Test
   void countsForwardedRequestAsInFlightOnceItsBodyIsComplete() {
-    PolicyFixture fixture = PolicyFixture.counted();
+    PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
     fixture.on(
         new RequestReceived(
             "large",
@@ -830,17 +848,17 @@
             2,
             1,
             Double.POSITIVE_INFINITY));
-    StartAttempt large = fixture.only(StartAttempt.class);
+    StartAttempt large = fixture.lastActionOfType(StartAttempt.class);
     fixture.request("safe", "concurrency-limited", 1);
-    fixture.outcome(fixture.only(StartAttempt.class), 0, Status.OK, true);
+    fixture.endAttempt(fixture.lastActionOfType(StartAttempt.class), 0, Status.OK, true);
     fixture.on(new RequestBodyComplete("large", fixture.now + 4000));
     fixture.request("safe", "concurrency-limited", 1);
     assertTrue(
-        fixture.did(RejectRequest.class),
+        fixture.hasAction(RejectRequest.class),
         "one request is in flight, which is this gateway's share of the limit");
-    fixture.outcome(large, 0, Status.OK, true);
+    fixture.endAttempt(large, 0, Status.OK, true);
     fixture.request("safe", "concurrency-limited", 1);
-    assertTrue(fixture.did(StartAttempt.class));
+    assertTrue(fixture.hasAction(StartAttempt.class));
   }
 
   /**
@@ -850,7 +868,7 @@
   @Test
   void doesNotRetryAfterBodyWasPartlyForwarded() {
     for (Status status : new Status[] {Status.CONNECT_FAILED, Status.WRITE_INCOMPLETE}) {
-      PolicyFixture fixture = PolicyFixture.counted();
+      PolicyFixture fixture = PolicyFixture.withCounterAndBackends();
       fixture.on(
           new RequestReceived(
               "large",
@@ -860,9 +878,9 @@
               2,
               1,
               Double.POSITIVE_INFINITY));
-      fixture.outcome(fixture.only(StartAttempt.class), 0, status, false);
-      assertEquals(status == Status.CONNECT_FAILED, fixture.did(StartAttempt.class));
-      assertEquals(status == Status.WRITE_INCOMPLETE, fixture.did(RejectRequest.class));
+      fixture.endAttempt(fixture.lastActionOfType(StartAttempt.class), 0, status, false);
+      assertEquals(status == Status.CONNECT_FAILED, fixture.hasAction(StartAttempt.class));
+      assertEquals(status == Status.WRITE_INCOMPLETE, fixture.hasAction(RejectRequest.class));
     }
   }
 }
--- a/src/test/java/quotagateway/policy/HardLimitFleetTest.java
+++ b/src/test/java/quotagateway/policy/HardLimitFleetTest.java
@@ -50,7 +50,7 @@
       int index = random.nextInt(2);
       if (gateways[index] == null || random.nextDouble() < 0.001) {
         gateways[index] = new PolicyFixture(PolicyFixture.settings(true, 2, false), now);
-        gateways[index].backends(4);
+        gateways[index].updateBackends(4);
       }
       if (random.nextDouble() < 0.002) {
         counters.clear();
--- a/src/test/java/quotagateway/policy/PolicyFixture.java
+++ b/src/test/java/quotagateway/policy/PolicyFixture.java
@@ -133,11 +133,11 @@
         .orElse(null);
   }
 
-  public static PolicyFixture counted() {
-    return new PolicyFixture(settings(true, 2, false)).backends(4);
+  public static PolicyFixture withCounterAndBackends() {
+    return new PolicyFixture(settings(true, 2, false)).updateBackends(4);
   }
 
-  public PolicyFixture backends(int count) {
+  public PolicyFixture updateBackends(int count) {
     List<Endpoint> entries = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       entries.add(new Endpoint(i, i % 2 == 0 ? "a" : "b", i, EndpointState.SERVING, 1, 0));
@@ -155,7 +155,7 @@
     allActions.addAll(actions);
   }
 
-  public PolicyFixture pass(double ms) {
+  public PolicyFixture advanceClock(double ms) {
     now += ms;
     return this;
   }
@@ -190,7 +190,7 @@
     return on(new CounterReplied(lastIncrement().counterName(), status, 0, 30));
   }
 
-  public PolicyFixture outcome(
+  public PolicyFixture endAttempt(
       StartAttempt start, int attempt, Status status, boolean requestFinished) {
     return on(
         new AttemptEnded(
@@ -214,11 +214,11 @@
     return find(allActions, IncrementCounter.class);
   }
 
-  public <T extends Action> T only(Class<T> type) {
+  public <T extends Action> T lastActionOfType(Class<T> type) {
     return find(lastActions, type);
   }
 
-  public <T extends Action> boolean did(Class<T> type) {
+  public <T extends Action> boolean hasAction(Class<T> type) {
     return lastActions.stream().anyMatch(type::isInstance);
   }
 
--- a/src/test/java/quotagateway/policy/SlowStartTest.java
+++ b/src/test/java/quotagateway/policy/SlowStartTest.java
@@ -138,7 +138,9 @@
             .toList();
     pendingOutcomes.removeAll(lost);
     gateways.forEach(
-        g -> g.pass(now - g.now).on(new EndpointsUpdated(EndpointListForm.SNAPSHOT, entries())));
+        g ->
+            g.advanceClock(now - g.now)
+                .on(new EndpointsUpdated(EndpointListForm.SNAPSHOT, entries())));
     lost.forEach(
         a -> {
           AttemptEnded o = a.outcome();
@@ -167,7 +169,7 @@
       while (!pendingOutcomes.isEmpty() && pendingOutcomes.peek().at() <= now) {
         PendingOutcome pending = pendingOutcomes.poll();
         served += pending.outcome().requestFinished() ? 1 : 0;
-        pending.gateway().pass(now - pending.gateway().now).on(pending.outcome());
+        pending.gateway().advanceClock(now - pending.gateway().now).on(pending.outcome());
         handleActions(pending.gateway());
       }
       if (random.nextDouble() < restartsPerSecond * STEP_MS / 1000) {
@@ -181,7 +183,7 @@
       }
       for (PolicyFixture g : gateways) {
         if (now - begin >= 25 && (now - begin) % 25 < STEP_MS) {
-          g.pass(now - g.now).on(new TimerFired(Timer.REQUEST_CHECK));
+          g.advanceClock(now - g.now).on(new TimerFired(Timer.REQUEST_CHECK));
           handleActions(g);
         }
       }
@@ -199,7 +201,7 @@
     String id = "q" + requestNumber++;
     requests++;
     gateway
-        .pass(now - gateway.now)
+        .advanceClock(now - gateway.now)
         .on(
             new RequestReceived(
                 id,
--- a/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
+++ b/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
@@ -28,12 +28,12 @@
   void limitsNumberOfStatusesForLongList() {
     int length = 30_000;
     PolicyFixture gateway =
-        new PolicyFixture(PolicyFixture.settings(true, 2_000, false)).backends(length);
+        new PolicyFixture(PolicyFixture.settings(true, 2_000, false)).updateBackends(length);
     assertEquals(0, gateway.policy.trackedBackends());
     for (int i = 0; i < 4 * length; i++) {
-      gateway.pass(1).request("safe", "free", 1);
-      if (gateway.did(StartAttempt.class)) {
-        gateway.outcome(gateway.only(StartAttempt.class), 0, Status.REJECTED, true);
+      gateway.advanceClock(1).request("safe", "free", 1);
+      if (gateway.hasAction(StartAttempt.class)) {
+        gateway.endAttempt(gateway.lastActionOfType(StartAttempt.class), 0, Status.REJECTED, true);
       }
     }
     assertTrue(gateway.policy.trackedBackends() > 1_000, gateway.policy.trackedBackends() + " met");
@@ -56,7 +56,7 @@
     int startedAttempts = 0;
     for (int i = 0; i < 1_000; i++) {
       gateway.request("safe", "free", 1);
-      startedAttempts += gateway.did(StartAttempt.class) ? 1 : 0;
+      startedAttempts += gateway.hasAction(StartAttempt.class) ? 1 : 0;
     }
     assertEquals(0, startedAttempts, "attempts at backends that have just started");
   }
@@ -81,8 +81,8 @@
 
   private static long sendRequestAndGetBackend(PolicyFixture gateway) {
     gateway.request("safe", "free", 1);
-    StartAttempt attempt = gateway.only(StartAttempt.class);
-    gateway.outcome(attempt, 0, Status.OK, true);
+    StartAttempt attempt = gateway.lastActionOfType(StartAttempt.class);
+    gateway.endAttempt(attempt, 0, Status.OK, true);
     return attempt.endpointId();
   }
 
@@ -110,7 +110,7 @@
   // A draining backend must not get new requests while the rest of the snapshot is being received.
   @Test
   void appliesDrainingStateOfFragmentAtOnce() {
-    PolicyFixture gateway = PolicyFixture.counted();
+    PolicyFixture gateway = PolicyFixture.withCounterAndBackends();
     gateway.on(
         new EndpointsUpdated(EndpointListForm.FRAGMENT, entries(0, 3, EndpointState.DRAINING)));
     for (int i = 0; i < 50; i++) {
@@ -129,18 +129,18 @@
         new EndpointsUpdated(
             EndpointListForm.SNAPSHOT, entries(10_499, 10_503, EndpointState.SERVING)));
     int sweeps = 0;
-    while (gateway.did(ScheduleTimer.class)) {
+    while (gateway.hasAction(ScheduleTimer.class)) {
       sweeps++;
       assertEquals(Endpoint.NO_ADDRESS, gateway.policy.servingEndpoints().address(3));
       for (int i = 0; i < 3; i++) {
         gateway.request("safe", "free", 1);
-        if (gateway.did(StartAttempt.class)) {
-          StartAttempt attempt = gateway.only(StartAttempt.class);
+        if (gateway.hasAction(StartAttempt.class)) {
+          StartAttempt attempt = gateway.lastActionOfType(StartAttempt.class);
           boolean listedAgain = attempt.endpointId() == 10_400 && sweeps > 10;
           assertTrue(
               attempt.endpointId() >= 10_499 || listedAgain,
               "sent to " + attempt.endpointId() + ", which is no longer listed");
-          gateway.outcome(attempt, 0, Status.OK, true);
+          gateway.endAttempt(attempt, 0, Status.OK, true);
         }
       }
       // An endpoint that is listed again during the removal stays.
@@ -149,7 +149,7 @@
             new EndpointsUpdated(
                 EndpointListForm.DELTA, entries(10_400, 10_401, EndpointState.SERVING)));
       }
-      gateway.pass(1).on(new TimerFired(Timer.ENDPOINT_SWEEP));
+      gateway.advanceClock(1).on(new TimerFired(Timer.ENDPOINT_SWEEP));
     }
     assertTrue(sweeps > 10, sweeps + " sweeps");
     assertEquals(
--- a/src/test/java/quotagateway/scale/ProgramSweep.java
+++ b/src/test/java/quotagateway/scale/ProgramSweep.java
@@ -54,8 +54,8 @@
       boolean ready = probe.okResponses() > 0;
       report.add(Measurement.of(subject, size, "list_bytes", list.length()));
       report.add(Measurement.of(subject, size, "list_taken", ready ? 1 : 0));
-      report.add(Measurement.of(subject, size, "watches_opened", agent.opened()));
-      report.add(Measurement.of(subject, size, "bytes_told", (double) agent.bytes()));
+      report.add(Measurement.of(subject, size, "watches_opened", agent.openedWatches()));
+      report.add(Measurement.of(subject, size, "bytes_told", (double) agent.bytesWritten()));
       if (!ready) {
         return;
       }
@@ -99,7 +99,7 @@
     double startMs = Stopwatch.wallMs();
     for (int i = 0; i < replacements; i++) {
       for (EndpointListModel.Change change : model.replaceRandomBackend(1)) {
-        agent.tell(model.deltaMessage(List.of(change)));
+        agent.send(model.deltaMessage(List.of(change)));
       }
       awaitIdle(program);
     }
@@ -124,10 +124,10 @@
       List<EndpointListModel.Change> removals =
           new ArrayList<>(model.zoneChanges(zone, EndpointState.REMOVED));
       probe.reset();
-      agent.tell(model.deltaMessage(removals));
+      agent.send(model.deltaMessage(removals));
       awaitIdle(program);
       longestMs[zone] = probe.longestMs();
-      agent.tell(model.deltaMessage(model.zoneChanges(zone, EndpointState.SERVING)));
+      agent.send(model.deltaMessage(model.zoneChanges(zone, EndpointState.SERVING)));
       awaitIdle(program);
     }
     return longestMs;
--- a/src/test/java/quotagateway/scale/ScaleTest.java
+++ b/src/test/java/quotagateway/scale/ScaleTest.java
@@ -242,15 +242,15 @@
       assertTrue(readMessage(in).contains("\"full\":true"));
       // The agent sends the list before it registers the watch for changes.
       String change = model.deltaMessage(model.replaceRandomBackend(1));
-      while (agent.watching() == 0) {
+      while (agent.openWatches() == 0) {
         Thread.onSpinWait();
       }
-      agent.tell(change);
+      agent.send(change);
       assertTrue(readMessage(in).contains("\"leaving\""));
-      agent.cut(change, 40);
+      agent.sendTruncated(change, 40);
       String rest = in.lines().reduce("", String::concat);
       assertFalse(rest.contains("]}"), "the message must be truncated: " + rest);
-      assertEquals(1, agent.opened());
+      assertEquals(1, agent.openedWatches());
     }
   }
 
--- a/src/test/java/quotagateway/server/AdminServerTest.java
+++ b/src/test/java/quotagateway/server/AdminServerTest.java
@@ -43,19 +43,19 @@
     fixture.start();
     assertEquals(200, fixture.operator("GET /ready"));
     TestClient idleClient = fixture.client();
-    assertEquals(200, idleClient.ask(TestRequests.get("r1", 3000)).status());
+    assertEquals(200, idleClient.exchange(TestRequests.get("r1", 3000)).status());
     assertEquals(200, fixture.operator("POST /drain"));
-    assertEquals(503, fixture.client().ask(READINESS_REQUEST).status());
+    assertEquals(503, fixture.client().exchange(READINESS_REQUEST).status());
     assertEquals(503, fixture.operator("GET /ready"));
-    assertTrue(idleClient.ended(), "the idle connection was not closed");
+    assertTrue(idleClient.isClosedByPeer(), "the idle connection was not closed");
     assertEquals(
-        "close", fixture.client().ask(TestRequests.get("late", 3000)).header("Connection"));
+        "close", fixture.client().exchange(TestRequests.get("late", 3000)).header("Connection"));
     assertEquals(200, fixture.operator("POST /drain"), "a repeated call was not accepted");
     assertEquals(200, fixture.operator("POST /undrain"));
     TestClient client = fixture.client();
-    assertEquals(200, client.ask(READINESS_REQUEST).status());
-    assertEquals(200, client.ask(TestRequests.get("r2", 3000)).status());
-    assertEquals(200, client.ask(TestRequests.get("r3", 3000)).status());
+    assertEquals(200, client.exchange(READINESS_REQUEST).status());
+    assertEquals(200, client.exchange(TestRequests.get("r2", 3000)).status());
+    assertEquals(200, client.exchange(TestRequests.get("r3", 3000)).status());
   }
 
   private void respondAfter(CountDownLatch drained) {
@@ -80,12 +80,12 @@
     busyClient.send(TestRequests.get("r1", 4000));
     TestQueues.next(fixture.backend.received);
     TestClient idleClient = fixture.client();
-    idleClient.ask(READINESS_REQUEST);
+    idleClient.exchange(READINESS_REQUEST);
     assertEquals(200, fixture.operator("POST /drain"));
-    assertTrue(idleClient.ended());
+    assertTrue(idleClient.isClosedByPeer());
     drained.countDown();
     assertEquals(200, busyClient.receive().status());
-    assertTrue(busyClient.ended());
+    assertTrue(busyClient.isClosedByPeer());
   }
 
   /**
@@ -106,7 +106,7 @@
     assertNull(busyClient.receive().header("Connection"));
     assertNull(busyClient.receive().header("Connection"));
     assertEquals("close", busyClient.receive().header("Connection"));
-    assertTrue(busyClient.ended());
+    assertTrue(busyClient.isClosedByPeer());
   }
 
   /**
@@ -124,7 +124,7 @@
       TestClient client = fixture.client();
       client.send(TestRequests.get("last" + requestNumber, 3000) + next.substring(0, 20));
       assertEquals("close", client.receive().header("Connection"));
-      assertTrue(client.ended());
+      assertTrue(client.isClosedByPeer());
       long endedNanos = System.nanoTime();
       boolean sent = sendsTwice(client, next.substring(20));
       // Repeats if the machine stalled: the connection lingers for a limited time only.
@@ -163,7 +163,7 @@
     assertEquals(200, fixture.operator("GET /ready"));
     assertEquals(200, fixture.operator("POST /drain"));
     unblocked.countDown();
-    assertEquals(503, fixture.client().ask(READINESS_REQUEST).status());
+    assertEquals(503, fixture.client().exchange(READINESS_REQUEST).status());
   }
 
   /**
@@ -181,11 +181,11 @@
     }
     assertEquals(200, fixture.operator("GET /ready"));
     for (TestClient caller : incompleteCallers) {
-      assertTrue(caller.ended());
+      assertTrue(caller.isClosedByPeer());
     }
     assertEquals(
         200,
-        fixture.client().ask(READINESS_REQUEST).status(),
+        fixture.client().exchange(READINESS_REQUEST).status(),
         "an incomplete call was carried out");
   }
 
@@ -200,7 +200,7 @@
     TestClient caller = fixture.operator();
     caller.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\nPOST /drain HTTP/1.1\r\nHost: x\r\n\r\n");
     assertEquals(200, caller.receive().status());
-    assertTrue(caller.ended());
+    assertTrue(caller.isClosedByPeer());
     assertEquals(200, fixture.operator("GET /ready"));
   }
 
@@ -214,14 +214,14 @@
         200,
         fixture.operator("POST http://127.0.0.1/undrain"),
         "undrain of a serving gateway was not accepted");
-    assertEquals(200, fixture.client().ask(READINESS_REQUEST).status());
+    assertEquals(200, fixture.client().exchange(READINESS_REQUEST).status());
   }
 
   /** A client sends an operator's call to the client address. It must not drain the gateway. */
   @Test
   void clientsCannotDrain() throws Exception {
     fixture.start();
-    fixture.client().ask("POST /drain HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
+    fixture.client().exchange("POST /drain HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
     assertEquals(200, fixture.operator("GET /ready"));
   }
 }
--- a/src/test/java/quotagateway/server/ClientDisconnectTest.java
+++ b/src/test/java/quotagateway/server/ClientDisconnectTest.java
@@ -110,7 +110,7 @@
   private OutputStream sendWithCounterCallUnanswered(TestClient client, String request)
       throws Exception {
     AtomicBoolean first = new AtomicBoolean(true);
-    fixture.counter.replies = line -> first.getAndSet(false) ? null : fixture.counter.count(line);
+    fixture.counter.responder = line -> first.getAndSet(false) ? null : fixture.counter.count(line);
     client.send(request);
     return TestQueues.next(fixture.counter.unanswered);
   }
@@ -153,7 +153,7 @@
   private void assertRequestWasNotForwarded() throws Exception {
     awaitNoConnections();
     fixture.backend.responder = (request, out) -> TextStreams.write(out, FakeBackend.OK_RESPONSE);
-    assertEquals(200, fixture.client().ask(TestRequests.get("later", 3000)).status());
+    assertEquals(200, fixture.client().exchange(TestRequests.get("later", 3000)).status());
     assertEquals("later", TestQueues.next(fixture.backend.received).header("Request-Id"));
   }
 
--- a/src/test/java/quotagateway/server/DiscoveryTest.java
+++ b/src/test/java/quotagateway/server/DiscoveryTest.java
@@ -59,7 +59,7 @@
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
     int requestNumber = 0;
     while (!client
-        .ask(TestRequests.get("to-" + name + requestNumber++, 3000))
+        .exchange(TestRequests.get("to-" + name + requestNumber++, 3000))
         .text()
         .equals(name)) {
       assertTrue(System.nanoTime() < deadline, "no request goes to " + name);
@@ -88,7 +88,7 @@
     requestUntilServedBy("2");
     TestClient client = fixture.client();
     for (int i = 0; i < 20; i++) {
-      assertEquals("2", client.ask(TestRequests.get("r" + i, 3000)).text());
+      assertEquals("2", client.exchange(TestRequests.get("r" + i, 3000)).text());
     }
   }
 
@@ -143,7 +143,7 @@
     fixture.discovery.send(EndpointListJson.list(9, false) + "\n");
     fixture.discovery.send("{\"version\":10,\"servers\":[{\"id\":\n");
     assertTrue(TestQueues.next(fixture.discovery.watches).contains("index=9 "));
-    assertEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
+    assertEquals(200, fixture.client().exchange(TestRequests.get("r1", 3000)).status());
   }
 
   /** The gateway requests an invalid list repeatedly but logs only one warning. */
@@ -160,7 +160,7 @@
       assertTrue(
           warnings.messages().get(0).startsWith("endpoint list rejected version_in_use=7 reason="),
           warnings.messages().get(0));
-      assertEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
+      assertEquals(200, fixture.client().exchange(TestRequests.get("r1", 3000)).status());
     }
   }
 
--- a/src/test/java/quotagateway/server/EventLoopStallTest.java
+++ b/src/test/java/quotagateway/server/EventLoopStallTest.java
@@ -28,7 +28,7 @@
   @BeforeEach
   void blockLoop() throws Exception {
     GatewayServer gateway = fixture.start();
-    assertEquals(200, fixture.client().ask(TestRequests.get("first", 3000)).status());
+    assertEquals(200, fixture.client().exchange(TestRequests.get("first", 3000)).status());
     TestQueues.next(fixture.backend.received);
     gateway.loop.execute(
         () -> {
--- a/src/test/java/quotagateway/server/GatewayServerTest.java
+++ b/src/test/java/quotagateway/server/GatewayServerTest.java
@@ -57,7 +57,7 @@
                     + request.body().length
                     + "\r\n\r\n"
                     + request.text());
-    HttpMessage response = fixture.client().ask(TestRequests.post("r1", body));
+    HttpMessage response = fixture.client().exchange(TestRequests.post("r1", body));
     HttpMessage forwarded = TestQueues.next(fixture.backend.received);
     assertEquals("POST /buy/9 HTTP/1.1", forwarded.firstLine());
     assertEquals("r1", forwarded.header("Request-Id"));
@@ -86,7 +86,7 @@
     fixture.start(fixture.config(EndpointListJson.entry("s-1", port, "active")));
     TestClient client = fixture.client();
     for (int i = 0; i < 5; i++) {
-      assertEquals("fine", client.ask(TestRequests.get("r" + i, 3000)).text());
+      assertEquals("fine", client.exchange(TestRequests.get("r" + i, 3000)).text());
       assertEquals(
           "GET /quote/17?a=%20b&c HTTP/1.1", TestQueues.next(fixture.backend.received).firstLine());
       // The pool reuses a connection only after verifying that nothing follows the response.
@@ -125,7 +125,7 @@
                 attempts.incrementAndGet() == 1
                     ? FakeBackend.NOT_STARTED_RESPONSE
                     : FakeBackend.OK_RESPONSE);
-    assertEquals(200, fixture.client().ask(TestRequests.post("r1", "b")).status());
+    assertEquals(200, fixture.client().exchange(TestRequests.post("r1", "b")).status());
     assertEquals(2, attempts.get());
   }
 
@@ -140,7 +140,7 @@
     fixture.backend.responder =
         (request, out) ->
             attempts.incrementAndGet() > 1 && TextStreams.write(out, FakeBackend.OK_RESPONSE);
-    assertEquals(200, fixture.client().ask(TestRequests.post("r1", "b")).status());
+    assertEquals(200, fixture.client().exchange(TestRequests.post("r1", "b")).status());
     assertEquals("key-r1", TestQueues.next(fixture.backend.received).header("Idempotency-Key"));
     assertEquals("key-r1", TestQueues.next(fixture.backend.received).header("Idempotency-Key"));
   }
@@ -154,7 +154,7 @@
           TextStreams.write(out, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part");
           return false;
         };
-    assertNotEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
+    assertNotEquals(200, fixture.client().exchange(TestRequests.get("r1", 3000)).status());
   }
 
   /**
@@ -172,8 +172,8 @@
                 attempts.incrementAndGet() == 1
                     ? "no http at all\r\n\r\n"
                     : FakeBackend.OK_RESPONSE);
-    assertEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
-    assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
+    assertEquals(200, fixture.client().exchange(TestRequests.get("r1", 3000)).status());
+    assertEquals(200, fixture.client().exchange(TestRequests.get("r2", 3000)).status());
   }
 
   /** No backend listens. The request was not executed, so the client may safely send it again. */
@@ -181,7 +181,7 @@
   void rejectsRequestWhenNoBackendAcceptsConnections() throws Exception {
     fixture.backend.stopListening();
     fixture.start();
-    assertEquals(503, fixture.client().ask(TestRequests.post("r1", "b")).status());
+    assertEquals(503, fixture.client().exchange(TestRequests.post("r1", "b")).status());
   }
 
   /**
@@ -201,7 +201,7 @@
       fixture.start(
           fixture.config(EndpointListJson.entry("s-1", blockedServer.getLocalPort(), "active")));
       long startNanos = System.nanoTime();
-      assertEquals(503, fixture.client().ask(TestRequests.post("r1", "b")).status());
+      assertEquals(503, fixture.client().exchange(TestRequests.post("r1", "b")).status());
       assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(2_900));
       for (SocketChannel channel : fillingChannels) {
         channel.close();
@@ -230,7 +230,7 @@
             .port();
     fixture.start(fixture.config(EndpointListJson.entry("s-1", port, "active")));
     long startNanos = System.nanoTime();
-    assertNotEquals(200, fixture.client().ask(TestRequests.get("r1", 900)).status());
+    assertNotEquals(200, fixture.client().exchange(TestRequests.get("r1", 900)).status());
     assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(950));
     assertTrue(closed.await(10, TimeUnit.SECONDS));
   }
@@ -253,9 +253,9 @@
           TestRequests.post("r1", "").replace("Idempotency-Key: key-r1\r\n", ""),
           validRequest.replace("/quote/17", "/\u00fcquote")
         }) {
-      assertEquals(400, client.ask(invalidRequest).status(), invalidRequest);
+      assertEquals(400, client.exchange(invalidRequest).status(), invalidRequest);
     }
-    assertEquals(200, client.ask(validRequest).status());
+    assertEquals(200, client.exchange(validRequest).status());
     TestQueues.next(fixture.backend.received);
     assertNull(fixture.backend.received.poll());
   }
@@ -264,27 +264,27 @@
   void malformedAndOversizedRequestsCloseTheirConnections() throws Exception {
     fixture.start();
     TestClient malformed = fixture.client();
-    assertEquals(400, malformed.ask("GET /quote HTTP/1.1\r\nbroken header\r\n\r\n").status());
-    assertTrue(malformed.ended());
+    assertEquals(400, malformed.exchange("GET /quote HTTP/1.1\r\nbroken header\r\n\r\n").status());
+    assertTrue(malformed.isClosedByPeer());
     TestClient oversized = fixture.client();
     assertEquals(
         413,
         oversized
-            .ask(
+            .exchange(
                 TestRequests.post("r1", "")
                     .replace("Content-Length: 0", "Content-Length: 40000000"))
             .status());
     oversized.socket.shutdownOutput();
-    assertTrue(oversized.ended());
-    assertEquals(200, fixture.client().ask(TestRequests.get("r1", 3000)).status());
+    assertTrue(oversized.isClosedByPeer());
+    assertEquals(200, fixture.client().exchange(TestRequests.get("r1", 3000)).status());
   }
 
   @Test
   void readinessPathAcceptsOnlyGet() throws Exception {
     fixture.start();
     String readinessRequest = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
-    assertEquals(200, fixture.client().ask(readinessRequest).status());
-    assertEquals(405, fixture.client().ask(readinessRequest.replace("GET", "PUT")).status());
+    assertEquals(200, fixture.client().exchange(readinessRequest).status());
+    assertEquals(405, fixture.client().exchange(readinessRequest.replace("GET", "PUT")).status());
   }
 
   /**
@@ -296,13 +296,13 @@
     fixture.start(fixture.config());
     String readinessRequest = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
     TestClient client = fixture.client();
-    assertEquals(503, client.ask(readinessRequest).status());
+    assertEquals(503, client.exchange(readinessRequest).status());
     TestQueues.next(fixture.discovery.watches);
     fixture.discovery.send(
         EndpointListJson.list(
                 8, true, EndpointListJson.entry("s-1", fixture.backend.port(), "active"))
             + "\n");
-    while (client.ask(readinessRequest).status() != 200) {
+    while (client.exchange(readinessRequest).status() != 200) {
       Thread.onSpinWait();
     }
   }
@@ -325,7 +325,7 @@
     TestQueues.next(fixture.backend.received);
     client.close();
     clientDisconnected.countDown();
-    assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
+    assertEquals(200, fixture.client().exchange(TestRequests.get("r2", 3000)).status());
   }
 
   /**
@@ -347,12 +347,12 @@
     TestQueues.next(fixture.backend.received);
     Thread shutdownThread = new Thread(gateway::shutDownGracefully);
     shutdownThread.start();
-    assertTrue(idle.ended());
+    assertTrue(idle.isClosedByPeer());
     shutdownStarted.countDown();
     HttpMessage response = busy.receive();
     assertEquals(200, response.status());
     assertEquals("close", response.header("Connection"));
-    assertTrue(busy.ended());
+    assertTrue(busy.isClosedByPeer());
     shutdownThread.join(10_000);
     assertTrue(!shutdownThread.isAlive());
   }
--- a/src/test/java/quotagateway/server/MalformedResponseTest.java
+++ b/src/test/java/quotagateway/server/MalformedResponseTest.java
@@ -55,10 +55,10 @@
       fixture.backend.responder =
           (request, out) ->
               TextStreams.write(out, okResponse(request.header("Request-Id")) + surplus);
-      assertEquals(id, client.ask(TestRequests.get(id, 3000)).text());
+      assertEquals(id, client.exchange(TestRequests.get(id, 3000)).text());
       fixture.backend.responder =
           (request, out) -> TextStreams.write(out, okResponse(request.header("Request-Id")));
-      assertEquals(id + "next", client.ask(TestRequests.get(id + "next", 3000)).text());
+      assertEquals(id + "next", client.exchange(TestRequests.get(id + "next", 3000)).text());
     }
   }
 
@@ -72,7 +72,7 @@
             TextStreams.write(out, okResponse(request.header("Request-Id")))
                 && TextStreams.write(out, okResponse("stale"));
     for (int i = 0; i < 50; i++) {
-      assertEquals("r" + i, client.ask(TestRequests.get("r" + i, 3000)).text());
+      assertEquals("r" + i, client.exchange(TestRequests.get("r" + i, 3000)).text());
     }
   }
 
@@ -86,10 +86,10 @@
     TestClient client = fixture.client();
     fixture.backend.responder =
         (request, out) -> TextStreams.write(out, okResponse("first") + "noise");
-    assertEquals("first", client.ask(TestRequests.get("r1", 3000)).text());
+    assertEquals("first", client.exchange(TestRequests.get("r1", 3000)).text());
     fixture.backend.responder = (request, out) -> TextStreams.write(out, okResponse("second"));
     TimeUnit.MILLISECONDS.sleep(50);
-    assertEquals("second", client.ask(TestRequests.get("r2", 3000)).text());
+    assertEquals("second", client.exchange(TestRequests.get("r2", 3000)).text());
     assertEquals(2, fixture.backend.received.size(), "each request takes one attempt");
   }
 
@@ -111,7 +111,7 @@
             attempts.incrementAndGet();
             return TextStreams.write(out, informational + informational + okResponse("fine"));
           };
-      assertEquals("fine", client.ask(TestRequests.get("r" + requestNumber++, 3000)).text());
+      assertEquals("fine", client.exchange(TestRequests.get("r" + requestNumber++, 3000)).text());
       assertEquals(1, attempts.get(), informational);
     }
   }
@@ -149,13 +149,13 @@
                   out, attempts.incrementAndGet() == 1 ? malformed : FakeBackend.OK_RESPONSE);
       long startNanos = System.nanoTime();
       assertEquals(
-          "fine", client.ask(TestRequests.get("r" + requestNumber++, 3900)).text(), malformed);
+          "fine", client.exchange(TestRequests.get("r" + requestNumber++, 3900)).text(), malformed);
       assertEquals(2, attempts.get(), malformed);
       assertTrue(System.nanoTime() - startNanos < TimeUnit.MILLISECONDS.toNanos(900), malformed);
       for (int i = 0; i < 8; i++) {
         // First attempts earn the budget for the next retry.
         assertEquals(
-            200, client.ask(TestRequests.get("g" + requestNumber + "-" + i, 3900)).status());
+            200, client.exchange(TestRequests.get("g" + requestNumber + "-" + i, 3900)).status());
       }
     }
   }
@@ -180,7 +180,7 @@
     fixture.start(fixture.config(EndpointListJson.entry("s-1", port, "active")));
     TestClient client = fixture.client();
     for (int i = 0; i < 60; i++) {
-      assertEquals(200, client.ask(TestRequests.get("r" + i, 3000)).status());
+      assertEquals(200, client.exchange(TestRequests.get("r" + i, 3000)).status());
       TimeUnit.MILLISECONDS.sleep(10);
     }
   }
@@ -202,7 +202,9 @@
                       "X-Units-Charged: 2", "X-Units-Charged: " + units));
       assertEquals(
           200,
-          client.ask(TestRequests.get("r" + units.length() + units.hashCode(), 3000)).status());
+          client
+              .exchange(TestRequests.get("r" + units.length() + units.hashCode(), 3000))
+              .status());
       assertTrue(TestQueues.next(fixture.counter.calls).matches("incr \\S+ 2 .*"), units);
     }
   }
--- a/src/test/java/quotagateway/server/MisbehavingClientTest.java
+++ b/src/test/java/quotagateway/server/MisbehavingClientTest.java
@@ -65,9 +65,9 @@
       accepted = fixture.client();
       accepted.send(request.substring(0, 20));
       overLimit = fixture.client();
-    } while (overLimit.ask(TestRequests.get("t" + n++, 3000)).status() != 503);
-    assertTrue(overLimit.ended());
-    assertEquals(200, accepted.ask(request.substring(20)).status());
+    } while (overLimit.exchange(TestRequests.get("t" + n++, 3000)).status() != 503);
+    assertTrue(overLimit.isClosedByPeer());
+    assertEquals(200, accepted.exchange(request.substring(20)).status());
   }
 
   /**
@@ -78,10 +78,10 @@
   @Test
   void idleClientsDoNotLockOutNewClients() throws Exception {
     fixture.start(fixture.smallConfig());
-    assertNull(fixture.client().ask(TestRequests.get("first", 3000)).header("Connection"));
+    assertNull(fixture.client().exchange(TestRequests.get("first", 3000)).header("Connection"));
     HttpMessage response = null;
     for (int i = 0; i < 2 * MAX_CLIENT_CONNECTIONS; i++) {
-      response = fixture.client().ask(TestRequests.get("r" + i, 3000));
+      response = fixture.client().exchange(TestRequests.get("r" + i, 3000));
       assertEquals(200, response.status());
     }
     assertEquals("close", response.header("Connection"));
@@ -103,7 +103,7 @@
     TimeUnit.MILLISECONDS.sleep(500);
     fixture.client();
     assertEquals(503, slow.receive().status());
-    assertTrue(slow.ended());
+    assertTrue(slow.isClosedByPeer());
   }
 
   /**
@@ -119,9 +119,9 @@
     }
     TimeUnit.MILLISECONDS.sleep(500);
     TestClient evicting = fixture.client();
-    evicting.ask(TestRequests.get("first", 3000));
-    assertTrue(evicting.ended());
-    assertEquals(200, fixture.client().ask(TestRequests.get("second", 3000)).status());
+    evicting.exchange(TestRequests.get("first", 3000));
+    assertTrue(evicting.isClosedByPeer());
+    assertEquals(200, fixture.client().exchange(TestRequests.get("second", 3000)).status());
   }
 
   /**
@@ -170,8 +170,8 @@
             .sync()
             .getNow();
     assertTrue(failingChannel.checked.await(10, TimeUnit.SECONDS));
-    assertTrue(silentClient.ended());
-    assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
+    assertTrue(silentClient.isClosedByPeer());
+    assertEquals(200, fixture.client().exchange(TestRequests.get("r2", 3000)).status());
   }
 
   /** A channel that throws when its configuration is read, as the check does. */
@@ -219,7 +219,7 @@
   void silentConnectionIsClosedWithinThreeSeconds() throws Exception {
     fixture.start();
     long startNanos = System.nanoTime();
-    assertTrue(fixture.client().ended());
+    assertTrue(fixture.client().isClosedByPeer());
     assertTrue(System.nanoTime() - startNanos < MAX_RESPONSE_NANOS);
   }
 
@@ -254,9 +254,9 @@
       client.send(invalidRequest);
       assertEquals(400, client.receive().status(), invalidRequest);
       client.socket.shutdownOutput();
-      assertTrue(client.ended(), invalidRequest);
+      assertTrue(client.isClosedByPeer(), invalidRequest);
     }
-    assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
+    assertEquals(200, fixture.client().exchange(TestRequests.get("r2", 3000)).status());
     assertEquals("r2", TestQueues.next(fixture.backend.received).header("Request-Id"));
     assertNull(fixture.backend.received.poll());
   }
@@ -287,9 +287,9 @@
           validRequest.replace("00000000b4d65521", "0000000200000000"),
           validRequest.replace("00000000b4d65521", "ffffffffffffffff")
         }) {
-      assertEquals(400, client.ask(invalidRequest).status(), invalidRequest);
+      assertEquals(400, client.exchange(invalidRequest).status(), invalidRequest);
     }
-    assertEquals(200, client.ask(validRequest).status());
+    assertEquals(200, client.exchange(validRequest).status());
     assertTrue(TestQueues.next(fixture.counter.calls).startsWith("incr "));
     assertNull(fixture.counter.calls.poll());
     TestQueues.next(fixture.backend.received);
@@ -319,7 +319,7 @@
     } catch (SocketException e) {
       // The gateway has closed the connection, which tells the client as much as the error.
     }
-    assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
+    assertEquals(200, fixture.client().exchange(TestRequests.get("r2", 3000)).status());
     assertEquals(
         "r2",
         TestQueues.next(fixture.backend.received).header("Request-Id"),
@@ -343,7 +343,7 @@
       client.send("x".repeat(1_000));
       TimeUnit.MILLISECONDS.sleep(20);
     }
-    assertEquals(0, client.rest(), "bytes after the error");
+    assertEquals(0, client.readRemainingByteCount(), "bytes after the error");
   }
 
   /**
@@ -360,7 +360,7 @@
     assertEquals(408, client.receive().status());
     client.send(request.substring(40));
     assertNull(fixture.backend.received.poll(500, TimeUnit.MILLISECONDS));
-    assertEquals(200, fixture.client().ask(TestRequests.get("next", 3000)).status());
+    assertEquals(200, fixture.client().exchange(TestRequests.get("next", 3000)).status());
     assertEquals("next", TestQueues.next(fixture.backend.received).header("Request-Id"));
   }
 
@@ -387,7 +387,7 @@
       assertEquals(200, client.receive().status());
       client.close();
     }
-    assertEquals(200, fixture.client().ask(TestRequests.get("next", 3000)).status());
+    assertEquals(200, fixture.client().exchange(TestRequests.get("next", 3000)).status());
   }
 
   /**
--- a/src/test/java/quotagateway/server/ReloadTest.java
+++ b/src/test/java/quotagateway/server/ReloadTest.java
@@ -54,17 +54,17 @@
   @Test
   void changesDiscoveryAndCounterAddressesWithoutFailingRequests() throws Exception {
     TestClient client = before.client();
-    assertEquals(200, client.ask(TestRequests.get("r1", 3000)).status());
+    assertEquals(200, client.exchange(TestRequests.get("r1", 3000)).status());
     TestQueues.next(before.counter.calls);
     reload(after.config());
     assertTrue(TestQueues.next(after.discovery.watches).contains("index=7 "));
     after.discovery.send(EndpointListJson.list(8, false) + "\n");
     int requestNumber = 0;
     while (after.counter.calls.poll(20, TimeUnit.MILLISECONDS) == null) {
-      assertEquals(200, client.ask(TestRequests.get("m" + requestNumber++, 3000)).status());
+      assertEquals(200, client.exchange(TestRequests.get("m" + requestNumber++, 3000)).status());
     }
     before.counter.calls.clear();
-    assertEquals(200, client.ask(TestRequests.get("r2", 3000)).status());
+    assertEquals(200, client.exchange(TestRequests.get("r2", 3000)).status());
     TestQueues.next(after.counter.calls);
     assertTrue(before.counter.calls.isEmpty());
     assertTrue(before.discovery.watches.isEmpty());
@@ -80,11 +80,11 @@
     Files.delete(file);
     gateway.reload(file);
     TestClient client = before.client();
-    assertEquals(200, client.ask(TestRequests.get("r1", 3000)).status());
+    assertEquals(200, client.exchange(TestRequests.get("r1", 3000)).status());
     TestQueues.next(before.counter.calls);
     before.discovery.send(EndpointListJson.list(8, true) + "\n");
     for (int requestNumber = 0;
-        client.ask(TestRequests.get("r" + requestNumber, 500)).status() == 200;
+        client.exchange(TestRequests.get("r" + requestNumber, 500)).status() == 200;
         requestNumber++) {
       Thread.onSpinWait();
     }
@@ -109,24 +109,24 @@
   void addedClassIsServedAtOnceAndRemovedClassForATransitionalPeriod() throws Exception {
     TestClient client = before.client();
     String extraClassRequest = TestRequests.get("r1", 3000).replace("quote", "extra");
-    assertEquals(400, client.ask(extraClassRequest).status());
+    assertEquals(400, client.exchange(extraClassRequest).status());
     reload(
         withClass(configWithOwnBackend(), "extra", "pure")
             .replace("\"Name\":\"quote\"", "\"Name\":\"other\""));
-    while (client.ask(extraClassRequest).status() != 200) {
+    while (client.exchange(extraClassRequest).status() != 200) {
       Thread.onSpinWait();
     }
     assertEquals(
         200,
-        client.ask(TestRequests.get("r2", 3000)).status(),
+        client.exchange(TestRequests.get("r2", 3000)).status(),
         "requests under way still name the removed class");
     for (int requestNumber = 0;
-        client.ask(TestRequests.get("r" + requestNumber, 3000)).status() == 200;
+        client.exchange(TestRequests.get("r" + requestNumber, 3000)).status() == 200;
         requestNumber++) {
       TimeUnit.MILLISECONDS.sleep(50);
     }
-    assertEquals(400, client.ask(TestRequests.get("r4", 3000)).status());
-    assertEquals(200, client.ask(extraClassRequest).status());
+    assertEquals(400, client.exchange(TestRequests.get("r4", 3000)).status());
+    assertEquals(200, client.exchange(extraClassRequest).status());
   }
 
   /**
@@ -137,14 +137,14 @@
   void classWithChangedIdempotencyAcceptsBothMethods() throws Exception {
     TestClient client = before.client();
     String requestWithKey = TestRequests.post("p1", "b").replace("buy", "quote");
-    assertEquals(400, client.ask(requestWithKey).status());
+    assertEquals(400, client.exchange(requestWithKey).status());
     reload(
         configWithOwnBackend()
             .replace("\"quote\",\"Repeat\":\"pure\"", "\"quote\",\"Repeat\":\"token\""));
-    while (client.ask(requestWithKey).status() != 200) {
+    while (client.exchange(requestWithKey).status() != 200) {
       Thread.onSpinWait();
     }
-    assertEquals(200, client.ask(TestRequests.get("r1", 3000)).status());
+    assertEquals(200, client.exchange(TestRequests.get("r1", 3000)).status());
   }
 
   /**
@@ -157,19 +157,21 @@
     reload(
         withClass(configWithOwnBackend(), "extra", "pure")
             .replace("\"MaxAttempts\":6", "\"MaxAttempts\":1"));
-    while (client.ask(TestRequests.get("e1", 3000).replace("quote", "extra")).status() == 400) {
+    while (client.exchange(TestRequests.get("e1", 3000).replace("quote", "extra")).status()
+        == 400) {
       Thread.onSpinWait();
     }
     reload(
         withClass(configWithOwnBackend(), "extra", "pure")
             .replace("\"Name\":\"quote\"", "\"Name\":\"other\""));
-    while (client.ask(TestRequests.get("o1", 3000).replace("quote", "other")).status() == 400) {
+    while (client.exchange(TestRequests.get("o1", 3000).replace("quote", "other")).status()
+        == 400) {
       Thread.onSpinWait();
     }
     before.backend.responder =
         (request, out) -> TextStreams.write(out, FakeBackend.NOT_STARTED_RESPONSE);
     before.backend.received.clear();
-    assertEquals(503, client.ask(TestRequests.get("r1", 3000)).status());
+    assertEquals(503, client.exchange(TestRequests.get("r1", 3000)).status());
     assertEquals(1, before.backend.received.size());
   }
 
@@ -206,12 +208,12 @@
       reload(invalidConfig);
       // By the second request, the event loop has run any task that the reload submitted.
       assertEquals(
-          200, client.ask(TestRequests.get("g" + invalidConfig.hashCode(), 3000)).status());
-      assertEquals(400, client.ask(extraClassRequest).status(), invalidConfig);
+          200, client.exchange(TestRequests.get("g" + invalidConfig.hashCode(), 3000)).status());
+      assertEquals(400, client.exchange(extraClassRequest).status(), invalidConfig);
     }
     assertTrue(after.discovery.watches.isEmpty());
     reload(validConfig);
-    while (client.ask(extraClassRequest).status() != 200) {
+    while (client.exchange(extraClassRequest).status() != 200) {
       Thread.onSpinWait();
     }
     TestQueues.next(after.discovery.watches);
--- a/src/test/java/quotagateway/server/ResourceLimitsTest.java
+++ b/src/test/java/quotagateway/server/ResourceLimitsTest.java
@@ -157,7 +157,10 @@
           System.nanoTime() < deadline,
           () -> "no response from backend " + name + " in time; " + output());
       try (TestClient client = new TestClient(gatewayAddress)) {
-        if (client.ask(TestRequests.get(name + "-" + requestNumber, 3000)).text().equals(name)) {
+        if (client
+            .exchange(TestRequests.get(name + "-" + requestNumber, 3000))
+            .text()
+            .equals(name)) {
           return;
         }
       } catch (IOException e) {
@@ -322,7 +325,7 @@
     requestUntilServedBy("3", TimeUnit.SECONDS.toNanos(20));
     try (TestClient client = new TestClient(gatewayAddress)) {
       for (int i = 0; i < 100; i++) {
-        assertEquals("3", client.ask(TestRequests.get("many-" + i, 3000)).text());
+        assertEquals("3", client.exchange(TestRequests.get("many-" + i, 3000)).text());
       }
     }
     long peakMb =
--- a/src/test/java/quotagateway/server/StalledClientTest.java
+++ b/src/test/java/quotagateway/server/StalledClientTest.java
@@ -60,12 +60,12 @@
   void unreadResponseWithoutLengthEndsWithReset() throws Exception {
     peers.backend.responder = (request, out) -> streamEndlessResponse(out);
     try (TestClient client = new TestClient(startGateway())) {
-      client.ask(TestRequests.get("r1", 3000).replace("HTTP/1.1", "HTTP/1.0"));
+      client.exchange(TestRequests.get("r1", 3000).replace("HTTP/1.1", "HTTP/1.0"));
       awaitBackPressure();
       while (!backendConnectionClosed.await(100, TimeUnit.MILLISECONDS)) {
         clockNanos.addAndGet(CLOCK_STEP_NANOS);
       }
-      assertThrows(IOException.class, client::rest);
+      assertThrows(IOException.class, client::readRemainingByteCount);
     }
   }
 
--- a/src/test/java/quotagateway/server/StreamingTest.java
+++ b/src/test/java/quotagateway/server/StreamingTest.java
@@ -75,14 +75,14 @@
           out.write(body);
           return true;
         };
-    assertArrayEquals(body, client.ask(TestRequests.get("r1", 3000)).body());
+    assertArrayEquals(body, client.exchange(TestRequests.get("r1", 3000)).body());
     fixture.backend.responder =
         (request, out) -> {
           TextStreams.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
           writeChunked(out, body, "X-Sum: 1\r\n");
           return true;
         };
-    assertArrayEquals(body, client.ask(TestRequests.get("r2", 3000)).body());
+    assertArrayEquals(body, client.exchange(TestRequests.get("r2", 3000)).body());
     assertEquals(2, fixture.backend.received.size());
   }
 
@@ -114,9 +114,9 @@
     assertEquals(
         200,
         client
-            .ask(TestRequests.post("r1", "x".repeat(RequestBody.MAX_BUFFERED_BYTES + 1)))
+            .exchange(TestRequests.post("r1", "x".repeat(RequestBody.MAX_BUFFERED_BYTES + 1)))
             .status());
-    assertEquals(200, client.ask(TestRequests.get("r2", 3000)).status());
+    assertEquals(200, client.exchange(TestRequests.get("r2", 3000)).status());
   }
 
   /**
@@ -149,7 +149,8 @@
     assertTrue(written.get() < size / 2, "bytes written without a reading client: " + written);
     assertEquals(size, client.receive().body().length);
     assertEquals(
-        200, fixture.client().ask(TestRequests.get("r2", 3000).replace("r2", "next")).status());
+        200,
+        fixture.client().exchange(TestRequests.get("r2", 3000).replace("r2", "next")).status());
   }
 
   /**
@@ -166,7 +167,8 @@
             TextStreams.write(out, "30000\r\n" + "x".repeat(0x30000) + "\r\n");
             return false;
           };
-      assertThrows(IOException.class, () -> fixture.client().ask(TestRequests.get("r1", 3000)));
+      assertThrows(
+          IOException.class, () -> fixture.client().exchange(TestRequests.get("r1", 3000)));
       TestQueues.next(fixture.backend.received);
       assertNull(
           fixture.backend.received.poll(300, TimeUnit.MILLISECONDS), "no further attempt expected");
@@ -188,7 +190,8 @@
                 out, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + "x".repeat(size));
             return false;
           };
-      assertEquals(size, fixture.client().ask(TestRequests.get("r" + n++, 3000)).body().length);
+      assertEquals(
+          size, fixture.client().exchange(TestRequests.get("r" + n++, 3000)).body().length);
     }
     assertEquals(3, fixture.backend.received.size());
     int port =
@@ -204,7 +207,7 @@
                 })
             .port();
     fixture.start(fixture.config(EndpointListJson.entry("s-2", port, "active")));
-    assertTrue(fixture.client().ask(TestRequests.get("r9", 3000)).status() != 200);
+    assertTrue(fixture.client().exchange(TestRequests.get("r9", 3000)).status() != 200);
   }
 
   /**
@@ -233,7 +236,7 @@
             }
             return TextStreams.write(out, chunked ? "0\r\n\r\n" : "");
           };
-      String body = fixture.client().ask(TestRequests.get("r1", 3000)).text();
+      String body = fixture.client().exchange(TestRequests.get("r1", 3000)).text();
       if (longestPauseNanos.get() < MAX_STALL_NANOS) {
         assertEquals("xxxxxxxx", body);
       }
@@ -306,7 +309,7 @@
         TestRequests.post("r1", "").replace("Length: 0", "Length: 1000000") + "x".repeat(100_000));
     assertEquals(408, client.receive().status());
     assertTrue(fixture.backend.received.isEmpty());
-    assertEquals(200, fixture.client().ask(TestRequests.get("r2", 3000)).status());
+    assertEquals(200, fixture.client().exchange(TestRequests.get("r2", 3000)).status());
   }
 
   /**
@@ -338,7 +341,7 @@
           TestRequests.post("r" + size, "")
               .replace("Content-Length: 0", "Expect: 100-continue\r\nContent-Length: " + size));
       assertEquals(100, client.receive().status());
-      assertEquals(200, client.ask("x".repeat(size)).status());
+      assertEquals(200, client.exchange("x".repeat(size)).status());
       assertEquals(size, TestQueues.next(fixture.backend.received).body().length);
     }
   }
@@ -347,19 +350,19 @@
   void http10ClientsAndAbsoluteTargetsAreServed() throws Exception {
     fixture.start();
     HttpMessage http10Response =
-        fixture.client().ask(TestRequests.get("r1", 3000).replace("HTTP/1.1", "HTTP/1.0"));
+        fixture.client().exchange(TestRequests.get("r1", 3000).replace("HTTP/1.1", "HTTP/1.0"));
     assertEquals("fine", http10Response.text());
     assertEquals("close", http10Response.header("Connection"));
     TestClient keepAliveClient = fixture.client();
     HttpMessage keepAliveResponse =
-        keepAliveClient.ask(
+        keepAliveClient.exchange(
             TestRequests.get("r2", 3000)
                 .replace("HTTP/1.1\r\n", "HTTP/1.0\r\nConnection: keep-alive\r\n"));
     assertEquals("keep-alive", keepAliveResponse.header("Connection"));
     assertEquals(
         200,
         keepAliveClient
-            .ask(TestRequests.get("r3", 3000).replace("GET /", "GET http://backend.local/"))
+            .exchange(TestRequests.get("r3", 3000).replace("GET /", "GET http://backend.local/"))
             .status());
     TestQueues.next(fixture.backend.received);
     TestQueues.next(fixture.backend.received);
@@ -421,8 +424,8 @@
           return true;
         };
     TestClient completeClient = fixture.client();
-    assertNull(completeClient.ask(request10).header("Transfer-Encoding"));
-    assertEquals(body.length, completeClient.rest());
+    assertNull(completeClient.exchange(request10).header("Transfer-Encoding"));
+    assertEquals(body.length, completeClient.readRemainingByteCount());
     fixture.backend.responder =
         (request, out) -> {
           TextStreams.write(out, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -431,9 +434,9 @@
           return false;
         };
     TestClient abortedClient = fixture.client();
-    abortedClient.ask(request10);
+    abortedClient.exchange(request10);
     clientHasRead.countDown();
-    assertThrows(IOException.class, () -> abortedClient.rest());
+    assertThrows(IOException.class, () -> abortedClient.readRemainingByteCount());
   }
 
   /**
--- a/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
+++ b/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
@@ -41,7 +41,7 @@
   @Test
   void oldProcessShutsDownWithoutRejectingRequests() throws Exception {
     GatewayServer oldGateway = fixture.start();
-    fixture.startBeside();
+    fixture.startSecondGateway();
     assertEquals(200, fixture.operator("GET /ready"));
     List<TestClient> clientsOfOldGateway = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
@@ -50,13 +50,14 @@
     Thread shutdownThread = new Thread(oldGateway::shutDownGracefully);
     shutdownThread.start();
     for (int i = 0; i < 20; i++) {
-      assertEquals(200, clientsOfOldGateway.get(i).ask(TestRequests.get("r" + i, 3000)).status());
+      assertEquals(
+          200, clientsOfOldGateway.get(i).exchange(TestRequests.get("r" + i, 3000)).status());
     }
     shutdownThread.join(10_000);
     assertFalse(shutdownThread.isAlive());
     for (int i = 0; i < 20; i++) {
-      assertEquals(200, fixture.client().ask(READINESS_REQUEST).status());
-      assertEquals(200, fixture.client().ask(TestRequests.get("s" + i, 3000)).status());
+      assertEquals(200, fixture.client().exchange(READINESS_REQUEST).status());
+      assertEquals(200, fixture.client().exchange(TestRequests.get("s" + i, 3000)).status());
     }
   }
 
@@ -72,7 +73,7 @@
     while (gateway.lifecycle().isServing()) {
       Thread.onSpinWait();
     }
-    assertEquals(503, fixture.client().ask(READINESS_REQUEST).status());
+    assertEquals(503, fixture.client().exchange(READINESS_REQUEST).status());
     shutdownThread.join(10_000);
   }
 
--- a/src/test/java/quotagateway/server/WarmUpTest.java
+++ b/src/test/java/quotagateway/server/WarmUpTest.java
@@ -50,7 +50,7 @@
             && fixture.counter.calls.isEmpty()
             && fixture.discovery.watches.isEmpty());
     fixture.start(config);
-    assertEquals(200, fixture.client().ask(TestRequests.get("real", 3000)).status());
+    assertEquals(200, fixture.client().exchange(TestRequests.get("real", 3000)).status());
     assertEquals("real", TestQueues.next(fixture.backend.received).header("Request-Id"));
   }
 }
--- a/src/test/java/quotagateway/soak/SoakCounter.java
+++ b/src/test/java/quotagateway/soak/SoakCounter.java
@@ -26,7 +26,7 @@
   private volatile Mode mode = Mode.NORMAL;
 
   SoakCounter() {
-    server.replies = this::replyTo;
+    server.responder = this::replyTo;
   }
 
   int port() {
--- a/src/test/java/quotagateway/soak/SoakDiscovery.java
+++ b/src/test/java/quotagateway/soak/SoakDiscovery.java
@@ -86,15 +86,15 @@
   /** Sends all watches a delta saying that a backend drains or serves. */
   synchronized void sendState(int backend, String state) {
     setState(backend, state);
-    agent.become(completeList() + "\n", version);
-    agent.tell(EndpointListJson.list(version, false, formatEntry(backend)) + "\n");
+    agent.setSnapshot(completeList() + "\n", version);
+    agent.send(EndpointListJson.list(version, false, formatEntry(backend)) + "\n");
   }
 
   /** Removes a backend from the list and ends all watches; new watches get the complete list. */
   synchronized void removeBackend(int backend) {
     disruptedUntilMs = history.nowMs() + MAX_NOTIFICATION_DELAY_MS;
     setState(backend, "left");
-    agent.become(completeList() + "\n", version);
+    agent.setSnapshot(completeList() + "\n", version);
     agent.endWatches();
   }
 
@@ -129,13 +129,13 @@
     if (silent) {
       agent.abandonWatches();
     }
-    agent.silence(silent);
+    agent.setSilent(silent);
     postponeClosedSpans(silent);
   }
 
   /** Starts or ends a failure of discovery: watches end, and new ones get errors until it ends. */
   synchronized void setFailing(boolean failing) {
-    agent.fail(failing);
+    agent.setFailing(failing);
     postponeClosedSpans(failing);
   }
 
--- a/src/test/java/quotagateway/soak/SoakGateway.java
+++ b/src/test/java/quotagateway/soak/SoakGateway.java
@@ -221,7 +221,7 @@
   int callOperator(String call) {
     try (TestClient caller =
         new TestClient(new InetSocketAddress(InetAddress.getLoopbackAddress(), adminPort))) {
-      return caller.ask(call + " HTTP/1.1\r\nHost: x\r\n\r\n").status();
+      return caller.exchange(call + " HTTP/1.1\r\nHost: x\r\n\r\n").status();
     } catch (IOException e) {
       return 0;
     }
@@ -267,7 +267,7 @@
       acceptsConnections = false;
     }
     long timeToKillMs = (long) (termSentAtMs + MIN_TERM_TO_KILL_MS - history.nowMs());
-    if (!ending.awaitEnd(Math.max(0, timeToKillMs))) {
+    if (!ending.awaitExit(Math.max(0, timeToKillMs))) {
       ending.close();
     } else if (ending.exitStatus() != 0 && ending.exitStatus() != 143) {
       faults.add("gateway " + number + " exited with status " + ending.exitStatus());
--- a/src/test/java/quotagateway/testing/DiscoveryAgent.java
+++ b/src/test/java/quotagateway/testing/DiscoveryAgent.java
@@ -46,7 +46,7 @@
    * @param version version of that snapshot
    */
   public DiscoveryAgent(String list, long version) throws IOException {
-    become(list, version);
+    setSnapshot(list, version);
     server = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
     daemonThread(this::acceptConnections).start();
     byte[] heartbeat = {'\n'};
@@ -62,34 +62,34 @@
   }
 
   /** Returns the number of watches requested so far. */
-  public int opened() {
+  public int openedWatches() {
     return openedWatches.get();
   }
 
   /** Returns the number of open watches that have received the list or have its version. */
-  public int watching() {
+  public int openWatches() {
     return watches.size();
   }
 
   /** Returns the number of message bytes written so far, without chunk framing. */
-  public long bytes() {
+  public long bytesWritten() {
     return bytesWritten.get();
   }
 
   /** Replaces the snapshot that later watches receive first. */
-  public void become(String list, long newVersion) {
+  public void setSnapshot(String list, long newVersion) {
     snapshot = list.getBytes(StandardCharsets.UTF_8);
     version = newVersion;
   }
 
   /** Sends a message to all open watches. */
-  public void tell(String message) {
+  public void send(String message) {
     byte[] encoded = message.getBytes(StandardCharsets.UTF_8);
     watches.forEach(watch -> watch.write(encoded, encoded.length));
   }
 
   /** Sends the first {@code length} bytes of a message to all open watches and ends them. */
-  public void cut(String message, int length) {
+  public void sendTruncated(String message, int length) {
     byte[] encoded = message.getBytes(StandardCharsets.UTF_8);
     watches.forEach(
         watch -> {
@@ -102,7 +102,7 @@
    * Sets whether the agent is silent. A silent agent sends neither messages nor heartbeats, and
    * does not respond to new watches.
    */
-  public void silence(boolean enabled) {
+  public void setSilent(boolean enabled) {
     silent = enabled;
   }
 
@@ -121,7 +121,7 @@
    * Sets whether the agent fails. Failing ends all watches; while the agent fails, each new watch
    * receives an error response whose body is an empty snapshot with the next version.
    */
-  public void fail(boolean enabled) {
+  public void setFailing(boolean enabled) {
     failing = enabled;
     if (enabled) {
       endWatches();
--- a/src/test/java/quotagateway/testing/FakeCounter.java
+++ b/src/test/java/quotagateway/testing/FakeCounter.java
@@ -22,7 +22,7 @@
   public final BlockingQueue<OutputStream> unanswered = new LinkedBlockingQueue<>();
 
   /** Returns the reply to a call without its line terminator, or null to leave it unanswered. */
-  public volatile UnaryOperator<String> replies = this::count;
+  public volatile UnaryOperator<String> responder = this::count;
 
   private final Map<String, Double> counts = new ConcurrentHashMap<>();
   private final ScriptedServer server = new ScriptedServer(50, this::serve);
@@ -36,7 +36,7 @@
         continue;
       }
       calls.add(line);
-      String reply = replies.apply(line);
+      String reply = responder.apply(line);
       if (reply == null) {
         unanswered.add(out);
       } else {
--- a/src/test/java/quotagateway/testing/GatewayFixture.java
+++ b/src/test/java/quotagateway/testing/GatewayFixture.java
@@ -111,7 +111,7 @@
   }
 
   /** Starts a second gateway on the address of the first, as an upgrade by a new process does. */
-  public GatewayServer startBeside() throws Exception {
+  public GatewayServer startSecondGateway() throws Exception {
     return start(
         singleBackendConfig()
             .replace(
@@ -142,7 +142,7 @@
   /** Sends an operator's request, such as {@code GET /ready}, and returns the response status. */
   public int operator(String request) throws IOException {
     try (TestClient operator = new TestClient((InetSocketAddress) gateway.adminAddress())) {
-      return operator.ask(request + " HTTP/1.1\r\nHost: x\r\n\r\n").status();
+      return operator.exchange(request + " HTTP/1.1\r\nHost: x\r\n\r\n").status();
     }
   }
 
--- a/src/test/java/quotagateway/testing/GatewayProcess.java
+++ b/src/test/java/quotagateway/testing/GatewayProcess.java
@@ -101,7 +101,7 @@
   }
 
   /** Waits for the process to end and returns whether it ended within the timeout. */
-  public boolean awaitEnd(long timeoutMs) throws InterruptedException {
+  public boolean awaitExit(long timeoutMs) throws InterruptedException {
     return process.waitFor(timeoutMs, TimeUnit.MILLISECONDS);
   }
 
--- a/src/test/java/quotagateway/testing/TestClient.java
+++ b/src/test/java/quotagateway/testing/TestClient.java
@@ -31,18 +31,18 @@
   }
 
   /** Sends a request and reads its response. */
-  public HttpMessage ask(String request) throws IOException {
+  public HttpMessage exchange(String request) throws IOException {
     send(request);
     return receive();
   }
 
   /** Reads until the connection ends and returns the number of bytes read. */
-  public int rest() throws IOException {
+  public int readRemainingByteCount() throws IOException {
     return in.readAllBytes().length;
   }
 
   /** Waits for input and returns whether the connection ended without further bytes. */
-  public boolean ended() throws IOException {
+  public boolean isClosedByPeer() throws IOException {
     try {
       return in.read() < 0;
     } catch (SocketException e) {
