--- a/src/main/java/quotagateway/backend/BackendConnectionPool.java
+++ b/src/main/java/quotagateway/backend/BackendConnectionPool.java
@@ -87,7 +87,7 @@
           .filter(id -> endpoints.address(id) == Endpoint.NO_ADDRESS)
           .forEach(id -> remove(id, outdated));
     }
-    hasServingBackend = endpoints.anyServing();
+    hasServingBackend = endpoints.hasServingEndpoint();
     // Last, because the policy may start a new attempt on any backend as soon as one is abandoned.
     List<Attempt> unsent = new ArrayList<>();
     outdated.forEach(backend -> backend.closeIdleAndCollectWaiting(unsent));
@@ -125,7 +125,7 @@
    *
    * @param timeoutMs infinite if the timeout is not existing yet
    */
-  public void limitTime(Attempt attempt, double timeoutMs) {
+  public void scheduleTimeout(Attempt attempt, double timeoutMs) {
     if (timeoutMs < Double.POSITIVE_INFINITY) {
       attempt.setTimeoutTimer(
           loop.schedule(
@@ -166,7 +166,7 @@
       return;
     }
     attempt.setDeadlines(clock.now(), maxWriteMs);
-    limitTime(attempt, attempt.timeoutMs());
+    scheduleTimeout(attempt, attempt.timeoutMs());
     scheduleWriteTimeout(attempt, maxWriteMs);
     BackendConnection connection = backend.takeIdle(attempt, maxIdleMs);
     if (connection != null) {
--- a/src/main/java/quotagateway/client/ClientContext.java
+++ b/src/main/java/quotagateway/client/ClientContext.java
@@ -100,7 +100,8 @@
    * requests.
    */
   boolean isMemoryExhausted() {
-    return heldBytes >= limits.bodyBytes() || driver.streamingResponseCount() >= limits.streams();
+    return heldBytes >= limits.maxBodyBytes()
+        || driver.streamingResponseCount() >= limits.maxStreams();
   }
 
   /**
--- a/src/main/java/quotagateway/client/ClientServer.java
+++ b/src/main/java/quotagateway/client/ClientServer.java
@@ -79,7 +79,7 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel channel) {
-                    adopt(channel);
+                    addConnection(channel);
                   }
                 })
             .bind(address);
@@ -88,7 +88,7 @@
   }
 
   /** Sets up the channel as a client connection. */
-  public void adopt(Channel channel) {
+  public void addConnection(Channel channel) {
     ClientConnection connection = new ClientConnection(channel, context, connections);
     RequestDecoder decoder = new RequestDecoder();
     channel
--- a/src/main/java/quotagateway/config/ConfigurationFile.java
+++ b/src/main/java/quotagateway/config/ConfigurationFile.java
@@ -35,7 +35,7 @@
    * @throws InvalidConfigurationException if the file lacks a key, cannot be read or is not a valid
    *     configuration
    */
-  public static GatewayConfig reread(Path file, GatewayConfig inUse)
+  public static GatewayConfig readForReload(Path file, GatewayConfig inUse)
       throws InvalidConfigurationException {
     Map<String, Object> fields = fields(file);
     requireKeysOf(inUse.fields(), fields, "");
--- a/src/main/java/quotagateway/config/ResourceLimits.java
+++ b/src/main/java/quotagateway/config/ResourceLimits.java
@@ -8,20 +8,20 @@
  * loading a class or writing a log line needs a descriptor too. The drawback is that some
  * descriptors stay unused.
  *
- * @param connections most connections to clients and backends together
- * @param connectionsDuringUpgrade the same limit while a second process with the same limits runs
- *     in parallel
- * @param bodyBytes most bytes of request bodies that may be held in memory
- * @param streams most responses that may be streamed at a time
- * @param endpoints most endpoints that an endpoint list may name
+ * @param maxConnections most connections to clients and backends together
+ * @param maxConnectionsDuringUpgrade the same limit while a second process with the same limits
+ *     runs in parallel
+ * @param maxBodyBytes most bytes of request bodies that may be held in memory
+ * @param maxStreams most responses that may be streamed at a time
+ * @param maxEndpoints most endpoints that an endpoint list may name
  * @param cores processor cores available to the process; may be a fraction
  */
 public record ResourceLimits(
-    int connections,
-    int connectionsDuringUpgrade,
-    int bodyBytes,
-    int streams,
-    int endpoints,
+    int maxConnections,
+    int maxConnectionsDuringUpgrade,
+    int maxBodyBytes,
+    int maxStreams,
+    int maxEndpoints,
     double cores) {
 
   /**
--- a/src/main/java/quotagateway/counter/CounterClient.java
+++ b/src/main/java/quotagateway/counter/CounterClient.java
@@ -25,7 +25,7 @@
 public final class CounterClient {
 
   /** Number of connections to the configured address. */
-  public static final int CONNECTIONS = ResourceLimits.COUNTER_CONNECTIONS;
+  public static final int CONNECTION_COUNT = ResourceLimits.COUNTER_CONNECTIONS;
 
   /**
    * Connect timeout for the dialer that is passed to the client. A connection that is not
@@ -62,7 +62,7 @@
   private final Dialer dialer;
   private final CounterCallTimeouts timeouts;
   private final CounterConnection.Owner connectionOwner = new ConnectionOwner();
-  private final List<CounterConnection> connections = new ArrayList<>(CONNECTIONS);
+  private final List<CounterConnection> connections = new ArrayList<>(CONNECTION_COUNT);
 
   /** Connections to the old address, used until a connection to the new address is established. */
   private final List<CounterConnection> retiringConnections = new ArrayList<>(0);
@@ -110,7 +110,7 @@
   }
 
   private void connect() {
-    for (int i = 0; i < CONNECTIONS; i++) {
+    for (int i = 0; i < CONNECTION_COUNT; i++) {
       CounterConnection connection =
           new CounterConnection(
               loop,
--- a/src/main/java/quotagateway/driver/PolicyDriver.java
+++ b/src/main/java/quotagateway/driver/PolicyDriver.java
@@ -128,7 +128,7 @@
     startDeadlineTimer(request, deadlineAtMs);
     Attempt attempt = request.lastAttemptInFlight();
     if (attempt != null) {
-      backends.limitTime(attempt, deadlineAtMs - request.bodyCompleteAtMs());
+      backends.scheduleTimeout(attempt, deadlineAtMs - request.bodyCompleteAtMs());
     }
     deliver(new RequestBodyComplete(id, deadlineAtMs));
   }
--- a/src/main/java/quotagateway/endpoint/EndpointIndex.java
+++ b/src/main/java/quotagateway/endpoint/EndpointIndex.java
@@ -117,7 +117,7 @@
   }
 
   @Override
-  public boolean anyServing() {
+  public boolean hasServingEndpoint() {
     return serving.size() > 0;
   }
 
@@ -200,7 +200,7 @@
   // ---- Changes ----
 
   /** Returns the group number of a zone and cell. New groups are numbered consecutively from 0. */
-  public int group(String zone, int cell) {
+  public int groupNumber(String zone, int cell) {
     return groups.groupNumber(zone, cell);
   }
 
--- a/src/main/java/quotagateway/endpoint/ServingEndpoints.java
+++ b/src/main/java/quotagateway/endpoint/ServingEndpoints.java
@@ -12,5 +12,5 @@
   double startedMs(long id);
 
   /** Returns whether any endpoint is serving. */
-  boolean anyServing();
+  boolean hasServingEndpoint();
 }
--- a/src/main/java/quotagateway/policy/GatewayPolicy.java
+++ b/src/main/java/quotagateway/policy/GatewayPolicy.java
@@ -255,7 +255,7 @@
       openRequests.rejectOrFail(request);
       return;
     }
-    int number = request.attempts.started();
+    int number = request.attempts.startedCount();
     AttemptRecord attempt = router.startAttempt(request.routing, number, backend);
     retryPolicy.recordStart(request.attempts);
     request.currentAttempt = attempt;
@@ -291,8 +291,8 @@
   }
 
   private void recordAttemptInFlight(OpenRequest request) {
-    quotaLimiter.attemptStarted(request.reservation);
-    loadShedder.attemptStarted();
+    quotaLimiter.recordAttemptStart(request.reservation);
+    loadShedder.recordAttemptStart();
   }
 
   /** Ends the attempt's load: the backend is done, and the rest depends on the client's speed. */
@@ -301,7 +301,7 @@
     if (request != null && !request.attempts.hasResponseStarted()) {
       request.attempts.recordResponseStart();
       router.responseStarted(request.currentAttempt);
-      loadShedder.attemptEnded();
+      loadShedder.recordAttemptEnd();
     }
   }
 
@@ -328,9 +328,9 @@
    */
   private void recordOutcome(OpenRequest request, AttemptRecord attempt, AttemptEnded event) {
     if (attempt.reachedBackend()) {
-      quotaLimiter.attemptEnded(request.reservation);
+      quotaLimiter.recordAttemptEnd(request.reservation);
       if (!request.attempts.hasResponseStarted()) {
-        loadShedder.attemptEnded();
+        loadShedder.recordAttemptEnd();
       }
     }
     loadShedder.recordOutcome(
@@ -391,7 +391,7 @@
       cancelIfLost(request);
     } else if (request.reservation.isAwaitingCounter()) {
       if (hasWaitedTooLong(request, MAX_COUNTER_WAIT_PER_OBJECTIVE)) {
-        applyQuotaDecision(quotaLimiter.stopWaiting(request.reservation), request);
+        applyQuotaDecision(quotaLimiter.decideWithoutReply(request.reservation), request);
       }
     } else if (request.awaitingBackend) {
       if (hasWaitedTooLong(request, MAX_BACKEND_WAIT_PER_OBJECTIVE)) {
--- a/src/main/java/quotagateway/policy/OpenRequests.java
+++ b/src/main/java/quotagateway/policy/OpenRequests.java
@@ -107,7 +107,7 @@
   }
 
   private void refundUnlessAttempted(OpenRequest request) {
-    if (request.attempts.started() == 0) {
+    if (request.attempts.startedCount() == 0) {
       quotaLimiter.refund(request.reservation);
     }
   }
--- a/src/main/java/quotagateway/policy/admission/LoadShedder.java
+++ b/src/main/java/quotagateway/policy/admission/LoadShedder.java
@@ -101,12 +101,12 @@
   }
 
   /** Records that a backend has received an attempt's complete request and is processing it. */
-  public void attemptStarted() {
+  public void recordAttemptStart() {
     attemptsInFlight++;
   }
 
   /** Records that a backend has finished processing an attempt that was recorded as started. */
-  public void attemptEnded() {
+  public void recordAttemptEnd() {
     attemptsInFlight--;
   }
 
@@ -200,6 +200,6 @@
     double requestsWhenMeasured =
         Math.max(inFlightWhenMeasured.value() * gatewaysPerBackend, MIN_QUEUEING_REQUESTS);
     double growth = (requestsNow + smoothing) / (requestsWhenMeasured + smoothing);
-    return latencyRatio.fadedValue(context.nowMs()) * growth;
+    return latencyRatio.decayedValue(context.nowMs()) * growth;
   }
 }
--- a/src/main/java/quotagateway/policy/context/ExponentialMean.java
+++ b/src/main/java/quotagateway/policy/context/ExponentialMean.java
@@ -46,7 +46,7 @@
   }
 
   /** Returns the mean, decayed towards 0 by the time since the latest sample. */
-  public double fadedValue(double nowMs) {
+  public double decayedValue(double nowMs) {
     return value * Math.exp((updatedAtMs - nowMs) / timeConstantMs);
   }
 }
--- a/src/main/java/quotagateway/policy/quota/CustomerAccount.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerAccount.java
@@ -151,11 +151,11 @@
     return attemptsInFlight;
   }
 
-  void attemptStarted() {
+  void recordAttemptStart() {
     attemptsInFlight++;
   }
 
-  void attemptEnded() {
+  void recordAttemptEnd() {
     attemptsInFlight--;
   }
 
--- a/src/main/java/quotagateway/policy/quota/QuotaLimiter.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaLimiter.java
@@ -73,7 +73,7 @@
   }
 
   /** Decides on a request whose counter reply has not arrived in time, without that reply. */
-  public QuotaDecision stopWaiting(QuotaReservation reservation) {
+  public QuotaDecision decideWithoutReply(QuotaReservation reservation) {
     if (reservation.awaitingPermit) {
       reservation.awaitingPermit = false;
       return acquireWithLocalPermit(reservation);
@@ -145,13 +145,13 @@
   }
 
   /** Records that a backend has received an attempt's complete request and is processing it. */
-  public void attemptStarted(QuotaReservation reservation) {
-    reservation.account.attemptStarted();
+  public void recordAttemptStart(QuotaReservation reservation) {
+    reservation.account.recordAttemptStart();
   }
 
   /** Records the end of an attempt that was recorded as started. */
-  public void attemptEnded(QuotaReservation reservation) {
-    reservation.account.attemptEnded();
+  public void recordAttemptEnd(QuotaReservation reservation) {
+    reservation.account.recordAttemptEnd();
   }
 
   /** Applies the plans of newly loaded settings. Units that were already used remain used. */
--- a/src/main/java/quotagateway/policy/retry/RequestAttempts.java
+++ b/src/main/java/quotagateway/policy/retry/RequestAttempts.java
@@ -14,7 +14,7 @@
   private final RequestClass requestClass;
   private final Capabilities capabilities;
   private final boolean forwardsBody;
-  private int started;
+  private int startedCount;
   private boolean mayHaveExecuted;
   private double deduplicatedUntilMs = Double.POSITIVE_INFINITY;
   private boolean exemptFromBudget;
@@ -40,8 +40,8 @@
   /**
    * Returns the number of attempts started so far, which is also the number of the next attempt.
    */
-  public int started() {
-    return started;
+  public int startedCount() {
+    return startedCount;
   }
 
   /** Returns whether the response has started to be sent to the client. */
@@ -51,7 +51,7 @@
 
   /** Records the start of an attempt. */
   public void recordStart() {
-    started++;
+    startedCount++;
     exemptFromBudget = false;
   }
 
--- a/src/main/java/quotagateway/policy/retry/RetryPolicy.java
+++ b/src/main/java/quotagateway/policy/retry/RetryPolicy.java
@@ -72,7 +72,7 @@
             attempts.capabilities().maxAttempts(), context.settings().capabilities().maxAttempts());
     return remainingMs(deadlineAtMs) > 0
         && maxStartDelayMs(attempts) > 0
-        && attempts.started() < maxAttempts;
+        && attempts.startedCount() < maxAttempts;
   }
 
   /**
@@ -98,7 +98,7 @@
 
   /** Records the start of an attempt, and adds to the retry budget or spends from it. */
   public void recordStart(RequestAttempts attempts) {
-    if (attempts.started() == 0) {
+    if (attempts.startedCount() == 0) {
       budget.earn();
     } else if (!attempts.isExemptFromBudget()) {
       budget.spend();
--- a/src/main/java/quotagateway/policy/routing/EndpointTracker.java
+++ b/src/main/java/quotagateway/policy/routing/EndpointTracker.java
@@ -115,7 +115,7 @@
 
   /** Applies one entry of the list; a process that has restarted counts as a new backend. */
   private void updateEndpoint(Endpoint endpoint) {
-    int group = index.group(endpoint.zone(), endpoint.cell());
+    int group = index.groupNumber(endpoint.zone(), endpoint.cell());
     int existingSlot = index.find(endpoint.id());
     int slot = existingSlot == EndpointIndex.NONE ? index.add(endpoint.id(), group) : existingSlot;
     BackendStatus status = statuses.get(slot);
--- a/src/main/java/quotagateway/policy/routing/GroupReachability.java
+++ b/src/main/java/quotagateway/policy/routing/GroupReachability.java
@@ -54,6 +54,6 @@
 
   /** Returns the recent share of lost attempts, from 0 to 1. */
   double lossShare(double nowMs) {
-    return losses.fadedValue(nowMs);
+    return losses.decayedValue(nowMs);
   }
 }
--- a/src/main/java/quotagateway/server/ConfigReload.java
+++ b/src/main/java/quotagateway/server/ConfigReload.java
@@ -41,7 +41,7 @@
    */
   synchronized void reload(Path file) {
     try {
-      GatewayConfig newConfig = ConfigurationFile.reread(file, inUse);
+      GatewayConfig newConfig = ConfigurationFile.readForReload(file, inUse);
       inUse = newConfig;
       loop.execute(() -> apply(newConfig));
       LOG.info("configuration reloaded file=" + file);
--- a/src/main/java/quotagateway/server/GatewayComponents.java
+++ b/src/main/java/quotagateway/server/GatewayComponents.java
@@ -36,7 +36,7 @@
       MonotonicClock clock,
       Lifecycle lifecycle,
       UpgradeCoordinator startedProcesses) {
-    ConnectionBudget budget = new ConnectionBudget(config.limits().connections());
+    ConnectionBudget budget = new ConnectionBudget(config.limits().maxConnections());
     loop.scheduleWithFixedDelay(
         () -> shareDescriptors(budget, config.limits(), startedProcesses),
         0,
@@ -63,7 +63,7 @@
             DiscoveryClient.dialer(loop),
             config.discoveryAddress(),
             configuredEndpoints.version(),
-            config.limits().endpoints(),
+            config.limits().maxEndpoints(),
             path.driver()::onEndpointUpdate);
     discovery.start();
     return new GatewayComponents(path.driver(), path.clients(), counter, discovery);
@@ -73,7 +73,7 @@
   private static void shareDescriptors(
       ConnectionBudget budget, ResourceLimits limits, UpgradeCoordinator startedProcesses) {
     int sharedLimit =
-        startedProcesses.isOtherProcessPresent() ? limits.connectionsDuringUpgrade() : 0;
+        startedProcesses.isOtherProcessPresent() ? limits.maxConnectionsDuringUpgrade() : 0;
     budget.shareWithOtherProcess(sharedLimit);
   }
 }
--- a/src/main/java/quotagateway/server/GatewayServer.java
+++ b/src/main/java/quotagateway/server/GatewayServer.java
@@ -29,7 +29,7 @@
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, SocketTransport.PREFERRED.ioHandler());
-  public final EventLoop loop = group.next();
+  public final EventLoop eventLoop = group.next();
   private final MonotonicClock clock = new MonotonicClock();
   private final Lifecycle lifecycle = new Lifecycle(clock);
   private final UpgradeCoordinator startedProcesses;
@@ -84,13 +84,14 @@
       throws IOException, InterruptedException {
     startedProcesses.announce();
     openAdmin(config);
-    loop.submit(
+    eventLoop
+        .submit(
             () -> {
               components =
-                  GatewayComponents.start(config, loop, clock, lifecycle, startedProcesses);
+                  GatewayComponents.start(config, eventLoop, clock, lifecycle, startedProcesses);
             })
         .sync();
-    configReload = new ConfigReload(loop, components, config);
+    configReload = new ConfigReload(eventLoop, components, config);
     beforeListening.run(this);
     // Initializing the logging framework takes 0.1 s of one core. Logging the first line before the
     // port is open keeps clients from waiting for it.
@@ -161,7 +162,7 @@
 
   /** Shuts down without losing an accepted request, and returns when the shutdown is complete. */
   public void shutDownGracefully() {
-    new GracefulShutdown(loop, lifecycle, components, servingProcesses)
+    new GracefulShutdown(eventLoop, lifecycle, components, servingProcesses)
         .run(configReload.inUse().settings());
     stop();
   }
--- a/src/main/java/quotagateway/server/WarmUp.java
+++ b/src/main/java/quotagateway/server/WarmUp.java
@@ -139,7 +139,7 @@
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel channel) {
-                clients.adopt(channel);
+                clients.addConnection(channel);
               }
             });
     for (int i = 0; i < REQUESTS_PER_CONNECTION; i++) {
--- a/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
+++ b/src/test/java/quotagateway/backend/BackendConnectionPoolTest.java
@@ -573,7 +573,7 @@
     double warmUpMs = 9_000;
     double nowMs = 50_000;
     EndpointIndex index = new EndpointIndex(0);
-    int group = index.group("a", 0);
+    int group = index.groupNumber("a", 0);
     int slot = index.add(1, group);
     index.setAddress(slot, address);
     index.update(slot, group, EndpointState.SERVING, 1, 0, warmUpMs, nowMs);
--- a/src/test/java/quotagateway/backend/SingleEndpoint.java
+++ b/src/test/java/quotagateway/backend/SingleEndpoint.java
@@ -25,7 +25,7 @@
   }
 
   @Override
-  public boolean anyServing() {
+  public boolean hasServingEndpoint() {
     return true;
   }
 }
--- a/src/test/java/quotagateway/config/GatewayConfigTest.java
+++ b/src/test/java/quotagateway/config/GatewayConfigTest.java
@@ -69,12 +69,13 @@
     String validConfig = fixture.config();
     Files.writeString(file, validConfig);
     GatewayConfig inUse = ConfigurationFile.read(file);
-    assertEquals(inUse.settings(), ConfigurationFile.reread(file, inUse).settings());
+    assertEquals(inUse.settings(), ConfigurationFile.readForReload(file, inUse).settings());
     Files.writeString(file, validConfig.replace("\"Refill\":400,", ""));
     ConfigurationFile.read(file);
     InvalidConfigurationException exception =
         assertThrows(
-            InvalidConfigurationException.class, () -> ConfigurationFile.reread(file, inUse));
+            InvalidConfigurationException.class,
+            () -> ConfigurationFile.readForReload(file, inUse));
     assertEquals("settings.Tariffs.Refill", exception.key());
   }
 
--- a/src/test/java/quotagateway/config/ResourceLimitsDivisionTest.java
+++ b/src/test/java/quotagateway/config/ResourceLimitsDivisionTest.java
@@ -15,8 +15,8 @@
   @Test
   void connectionLimitLeavesDescriptorsForAllOtherUses() {
     ResourceLimits limits = ResourceLimits.of(384, 144, 0.3);
-    assertEquals(384 - 24 - 26 - 13 - 14, limits.connections());
-    assertEquals(192 - 24 - 13 - 13, limits.connectionsDuringUpgrade());
+    assertEquals(384 - 24 - 26 - 13 - 14, limits.maxConnections());
+    assertEquals(192 - 24 - 13 - 13, limits.maxConnectionsDuringUpgrade());
     assertEquals(0.3, limits.cores());
   }
 
@@ -24,15 +24,15 @@
   @Test
   void connectionLimitIsAtLeastSixteen() {
     ResourceLimits limits = ResourceLimits.of(1, 144, 1);
-    assertEquals(16, limits.connections());
-    assertEquals(16, limits.connectionsDuringUpgrade());
+    assertEquals(16, limits.maxConnections());
+    assertEquals(16, limits.maxConnectionsDuringUpgrade());
   }
 
   @Test
   void bodyAndStreamLimitsAreSharesOfMemory() {
     ResourceLimits limits = ResourceLimits.of(1024, 128, 1);
-    assertEquals(8 << 20, limits.bodyBytes());
-    assertEquals((16 << 20) / (64 * 1024), limits.streams());
+    assertEquals(8 << 20, limits.maxBodyBytes());
+    assertEquals((16 << 20) / (64 * 1024), limits.maxStreams());
   }
 
   /**
@@ -41,9 +41,9 @@
    */
   @Test
   void endpointLimitDependsOnMemoryAndHeap() {
-    int limitBySmallMemory = ResourceLimits.of(1024, 1, 1).endpoints();
+    int limitBySmallMemory = ResourceLimits.of(1024, 1, 1).maxEndpoints();
     assertEquals((int) ((1 << 20) / 6.0 / 150), limitBySmallMemory);
-    int limitByHeap = ResourceLimits.of(1024, 1e9, 1).endpoints();
+    int limitByHeap = ResourceLimits.of(1024, 1e9, 1).maxEndpoints();
     assertTrue(
         limitByHeap <= Runtime.getRuntime().maxMemory() * 2.0 / 3 / 150,
         limitByHeap + " endpoints");
--- a/src/test/java/quotagateway/counter/CounterRoutingTest.java
+++ b/src/test/java/quotagateway/counter/CounterRoutingTest.java
@@ -58,7 +58,7 @@
   @BeforeEach
   void start() {
     client.start();
-    assertEquals(CounterClient.CONNECTIONS, channels.size());
+    assertEquals(CounterClient.CONNECTION_COUNT, channels.size());
   }
 
   private void advance(long ms) {
@@ -100,7 +100,7 @@
     int first = sendAndFindChannel("a");
     int second = sendAndFindChannel("b");
     assertFalse(first == second);
-    for (int i = 2; i < CounterClient.CONNECTIONS; i++) {
+    for (int i = 2; i < CounterClient.CONNECTION_COUNT; i++) {
       sendAndFindChannel("n" + i);
     }
     channels.get(second).writeInbound(Unpooled.copiedBuffer("ok 1\r\n", US_ASCII));
--- a/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
+++ b/src/test/java/quotagateway/driver/ConcurrentEventsTest.java
@@ -448,7 +448,7 @@
     client.send(TestRequests.get("r1", 4000) + TestRequests.get("r2", 4000));
     TestQueues.next(fixture.backend.received);
     gateway
-        .loop
+        .eventLoop
         .submit(
             () -> {
               gateway.lifecycle().shutDown();
--- a/src/test/java/quotagateway/endpoint/EndpointIndexTest.java
+++ b/src/test/java/quotagateway/endpoint/EndpointIndexTest.java
@@ -66,8 +66,8 @@
     }
 
     @Override
-    public int group(String zone, int cell) {
-      int group = super.group(zone, cell);
+    public int groupNumber(String zone, int cell) {
+      int group = super.groupNumber(zone, cell);
       if (group == groups.size()) {
         groups.add(zone + "/" + cell);
       }
@@ -128,8 +128,8 @@
 
   private static void addServing(EndpointIndex index, long id) {
     index.update(
-        index.add(id, index.group("a", 0)),
-        index.group("a", 0),
+        index.add(id, index.groupNumber("a", 0)),
+        index.groupNumber("a", 0),
         EndpointState.SERVING,
         1,
         0,
@@ -190,7 +190,7 @@
     EndpointIndex index = new EndpointIndex(4);
     addServing(index, 1);
     int slot = index.find(1);
-    int other = index.group("b", 3);
+    int other = index.groupNumber("b", 3);
     index.update(slot, other, EndpointState.SERVING, 1, 0, WARM_UP_MS, 0);
     assertEquals(0, index.servingInZone("a").size());
     assertEquals(1, index.servingInZone("b").size());
--- a/src/test/java/quotagateway/policy/admission/LoadShedderTest.java
+++ b/src/test/java/quotagateway/policy/admission/LoadShedderTest.java
@@ -34,7 +34,7 @@
   /** Starts attempts and updates the mean number of attempts in flight. */
   private void startAttempts(int attempts) {
     for (int i = 0; i < attempts; i++) {
-      shedder.attemptStarted();
+      shedder.recordAttemptStart();
     }
     recordRequests();
   }
@@ -133,7 +133,7 @@
     assertEquals(60, shedder.attemptsInFlight().value(), 0.1);
     assertTrue(shedder.isOverloaded(1.5), "three times 150 ms");
     for (int i = 0; i < 40; i++) {
-      shedder.attemptEnded();
+      shedder.recordAttemptEnd();
     }
     recordRequests();
     assertFalse(shedder.isOverloaded(0.5));
--- a/src/test/java/quotagateway/policy/quota/ConcurrencyLimiterTest.java
+++ b/src/test/java/quotagateway/policy/quota/ConcurrencyLimiterTest.java
@@ -25,11 +25,11 @@
     CustomerAccount fewGatewaysAccount = fixture.account(QuotaFixture.CONCURRENCY, 2);
     assertFalse(limiter.needsSharedPermit(fewGatewaysAccount));
     assertTrue(limiter.tryAcquireLocally(fewGatewaysAccount));
-    fewGatewaysAccount.attemptStarted();
+    fewGatewaysAccount.recordAttemptStart();
     assertFalse(
         limiter.tryAcquireLocally(fewGatewaysAccount),
         "one of two permits belongs to this gateway");
-    fewGatewaysAccount.attemptEnded();
+    fewGatewaysAccount.recordAttemptEnd();
     assertTrue(limiter.tryAcquireLocally(fewGatewaysAccount));
   }
 
@@ -39,15 +39,15 @@
     assertFalse(limiter.needsSharedPermit(unlimited));
     for (int i = 0; i < 100; i++) {
       assertTrue(limiter.tryAcquireLocally(unlimited));
-      unlimited.attemptStarted();
+      unlimited.recordAttemptStart();
     }
   }
 
   @Test
   void needsSharedPermitUntilThisGatewayHoldsAllPermits() {
     assertTrue(limiter.needsSharedPermit(account));
-    account.attemptStarted();
-    account.attemptStarted();
+    account.recordAttemptStart();
+    account.recordAttemptStart();
     assertFalse(limiter.needsSharedPermit(account));
     QuotaFixture withoutCounter = new QuotaFixture(MANY_GATEWAYS, false);
     assertFalse(
@@ -152,7 +152,7 @@
     Plan onePermit = new Plan("one", 0, 0, 1, 1, 0, 1, 0, 0, 0);
     CustomerAccount single = fixture.account(onePermit, MANY_GATEWAYS);
     assertTrue(limiter.tryAcquireLocally(single));
-    single.attemptStarted();
+    single.recordAttemptStart();
     assertFalse(limiter.tryAcquireLocally(single));
   }
 }
--- a/src/test/java/quotagateway/policy/quota/CustomerAccountsTest.java
+++ b/src/test/java/quotagateway/policy/quota/CustomerAccountsTest.java
@@ -49,7 +49,7 @@
   @Test
   void keepsExpiredAccountWithAttemptInFlight() {
     CustomerAccount busy = account(CUSTOMER, QuotaFixture.BUCKET);
-    busy.attemptStarted();
+    busy.recordAttemptStart();
     fixture.advanceTime(60_001);
     account(OTHER, QuotaFixture.BUCKET);
     assertSame(busy, account(CUSTOMER, QuotaFixture.BUCKET));
--- a/src/test/java/quotagateway/policy/quota/QuotaLimiterTest.java
+++ b/src/test/java/quotagateway/policy/quota/QuotaLimiterTest.java
@@ -110,7 +110,7 @@
       QuotaReservation reservation =
           localLimiter.open(withoutCounter.request("r" + i, plan, 42, 1), 1);
       decision = localLimiter.acquire(reservation);
-      localLimiter.attemptStarted(reservation);
+      localLimiter.recordAttemptStart(reservation);
     }
     OverQuota rejected =
         assertInstanceOf(OverQuota.class, decision, "two requests are already open");
@@ -152,7 +152,7 @@
   void decidesByReplicaWhenWaitEnds() {
     QuotaReservation reservation = pending(QuotaFixture.BUCKET, 3);
     fixture.advanceTime(50);
-    assertInstanceOf(Admitted.class, limiter.stopWaiting(reservation));
+    assertInstanceOf(Admitted.class, limiter.decideWithoutReply(reservation));
     assertFalse(reservation.isAwaitingCounter());
   }
 
@@ -161,8 +161,9 @@
   void excludesUnitsOfOtherPendingCallsWithoutReply() {
     QuotaReservation first = pending(QuotaFixture.BUCKET, 6);
     QuotaReservation second = pending(QuotaFixture.BUCKET, 6);
-    assertInstanceOf(OverQuota.class, limiter.stopWaiting(second));
-    assertInstanceOf(OverQuota.class, limiter.stopWaiting(first), "both calls have no reply yet");
+    assertInstanceOf(OverQuota.class, limiter.decideWithoutReply(second));
+    assertInstanceOf(
+        OverQuota.class, limiter.decideWithoutReply(first), "both calls have no reply yet");
   }
 
   @Test
@@ -170,7 +171,7 @@
     QuotaReservation reservation = pending(QuotaFixture.BUCKET, 3);
     IncrementCounter call = fixture.singleCall();
     fixture.advanceTime(50);
-    limiter.stopWaiting(reservation);
+    limiter.decideWithoutReply(reservation);
     CounterReplied late = new CounterReplied(call.counterName(), Status.OK, 3, 60);
     assertTrue(limiter.onCounterReplied(late, false).isEmpty());
     assertEquals(1, nextCallAdds(), EXACT);
@@ -267,7 +268,7 @@
     assertDecides(Admitted.class, reply(Status.OK, 1));
     limiter.settle(confirmed, 1);
     QuotaReservation unconfirmed = pending(QuotaFixture.BUCKET, 1);
-    assertInstanceOf(OverQuota.class, limiter.stopWaiting(unconfirmed));
+    assertInstanceOf(OverQuota.class, limiter.decideWithoutReply(unconfirmed));
   }
 
   /**
@@ -278,11 +279,11 @@
     QuotaReservation large = pending(QuotaFixture.FIXED_WINDOW, 4);
     assertInstanceOf(
         OverQuota.class,
-        limiter.stopWaiting(large),
+        limiter.decideWithoutReply(large),
         "the share starts with a random part of the maximum request size");
     fixture.advanceTime(16_000);
     QuotaReservation later = pending(QuotaFixture.FIXED_WINDOW, 4);
-    assertInstanceOf(Admitted.class, limiter.stopWaiting(later));
+    assertInstanceOf(Admitted.class, limiter.decideWithoutReply(later));
   }
 
   // After the decision
@@ -326,7 +327,7 @@
     QuotaReservation unconfirmed = pending(QuotaFixture.WIDE_HARD_LIMIT, 4);
     assertInstanceOf(
         Admitted.class,
-        limiter.stopWaiting(unconfirmed),
+        limiter.decideWithoutReply(unconfirmed),
         "the local part is 210 * 0.2 / 10, or 4.2");
     assertTrue(reply(Status.OK, 8).isEmpty());
     limiter.settle(confirmed, 1);
@@ -370,9 +371,9 @@
     fixture = new QuotaFixture(5, true);
     limiter = new QuotaLimiter(fixture.context, fixture);
     QuotaReservation first = pending(QuotaFixture.CONCURRENCY, 1);
-    assertInstanceOf(Admitted.class, limiter.stopWaiting(first));
+    assertInstanceOf(Admitted.class, limiter.decideWithoutReply(first));
     QuotaReservation second = pending(QuotaFixture.CONCURRENCY, 1);
-    assertInstanceOf(OverQuota.class, limiter.stopWaiting(second));
+    assertInstanceOf(OverQuota.class, limiter.decideWithoutReply(second));
   }
 
   @Test
--- a/src/test/java/quotagateway/policy/retry/RetryPolicyTest.java
+++ b/src/test/java/quotagateway/policy/retry/RetryPolicyTest.java
@@ -222,6 +222,6 @@
     while (retryPolicy.mayStart(attempts, DEADLINE_MS)) {
       retryPolicy.recordStart(attempts);
     }
-    assertEquals(expected, attempts.started());
+    assertEquals(expected, attempts.startedCount());
   }
 }
--- a/src/test/java/quotagateway/server/AdminServerTest.java
+++ b/src/test/java/quotagateway/server/AdminServerTest.java
@@ -152,7 +152,7 @@
   void callsAreAnsweredWhileTheClientEventLoopIsBlocked() throws Exception {
     GatewayServer gateway = fixture.start();
     CountDownLatch unblocked = new CountDownLatch(1);
-    gateway.loop.execute(
+    gateway.eventLoop.execute(
         () -> {
           try {
             unblocked.await();
--- a/src/test/java/quotagateway/server/ClientDisconnectTest.java
+++ b/src/test/java/quotagateway/server/ClientDisconnectTest.java
@@ -91,7 +91,7 @@
 
   private void blockLoop() throws InterruptedException {
     CountDownLatch loopBlocked = new CountDownLatch(1);
-    gateway.loop.execute(
+    gateway.eventLoop.execute(
         () -> {
           loopBlocked.countDown();
           try {
@@ -134,12 +134,12 @@
       assertEquals(200, client.receive().status());
       client.close();
     }
-    gateway.loop.schedule(() -> {}, REUSE_DELAY_MS, TimeUnit.MILLISECONDS).sync();
+    gateway.eventLoop.schedule(() -> {}, REUSE_DELAY_MS, TimeUnit.MILLISECONDS).sync();
   }
 
   private void awaitNoConnections() throws Exception {
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
-    while (gateway.loop.submit(() -> !gateway.clients().hasNoConnections()).get()) {
+    while (gateway.eventLoop.submit(() -> !gateway.clients().hasNoConnections()).get()) {
       assertTrue(
           System.nanoTime() < deadline, "the connection of a disconnected client is still open");
     }
--- a/src/test/java/quotagateway/server/EventLoopStallTest.java
+++ b/src/test/java/quotagateway/server/EventLoopStallTest.java
@@ -30,7 +30,7 @@
     GatewayServer gateway = fixture.start();
     assertEquals(200, fixture.client().exchange(TestRequests.get("first", 3000)).status());
     TestQueues.next(fixture.backend.received);
-    gateway.loop.execute(
+    gateway.eventLoop.execute(
         () -> {
           loopBlocked.countDown();
           try {
--- a/src/test/java/quotagateway/server/MisbehavingClientTest.java
+++ b/src/test/java/quotagateway/server/MisbehavingClientTest.java
@@ -34,7 +34,8 @@
   private static final long MAX_RESPONSE_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   private static final int MAX_CLIENT_CONNECTIONS =
-      new ConnectionBudget(ResourceLimits.of(GatewayFixture.FEW_DESCRIPTORS, 128, 1).connections())
+      new ConnectionBudget(
+              ResourceLimits.of(GatewayFixture.FEW_DESCRIPTORS, 128, 1).maxConnections())
           .maxClientConnections();
 
   private final GatewayFixture fixture = new GatewayFixture();
@@ -155,11 +156,11 @@
     TestClient silentClient = fixture.client();
     FailingChannel failingChannel =
         gateway
-            .loop
+            .eventLoop
             .submit(
                 () -> {
                   FailingChannel channel = new FailingChannel();
-                  gateway.clients().adopt(channel);
+                  gateway.clients().addConnection(channel);
                   channel.writeInbound(
                       Unpooled.copiedBuffer(
                           TestRequests.post("r1", "body").replace("body", "b"),
--- a/src/test/java/quotagateway/server/ResourceLimitsTest.java
+++ b/src/test/java/quotagateway/server/ResourceLimitsTest.java
@@ -260,14 +260,14 @@
       maxDescriptors = Math.max(maxDescriptors, openDescriptorCount());
     }
     int maxClientConnections =
-        new ConnectionBudget(ResourceLimits.of(descriptorLimit, MEMORY_MB, 1).connections())
+        new ConnectionBudget(ResourceLimits.of(descriptorLimit, MEMORY_MB, 1).maxConnections())
             .maxClientConnections();
     assertTrue(
         maxDescriptors > maxClientConnections,
         "clients do not use up their connections: " + maxDescriptors + " descriptors");
     peersUnavailable.set(false);
     long recoveryStartNanos = System.nanoTime();
-    while (watches.get() == 0 || counterConnections.get() < CounterClient.CONNECTIONS) {
+    while (watches.get() == 0 || counterConnections.get() < CounterClient.CONNECTION_COUNT) {
       connectClients.run();
       assertTrue(
           System.nanoTime() - recoveryStartNanos < MAX_RECOVERY_NANOS,
--- a/src/test/java/quotagateway/server/StaleHangUpTest.java
+++ b/src/test/java/quotagateway/server/StaleHangUpTest.java
@@ -122,7 +122,7 @@
         TestRequests.post("r1", "").replace("Length: 0", "Length: " + 2 * HALF_BODY_BYTES)
             + "x".repeat(HALF_BODY_BYTES));
     for (int turn = 0; turn < LOOP_TURNS; turn++) {
-      gateway.loop.submit(() -> {}).sync();
+      gateway.eventLoop.submit(() -> {}).sync();
     }
     bodyMayBeRead.countDown();
     client.send("x".repeat(HALF_BODY_BYTES));
@@ -154,7 +154,7 @@
     unblocked.countDown();
     ChannelFuture connectFuture = connectStarted.get(10, TimeUnit.SECONDS);
     connectFuture.sync();
-    gateway.loop.submit(() -> {}).sync();
+    gateway.eventLoop.submit(() -> {}).sync();
     assertTrue(connectFuture.channel().isActive());
     connectFuture.channel().close();
     triggerChannel.close();
@@ -186,7 +186,7 @@
 
   private void blockLoop() throws InterruptedException {
     CountDownLatch loopBlocked = new CountDownLatch(1);
-    gateway.loop.execute(
+    gateway.eventLoop.execute(
         () -> {
           loopBlocked.countDown();
           TestLatches.await(unblocked);
@@ -201,7 +201,7 @@
 
   private ChannelFuture startConnect(ChannelInboundHandlerAdapter handler) {
     return new Bootstrap()
-        .group(gateway.loop)
+        .group(gateway.eventLoop)
         .channel(EpollSocketChannel.class)
         .handler(handler)
         .connect(peer.address());
--- a/src/test/java/quotagateway/server/StreamingTest.java
+++ b/src/test/java/quotagateway/server/StreamingTest.java
@@ -462,7 +462,7 @@
     client.send(TestRequests.get("r1", 3000));
     client.socket.getInputStream().readNBytes(0x20000);
     CountDownLatch loopBlocked = new CountDownLatch(1);
-    gateway.loop.execute(
+    gateway.eventLoop.execute(
         () -> {
           loopBlocked.countDown();
           try {
@@ -485,7 +485,7 @@
 
   private static int activeRequestCount(GatewayServer gateway) throws Exception {
     return gateway
-        .loop
+        .eventLoop
         .submit(() -> gateway.clients().driver().activeRequestCount())
         .sync()
         .getNow();
--- a/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
+++ b/src/test/java/quotagateway/server/UpgradeCoordinatorTest.java
@@ -105,13 +105,13 @@
   @Test
   void twoProcessesShareTheDescriptorLimitOfOne() {
     ResourceLimits limits = ResourceLimits.of(384, 144, 0.3);
-    ConnectionBudget budget = new ConnectionBudget(limits.connections());
+    ConnectionBudget budget = new ConnectionBudget(limits.maxConnections());
     int maxClientConnectionsAlone = budget.maxClientConnections();
-    budget.shareWithOtherProcess(limits.connectionsDuringUpgrade());
+    budget.shareWithOtherProcess(limits.maxConnectionsDuringUpgrade());
     assertTrue(
         budget.maxClientConnections() <= maxClientConnectionsAlone / 2,
         budget.maxClientConnections() + " of " + maxClientConnectionsAlone);
-    assertTrue(2 * limits.connectionsDuringUpgrade() < 384);
+    assertTrue(2 * limits.maxConnectionsDuringUpgrade() < 384);
     budget.shareWithOtherProcess(0);
     assertEquals(maxClientConnectionsAlone, budget.maxClientConnections());
   }
