--- a/src/main/java/quotagateway/client/ConnectionTimeouts.java
+++ b/src/main/java/quotagateway/client/ConnectionTimeouts.java
@@ -90,8 +90,9 @@
   /**
    * Closes the connection if a time limit has passed. Without this, clients that never finish a
    * request, send nothing, never return or do not read their response would hold connections
-   * forever. While the gateway drains, a connection without a request is closed as well, except one
-   * that has not had its first request yet.
+   * forever. Once the drain has been noticed, {@link ClientServer#DRAIN_NOTICE_MS} after its start,
+   * a connection without a request is closed as well, except one that has not had its first request
+   * yet.
    */
   void closeIfOverdue(double nowMs) {
     if (closer.isClosing()) {
--- a/src/main/java/quotagateway/policy/settings/RequestClass.java
+++ b/src/main/java/quotagateway/policy/settings/RequestClass.java
@@ -11,8 +11,8 @@
  * @param deadlineMs maximum time that a client of this class waits
  * @param idempotency whether a request may be executed more than once
  * @param deduplicationScope set of backends that drop repeated executions by idempotency key
- * @param deduplicationWindowMs time from the first attempt during which these backends drop
- *     repeated executions
+ * @param deduplicationWindowMs time during which these backends drop repeated executions, from when
+ *     the first attempt that may have been executed was sent
  * @param streamed whether the time to the first bytes of a response counts instead of the time to
  *     its end
  */
