--- a/src/test/java/quotagateway/server/ClientDisconnectTest.java
+++ b/src/test/java/quotagateway/server/ClientDisconnectTest.java
@@ -91,7 +91,7 @@
 
   private void blockLoop() throws InterruptedException {
     CountDownLatch loopBlocked = new CountDownLatch(1);
-    gateway.loop.execute(
+    gateway.eventLoop.execute(
         () -> {
           loopBlocked.countDown();
           try {
@@ -110,7 +110,7 @@
   private OutputStream sendWithCounterCallUnanswered(TestClient client, String request)
       throws Exception {
     AtomicBoolean first = new AtomicBoolean(true);
-    fixture.counter.replies = line -> first.getAndSet(false) ? null : fixture.counter.count(line);
+    fixture.counter.responder = line -> first.getAndSet(false) ? null : fixture.counter.count(line);
     client.send(request);
     return TestQueues.next(fixture.counter.unanswered);
   }
@@ -134,12 +134,12 @@
       assertEquals(200, client.receive().status());
       client.close();
     }
-    gateway.loop.schedule(() -> {}, REUSE_DELAY_MS, TimeUnit.MILLISECONDS).sync();
+    gateway.eventLoop.schedule(() -> {}, REUSE_DELAY_MS, TimeUnit.MILLISECONDS).sync();
   }
 
   private void awaitNoConnections() throws Exception {
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(5);
-    while (gateway.loop.submit(() -> !gateway.clients().hasNoConnections()).get()) {
+    while (gateway.eventLoop.submit(() -> !gateway.clients().hasNoConnections()).get()) {
       assertTrue(
           System.nanoTime() < deadline, "the connection of a disconnected client is still open");
     }
@@ -153,7 +153,7 @@
   private void assertRequestWasNotForwarded() throws Exception {
     awaitNoConnections();
     fixture.backend.responder = (request, out) -> TextStreams.write(out, FakeBackend.OK_RESPONSE);
-    assertEquals(200, fixture.client().ask(TestRequests.get("later", 3000)).status());
+    assertEquals(200, fixture.client().exchange(TestRequests.get("later", 3000)).status());
     assertEquals("later", TestQueues.next(fixture.backend.received).header("Request-Id"));
   }
 
--- a/src/test/java/quotagateway/server/ResourceLimitsTest.java
+++ b/src/test/java/quotagateway/server/ResourceLimitsTest.java
@@ -157,7 +157,10 @@
           System.nanoTime() < deadline,
           () -> "no response from backend " + name + " in time; " + output());
       try (TestClient client = new TestClient(gatewayAddress)) {
-        if (client.ask(TestRequests.get(name + "-" + requestNumber, 3000)).text().equals(name)) {
+        if (client
+            .exchange(TestRequests.get(name + "-" + requestNumber, 3000))
+            .text()
+            .equals(name)) {
           return;
         }
       } catch (IOException e) {
@@ -257,14 +260,14 @@
       maxDescriptors = Math.max(maxDescriptors, openDescriptorCount());
     }
     int maxClientConnections =
-        new ConnectionBudget(ResourceLimits.of(descriptorLimit, MEMORY_MB, 1).connections())
+        new ConnectionBudget(ResourceLimits.of(descriptorLimit, MEMORY_MB, 1).maxConnections())
             .maxClientConnections();
     assertTrue(
         maxDescriptors > maxClientConnections,
         "clients do not use up their connections: " + maxDescriptors + " descriptors");
     peersUnavailable.set(false);
     long recoveryStartNanos = System.nanoTime();
-    while (watches.get() == 0 || counterConnections.get() < CounterClient.CONNECTIONS) {
+    while (watches.get() == 0 || counterConnections.get() < CounterClient.CONNECTION_COUNT) {
       connectClients.run();
       assertTrue(
           System.nanoTime() - recoveryStartNanos < MAX_RECOVERY_NANOS,
@@ -322,7 +325,7 @@
     requestUntilServedBy("3", TimeUnit.SECONDS.toNanos(20));
     try (TestClient client = new TestClient(gatewayAddress)) {
       for (int i = 0; i < 100; i++) {
-        assertEquals("3", client.ask(TestRequests.get("many-" + i, 3000)).text());
+        assertEquals("3", client.exchange(TestRequests.get("many-" + i, 3000)).text());
       }
     }
     long peakMb =
