--- a/src/main/java/quotagateway/endpoint/EndpointIndex.java
+++ b/src/main/java/quotagateway/endpoint/EndpointIndex.java
@@ -17,8 +17,8 @@
   public static final int NONE = OrderedSlots.NONE;
 
   /**
-   * Weights outside these bounds are invalid: the endpoint would count as nearly all or none of the
-   * fleet's capacity.
+   * Weights outside these bounds are invalid and are clamped: the endpoint would count as nearly
+   * all or none of the fleet's capacity.
    */
   private static final double MIN_WEIGHT = 1e-6;
 
@@ -161,7 +161,7 @@
     return warmingUp.isWarmingUp(slot, warmUpMs, nowMs);
   }
 
-  /** Returns whether an endpoint is no longer listed but is still in the ordered sets. */
+  /** Returns whether an endpoint is missing from the latest snapshot and waits to be swept. */
   public boolean isPendingRemoval(int slot) {
     return removal.isPending(slot);
   }
--- a/src/main/java/quotagateway/policy/routing/BackendStatus.java
+++ b/src/main/java/quotagateway/policy/routing/BackendStatus.java
@@ -39,7 +39,7 @@
   double lastResponseAtMs;
   double latestAnsweredSentAtMs = Double.NEGATIVE_INFINITY;
 
-  // OutlierDetector: failure share (0 to 1), consecutive ejections, whether the circuit breaker is
+  // OutlierDetector: failure share (0 to 1), consecutive ejections, whether the backend is
   // half-open once the ejection ends, and the end of the ejection.
   double failureShare;
   int ejections;
--- a/src/main/java/quotagateway/policy/routing/EndpointSelector.java
+++ b/src/main/java/quotagateway/policy/routing/EndpointSelector.java
@@ -9,8 +9,8 @@
  * Selects the backend for an attempt: the one with the lowest cost among a few random candidates
  * (power of two choices). Candidates are drawn from this gateway's subset. If no backend of the
  * subset can be used, they are drawn from all backends, and then from the subset again with ejected
- * backends included. A request that is bound to a zone or a cell stays there. Owned by the policy's
- * thread.
+ * and unreachable backends included. A request that is bound to a zone or a cell stays there. Owned
+ * by the policy's thread.
  *
  * <p>Random candidates avoid a thundering herd: many gateways with the same delayed load reports
  * would otherwise send all requests to the same backend. The drawback is that the cheapest backend
--- a/src/main/java/quotagateway/policy/routing/EndpointTracker.java
+++ b/src/main/java/quotagateway/policy/routing/EndpointTracker.java
@@ -43,9 +43,9 @@
   private static final double WATCH_RETRY_MS = 1_000;
 
   /**
-   * Minimum number of backends in a gateway's subset, and of gateways that, on average, have a
-   * backend in their subsets: enough to spread the load, and few enough to limit the number of
-   * connections.
+   * Minimum number of backends in a gateway's subset, unless fewer are serving, and of gateways
+   * that, on average, have a backend in their subsets, unless there are fewer gateways. Enough to
+   * spread the load, and few enough to limit the number of connections.
    */
   private static final int MIN_SUBSET_SIZE = 12;
 
@@ -208,9 +208,9 @@
   }
 
   /**
-   * Discards the status of a slot whose process was replaced. A process that is warming up gets a
-   * new status at once, unless the limit of statuses is reached, so that its token bucket starts to
-   * fill.
+   * Discards the status of a slot that now belongs to a new process. A process that is warming up
+   * gets a new status at once, unless the limit of statuses is reached, so that its token bucket
+   * starts to fill.
    */
   private void replaceStatus(int slot) {
     double slowStartTokens = context.nextRandom();
--- a/src/main/java/quotagateway/policy/routing/GroupReachability.java
+++ b/src/main/java/quotagateway/policy/routing/GroupReachability.java
@@ -35,8 +35,9 @@
    * loss only if no backend of the group has responded since it was sent.
    *
    * <p>Without this condition, the gateway would avoid a zone or cell because of one faulty or busy
-   * backend. It would also avoid a recovered group for long, because a backend that is gone never
-   * responds. There is no known drawback.
+   * backend. It would also avoid a group for long after the group has recovered, because attempts
+   * that were sent to a backend that is gone never get a response and still fail afterwards. There
+   * is no known drawback.
    *
    * @param sentAtMs when the attempt was sent
    * @param responded whether the backend sent any response
--- a/src/main/java/quotagateway/policy/routing/LoadEstimator.java
+++ b/src/main/java/quotagateway/policy/routing/LoadEstimator.java
@@ -29,7 +29,7 @@
   /** Age of an attempt, in mean service times, above which the backend seems to be stuck. */
   private static final double OVERDUE_SERVICE_TIMES = 2.5;
 
-  /** A backend that always fails costs this many times more, in addition to its normal cost. */
+  /** Additional cost of a backend that always fails, as a multiple of its normal cost. */
   private static final double FAILURE_COST_FACTOR = 4;
 
   /** Lowers the cost of a half-open backend, so that it soon gets its probe. */
--- a/src/main/java/quotagateway/policy/routing/OutlierDetector.java
+++ b/src/main/java/quotagateway/policy/routing/OutlierDetector.java
@@ -6,10 +6,10 @@
 
 /**
  * Ejects failing backends, with one circuit breaker for each backend. A backend whose failure share
- * is too high gets no requests for a time that doubles with each consecutive ejection. Then the
- * breaker is half-open: one request probes the backend; a success closes the breaker, a failure
- * ejects the backend again. A backend that has rejected a request is also paused for a short time.
- * Owned by the policy's thread.
+ * is too high is ejected: it gets no requests for a time that doubles with each consecutive
+ * ejection. Then the backend is half-open: one request probes it; a success closes the circuit
+ * breaker, a failure ejects the backend again. A backend that has rejected a request is paused for
+ * a short time, which is not an ejection. Owned by the policy's thread.
  */
 final class OutlierDetector {
 
@@ -76,7 +76,10 @@
     backend.failureShare += NEWEST_SAMPLE_WEIGHT * ((failed ? 1 : 0) - backend.failureShare);
   }
 
-  /** Closes a backend's circuit breaker after a success. */
+  /**
+   * Closes a backend's circuit breaker after a success, and resets the count of consecutive
+   * ejections if the backend has recovered.
+   */
   void closeCircuitBreaker(BackendStatus backend) {
     backend.halfOpen = false;
     if (backend.failureShare < RECOVERED_FAILURE_SHARE) {
@@ -85,9 +88,9 @@
   }
 
   /**
-   * Ejects a backend after a failed attempt if its failure share is too high or the breaker is
-   * half-open. Ignores an attempt that was sent before the end of the latest ejection, because it
-   * failed due to the fault for which the backend was ejected.
+   * Ejects a backend after a failed attempt if its failure share is too high or it is half-open.
+   * Ignores an attempt that was sent before the end of the latest ejection, because it failed due
+   * to the fault for which the backend was ejected.
    */
   void ejectIfFailing(BackendStatus backend, AttemptRecord attempt) {
     if (attempt.sentAtMs() < backend.ejectedUntilMs) {
--- a/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
+++ b/src/test/java/quotagateway/policy/routing/EndpointTrackerTest.java
@@ -36,7 +36,8 @@
         gateway.endAttempt(gateway.lastActionOfType(StartAttempt.class), 0, Status.REJECTED, true);
       }
     }
-    assertTrue(gateway.policy.trackedBackends() > 1_000, gateway.policy.trackedBackends() + " met");
+    assertTrue(
+        gateway.policy.trackedBackends() > 1_000, gateway.policy.trackedBackends() + " statuses");
     assertTrue(
         gateway.policy.trackedBackends() < 10_000, gateway.policy.trackedBackends() + " kept");
   }
--- a/src/test/java/quotagateway/policy/routing/OutlierDetectorTest.java
+++ b/src/test/java/quotagateway/policy/routing/OutlierDetectorTest.java
@@ -20,7 +20,7 @@
   private final OutlierDetector outliers = fixture.outliers;
   private final BackendStatus backend = fixture.backend(0);
 
-  private boolean isEjected() {
+  private boolean isUnavailable() {
     return outliers.isUnavailableFor(backend, Idempotency.IDEMPOTENT);
   }
 
@@ -33,9 +33,9 @@
   @Test
   void ejectsBackendAfterThreeConsecutiveFailures() {
     fixture.recordFailures(backend, 2);
-    assertFalse(isEjected());
+    assertFalse(isUnavailable());
     fixture.recordFailures(backend, 1);
-    assertTrue(isEjected());
+    assertTrue(isUnavailable());
   }
 
   // A backend that keeps failing is probed less and less often. The limit of about eight seconds
@@ -55,10 +55,10 @@
   void allowsOneIdempotentProbeAfterEjection() {
     fixture.recordFailures(backend, 3);
     fixture.advanceMs(1_301);
-    assertFalse(isEjected());
+    assertFalse(isUnavailable());
     assertTrue(outliers.isUnavailableFor(backend, Idempotency.NOT_IDEMPOTENT));
     fixture.startAttemptAt(backend);
-    assertTrue(isEjected());
+    assertTrue(isUnavailable());
   }
 
   @Test
@@ -67,7 +67,7 @@
     fixture.advanceMs(60_000);
     backend.failureShare = 0;
     fixture.recordFailures(backend, 1);
-    assertTrue(isEjected());
+    assertTrue(isUnavailable());
     assertEquals(2, backend.ejections);
   }
 
@@ -88,7 +88,7 @@
 
   // The count of consecutive ejections is reset only after several successes.
   @Test
-  void closesAfterSuccessAndResetsEjectionsOnceFailureShareIsLow() {
+  void closesCircuitBreakerAfterSuccessAndResetsEjectionsOnceFailureShareIsLow() {
     fixture.recordFailures(backend, 3);
     fixture.advanceMs(1_301);
     outliers.recordSample(backend, false, 1);
