--- a/src/main/java/quotagateway/backend/Attempt.java
+++ b/src/main/java/quotagateway/backend/Attempt.java
@@ -240,8 +240,8 @@
   }
 
   /**
-   * Called when streaming starts, for a response that is too large to buffer or that is incomplete
-   * at the first progress check and announces no length.
+   * Called when streaming starts, for a response that is too large to buffer, or that announces no
+   * length and is incomplete at a progress check.
    *
    * @return whether the response is still wanted
    */
--- a/src/main/java/quotagateway/backend/BackendConnectionPool.java
+++ b/src/main/java/quotagateway/backend/BackendConnectionPool.java
@@ -123,7 +123,7 @@
   /**
    * Abandons an attempt when its timeout expires.
    *
-   * @param timeoutMs infinite if the timeout is not existing yet
+   * @param timeoutMs infinite if the timeout is not known yet; no timer is started in that case
    */
   public void scheduleTimeout(Attempt attempt, double timeoutMs) {
     if (timeoutMs < Double.POSITIVE_INFINITY) {
--- a/src/main/java/quotagateway/backend/RequestBody.java
+++ b/src/main/java/quotagateway/backend/RequestBody.java
@@ -16,7 +16,7 @@
  */
 public final class RequestBody {
 
-  /** Maximum size of a body that is buffered completely, as the protocol allows. */
+  /** Maximum size of a body that is buffered completely: the most that the protocol allows. */
   public static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
   /** The client's side, from which the body is read. */
--- a/src/main/java/quotagateway/backend/RequestWriter.java
+++ b/src/main/java/quotagateway/backend/RequestWriter.java
@@ -18,8 +18,8 @@
 
 /**
  * Writes the request of one attempt to one connection, at once if the body is complete, otherwise
- * as the body is received. It never retries a write: only the policy starts further attempts.
- * Confined to the event loop's thread.
+ * as the body is received. Neither this class nor the connection pool sends a request again: only
+ * the policy decides on further attempts. Confined to the event loop's thread.
  */
 final class RequestWriter implements RequestBody.Sink {
 
--- a/src/main/java/quotagateway/backend/StalledResponseTimer.java
+++ b/src/main/java/quotagateway/backend/StalledResponseTimer.java
@@ -33,7 +33,8 @@
   /**
    * Creates a timer that is not running.
    *
-   * @param check called once for each {@link #ensureScheduled}, after 250 ms, unless cancelled
+   * @param check called one interval after it was scheduled, unless cancelled; {@link
+   *     #ensureScheduled} has to schedule each further check
    */
   StalledResponseTimer(EventLoop loop, MonotonicClock clock, Runnable check) {
     this.loop = loop;
--- a/src/main/java/quotagateway/config/ResourceLimits.java
+++ b/src/main/java/quotagateway/config/ResourceLimits.java
@@ -72,7 +72,10 @@
   private static final double ENDPOINT_MEMORY_SHARE = 1.0 / 6;
   private static final double ENDPOINT_HEAP_SHARE = 2.0 / 3;
 
-  /** Memory of an endpoint in the index; it needs as much again until it is added there. */
+  /**
+   * Memory of an endpoint while a list is applied: about half of it in the index, and as much again
+   * until the endpoint is added there.
+   */
   private static final int ENDPOINT_BYTES = 150;
 
   /**
--- a/src/main/java/quotagateway/counter/CounterClient.java
+++ b/src/main/java/quotagateway/counter/CounterClient.java
@@ -49,9 +49,9 @@
   private static final double SILENCE_TIMEOUT_FACTOR = 12;
 
   /**
-   * Time after an address change until the connections to the old address are closed. The old
-   * address closes them itself after 1.5 s; the gateway does so earlier, and calls whose replies
-   * are still pending fail.
+   * Time after an address change until the connections to the old address are closed. The counter
+   * at the old address closes them itself after 1.5 s; the gateway does so earlier, and calls whose
+   * replies are still pending fail.
    */
   private static final long RETIREMENT_DELAY_MS = 1_300;
 
--- a/src/main/java/quotagateway/counter/CounterConnection.java
+++ b/src/main/java/quotagateway/counter/CounterConnection.java
@@ -24,8 +24,9 @@
 final class CounterConnection extends ChannelInitializer<Channel> {
 
   /**
-   * Idle time after which a connection is pinged. The counter closes idle connections, after about
-   * 10 s or earlier; a ping keeps the connection open and reveals a dead one.
+   * Idle time after which a connection is pinged. The counter closes a connection that has been
+   * idle for about 10 s or for a shorter time; a ping keeps the connection open and reveals a dead
+   * one.
    */
   private static final double PING_INTERVAL_MS = 3_000;
 
--- a/src/main/java/quotagateway/discovery/EndpointListHandler.java
+++ b/src/main/java/quotagateway/discovery/EndpointListHandler.java
@@ -11,8 +11,8 @@
 
 /**
  * Feeds the bytes of a watch to its reader, and closes the connection if a message is invalid or
- * incomplete. The next watch then requests the changes after the last valid version, so no change
- * is lost.
+ * stops before its end. The next watch then requests the changes after the last valid version, so
+ * no change is lost.
  */
 final class EndpointListHandler extends SimpleChannelInboundHandler<ByteBuf> {
 
@@ -52,8 +52,9 @@
   }
 
   /**
-   * Schedules a check of the incomplete message if the read ended within one. Without this,
-   * everything that follows an incomplete message would be read as part of it, as heartbeats keep
+   * Schedules a check if the read ended within a message. The check closes the connection unless
+   * further body data, of any kind, has been read by then. Without it, everything that follows a
+   * message that stopped before its end would be read as part of that message, as heartbeats keep
    * the connection open. The drawback is a timer for each such read.
    */
   @Override
--- a/src/main/java/quotagateway/driver/PolicyDriver.java
+++ b/src/main/java/quotagateway/driver/PolicyDriver.java
@@ -215,9 +215,10 @@
   /**
    * Passes an event to the policy and executes the returned actions.
    *
-   * <p>A runtime exception from the policy or from an action is logged; it neither ends the process
-   * nor prevents the remaining actions. If the policy fails on a received request or an ended
-   * attempt, only that request fails; if it fails on a timer event, the event is delivered again.
+   * <p>A runtime exception is logged and does not end the process. If an action throws, the
+   * remaining actions are still executed. If the policy throws, the event has no actions: after a
+   * received request or an ended attempt, that request fails; a timer event is delivered again;
+   * other events are dropped.
    */
   private void process(Event event) {
     double decidedAtMs = clock.now();
