--- a/src/main/java/quotagateway/policy/AttemptKey.java
+++ b/src/main/java/quotagateway/policy/AttemptKey.java
@@ -2,8 +2,8 @@
 
 /**
  * Identifies an attempt by its request and its number. {@code equals} and {@code hashCode} are
- * written out because the implementations that a record inherits are generated at run time, which
- * slows startup.
+ * written out because a record's default implementations are generated at run time, which slows
+ * startup.
  *
  * @param requestId ID of the request, unique among the open requests of this gateway
  * @param number number of the attempt within its request, from 0
--- a/src/main/java/quotagateway/policy/GatewayPolicy.java
+++ b/src/main/java/quotagateway/policy/GatewayPolicy.java
@@ -273,8 +273,8 @@
   }
 
   /**
-   * Starts the request's and its attempt's time: a backend starts to work on a request only when
-   * the body is complete, so the time before does not count as latency.
+   * Starts the time measurement of the request and of its attempt: a backend starts to work on a
+   * request only when the body is complete, so the time before does not count as latency.
    */
   private void onRequestBodyComplete(RequestBodyComplete event) {
     OpenRequest request = openRequests.get(event.requestId());
@@ -295,7 +295,10 @@
     loadShedder.recordAttemptStart();
   }
 
-  /** Ends the attempt's load: the backend is done, and the rest depends on the client's speed. */
+  /**
+   * Stops counting the attempt as load of its backend: the backend has done its work, and the time
+   * that remains depends on how fast the client reads.
+   */
   private void onResponseStarted(ResponseStarted event) {
     OpenRequest request = requestsByAttempt.get(new AttemptKey(event.requestId(), event.attempt()));
     if (request != null && !request.attempts.hasResponseStarted()) {
@@ -385,7 +388,10 @@
     scheduleCheck(openRequests.isEmpty() ? IDLE_CHECK_INTERVAL_MS : CHECK_INTERVAL_MS);
   }
 
-  /** Cancels an attempt that looks lost, and ends waits that exceed their limits. */
+  /**
+   * Cancels an attempt that looks lost, ends waits that exceed their limits, and otherwise tries
+   * again to forward a request that waits for a backend.
+   */
   private void check(OpenRequest request) {
     if (request.currentAttempt != null) {
       cancelIfLost(request);
--- a/src/main/java/quotagateway/policy/WakeUpTimer.java
+++ b/src/main/java/quotagateway/policy/WakeUpTimer.java
@@ -43,7 +43,7 @@
     return nowMs >= dueAtMs;
   }
 
-  /** Whether the current event is the first one after a stall. */
+  /** Whether the last stall ended at the time of the current event. */
   boolean isStalled(double nowMs) {
     return nowMs <= stalledUntilMs;
   }
--- a/src/main/java/quotagateway/policy/admission/LoadShedder.java
+++ b/src/main/java/quotagateway/policy/admission/LoadShedder.java
@@ -195,11 +195,11 @@
   private double expectedLatencyRatio() {
     int backends = Math.max(1, servingBackends.getAsInt());
     double gatewaysPerBackend = context.settings().gatewayCount() / (double) backends;
-    double smoothing = MIN_QUEUEING_REQUESTS / backends;
+    double smoothingRequests = MIN_QUEUEING_REQUESTS / backends;
     double requestsNow = inFlight.value() * gatewaysPerBackend;
     double requestsWhenMeasured =
         Math.max(inFlightWhenMeasured.value() * gatewaysPerBackend, MIN_QUEUEING_REQUESTS);
-    double growth = (requestsNow + smoothing) / (requestsWhenMeasured + smoothing);
+    double growth = (requestsNow + smoothingRequests) / (requestsWhenMeasured + smoothingRequests);
     return latencyRatio.decayedValue(context.nowMs()) * growth;
   }
 }
--- a/src/main/java/quotagateway/policy/quota/CustomerAccount.java
+++ b/src/main/java/quotagateway/policy/quota/CustomerAccount.java
@@ -99,8 +99,8 @@
     hardLimit = new HardLimit(context, plan, gateways);
     applyPlan(plan);
     availableUnits = bucketSizeUnits();
-    // This gateway may replace one that has just used up the hard limit, so the hard limit starts
-    // with the refill since the policy's start only.
+    // This gateway may replace one that has just used up the hard limit. The hard limit therefore
+    // starts with no more than the refill since the start of the policy.
     hardLimit.refill((context.nowMs() - context.startedAtMs()) / 1000);
     localShare = new LocalShare(context, gateways);
     double peerUseRatio = usesFixedWindow() ? DEFAULT_USE_RATIO : 1 - 1.0 / gateways;
--- a/src/main/java/quotagateway/policy/quota/HardLimit.java
+++ b/src/main/java/quotagateway/policy/quota/HardLimit.java
@@ -106,8 +106,9 @@
 
   /**
    * Returns the size of the local parts of all gateways together, as a fraction of the bucket. The
-   * fraction is 1 for up to two gateways. For more gateways it is two gateways' even shares, or
-   * room for one request of the maximum size at each gateway if that is larger, and at most 1.
+   * fraction is 1 for up to two gateways. For more gateways it is 2 divided by their number, or the
+   * fraction that has room for one request of the maximum size at each gateway if that is larger,
+   * but at most 1.
    */
   private double localFraction() {
     double minFraction = 2.0 / gateways;
--- a/src/main/java/quotagateway/policy/quota/QuotaLimiter.java
+++ b/src/main/java/quotagateway/policy/quota/QuotaLimiter.java
@@ -139,7 +139,10 @@
     reservation.awaitingUnits = false;
   }
 
-  /** Ends a reservation after its last attempt and releases its concurrency permit. */
+  /**
+   * Ends the reservation of a request that gets no further attempt, and releases its concurrency
+   * permit.
+   */
   public void end(QuotaReservation reservation) {
     concurrencyLimiter.end(reservation);
   }
--- a/src/main/java/quotagateway/policy/retry/RetryPolicy.java
+++ b/src/main/java/quotagateway/policy/retry/RetryPolicy.java
@@ -48,7 +48,7 @@
 
   /**
    * Returns whether the request may be executed again. With an idempotency key, this requires that
-   * the deduplication window stays open for at least the response margin.
+   * the deduplication window stays open for longer than the response margin.
    */
   private boolean mayExecuteAgain(RequestAttempts attempts) {
     if (!attempts.mayHaveExecuted()) {
--- a/src/test/java/quotagateway/policy/WakeUpTimerTest.java
+++ b/src/test/java/quotagateway/policy/WakeUpTimerTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void laterWakeUpIsStallUntilNextEvent() {
+  void wakeUpOverHundredMillisecondsLateIsStallUntilNextEvent() {
     timer.schedule(1_000);
     timer.detectStall(1_300);
     assertTrue(timer.isStalled(1_300));
--- a/src/test/java/quotagateway/policy/context/ExponentialMeanTest.java
+++ b/src/test/java/quotagateway/policy/context/ExponentialMeanTest.java
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void fadedValueDecaysFromLatestSample() {
+  void decaysFromLatestSample() {
     mean.add(10, NOW_MS);
     assertEquals(2 * Math.exp(-0.5), mean.decayedValue(NOW_MS + 500), 1e-12);
     assertEquals(2, mean.value());
--- a/src/test/java/quotagateway/policy/quota/CounterCallThrottleTest.java
+++ b/src/test/java/quotagateway/policy/quota/CounterCallThrottleTest.java
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void onlyProbesAfterFourConsecutiveFailures() {
+  void allowsOnlySpacedProbesAfterFourConsecutiveFailures() {
     recordTimeouts(CounterCallThrottle.MAX_CONSECUTIVE_FAILURES);
     assertEquals(0, callShare());
     fixture.advanceTime(187);
