--- a/src/main/java/quotagateway/admin/AdminServer.java
+++ b/src/main/java/quotagateway/admin/AdminServer.java
@@ -104,10 +104,10 @@
   }
 
   /**
-   * Sets up a caller's connection. At the limit, closes the oldest connection to make room, and
-   * closes each connection after {@link #CALL_TIMEOUT_MS}. Without this, callers that connect and
-   * send no call would keep others out. The drawback is that when more callers connect at a time
-   * than there are connections, the first ones get no response.
+   * Sets up a caller's connection, which is closed after {@link #CALL_TIMEOUT_MS} at the latest. If
+   * the maximum number of connections is open, the oldest one is closed to make room. Without these
+   * closes, callers that connect and send no call would keep others out. The drawback is that when
+   * more callers connect at a time than connections are allowed, the first ones get no response.
    */
   private void accept(Channel channel) {
     while (callers.size() >= ResourceLimits.MAX_ADMIN_CONNECTIONS) {
--- a/src/main/java/quotagateway/client/ClientConnection.java
+++ b/src/main/java/quotagateway/client/ClientConnection.java
@@ -118,8 +118,8 @@
   }
 
   /**
-   * Closes a broken connection or one with malformed input, and logs the exception if it is a bug
-   * in the gateway.
+   * Closes the connection after any exception, and logs the exception if it is a bug in the gateway
+   * rather than a broken connection or malformed input.
    */
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
--- a/src/main/java/quotagateway/client/ClientConnections.java
+++ b/src/main/java/quotagateway/client/ClientConnections.java
@@ -98,7 +98,10 @@
         connections, connection -> connection.timeouts().closeIfOverdue(now));
   }
 
-  /** Closes each connection; the client of a partly received request gets an error first. */
+  /**
+   * Closes each connection without an open or queued request; the client of a partly received
+   * request gets an error first.
+   */
   void closeAllForShutdown() {
     PeriodicTask.forEachIsolated(connections, connection -> connection.closer().closeForShutdown());
   }
--- a/src/main/java/quotagateway/client/ClientContext.java
+++ b/src/main/java/quotagateway/client/ClientContext.java
@@ -30,7 +30,10 @@
   private RequestReader previousReader;
   private double previousReaderUntilMs = Double.NEGATIVE_INFINITY;
 
-  /** Bytes of requests that are being received, or kept until they need not be sent again. */
+  /**
+   * Bytes of requests that are being received, or kept as long as they may have to be sent to a
+   * backend again.
+   */
   private int heldBytes;
 
   private boolean shutDown;
--- a/src/main/java/quotagateway/client/ClientServer.java
+++ b/src/main/java/quotagateway/client/ClientServer.java
@@ -152,7 +152,8 @@
 
   /**
    * Ends the service at the final timeout of the shutdown: unanswered requests fail, and each
-   * connection is closed, after an error if part of a request has been received.
+   * connection is closed, after an error if part of a request has been received. A connection with
+   * a streamed response is not closed before the response has ended.
    */
   public void shutDown() {
     context.shutDown();
--- a/src/main/java/quotagateway/client/ConnectionCloser.java
+++ b/src/main/java/quotagateway/client/ConnectionCloser.java
@@ -19,8 +19,9 @@
 final class ConnectionCloser {
 
   /**
-   * How long a connection that ends while its client may still be sending stays half open, and the
-   * interval at which it is checked whether the client has sent nothing since.
+   * How long a connection that ends while its client may still be sending stays half open. If the
+   * body of a queued request is being received, the connection is checked at this interval instead,
+   * and closed once its client has sent nothing for as long.
    */
   private static final long LINGER_MS = 300;
 
--- a/src/main/java/quotagateway/client/ConnectionTimeouts.java
+++ b/src/main/java/quotagateway/client/ConnectionTimeouts.java
@@ -17,7 +17,8 @@
 
   /**
    * Minimum time without a complete request before a connection may be closed to make room for
-   * another. It is shorter, as clients connect in order to send a request and do so at once.
+   * another. It is shorter than {@link #MIN_IDLE_BEFORE_EVICTION_MS}, as clients connect in order
+   * to send a request and do so at once.
    */
   private static final double MIN_SILENCE_BEFORE_EVICTION_MS = 300;
 
--- a/src/main/java/quotagateway/client/RequestAssembler.java
+++ b/src/main/java/quotagateway/client/RequestAssembler.java
@@ -37,7 +37,10 @@
      */
     void onRequestReady(InboundRequest request);
 
-    /** Called when the head of a well-formed request has been received and its body has not. */
+    /**
+     * Called when the head of a well-formed request has been received, before any of its body is
+     * processed. Not called for a request that is dropped because the queue is full.
+     */
     void onHeadReceived();
 
     /** Called when the last byte of a request has been received. */
@@ -51,8 +54,8 @@
 
     /**
      * Closes the connection if the client has closed it, even if the close has not been read yet,
-     * and returns whether the connection is closed. The kernel may not know of the client's close
-     * yet.
+     * and returns whether the connection is closed. A close that has not reached this machine yet
+     * is not noticed.
      */
     boolean closeIfClientDisconnected();
   }
--- a/src/main/java/quotagateway/client/RequestReader.java
+++ b/src/main/java/quotagateway/client/RequestReader.java
@@ -128,8 +128,8 @@
 
   /**
    * Parses a value such as {@code units=2,spread=3,first=1}. Values out of range are rejected
-   * rather than clamped: the request may name another customer, whose account must not change
-   * because of it.
+   * rather than clamped: the request may carry a wrong customer number, and the account of the
+   * customer with that number must not change because of it.
    */
   private QuotaHeader parseQuota(String headerValue) throws InvalidRequestException {
     long units = 0;
--- a/src/main/java/quotagateway/lifecycle/Lifecycle.java
+++ b/src/main/java/quotagateway/lifecycle/Lifecycle.java
@@ -77,7 +77,10 @@
     phase.set(new Phase(State.ENDING, clock.now()));
   }
 
-  /** Returns false if the current state is not {@code from}, or another thread changed it first. */
+  /**
+   * Enters the state {@code to} and returns true. Changes nothing and returns false if the current
+   * state is not {@code from}, or another thread changed it first.
+   */
   private boolean transition(State from, State to) {
     Phase current = phase.get();
     return current.state == from && phase.compareAndSet(current, new Phase(to, clock.now()));
--- a/src/main/java/quotagateway/server/ConfigReload.java
+++ b/src/main/java/quotagateway/server/ConfigReload.java
@@ -49,8 +49,7 @@
       LOG.warning("configuration rejected file=" + file + " reason=" + e.getMessage());
     } catch (RuntimeException e) {
       // Either the event loop has shut down and rejects the task, as the process is about to end,
-      // or
-      // a bug made reading fail, which leaves the configuration in use unchanged.
+      // or a bug made reading fail, which leaves the configuration in use unchanged.
       LOG.warning("configuration not applied file=" + file + " reason=" + e);
     }
   }
--- a/src/main/java/quotagateway/server/GatewayServer.java
+++ b/src/main/java/quotagateway/server/GatewayServer.java
@@ -93,8 +93,8 @@
         .sync();
     configReload = new ConfigReload(eventLoop, components, config);
     beforeListening.run(this);
-    // Initializing the logging framework takes 0.1 s of one core. Logging the first line before the
-    // port is open keeps clients from waiting for it.
+    // The first log line takes 0.1 s of one core's time. Writing it before the port is open keeps
+    // clients from waiting for it.
     LOG.info("listening address=" + config.listenAddress());
     listen(config.listenAddress());
     servingProcesses.announce();
--- a/src/main/java/quotagateway/server/GracefulShutdown.java
+++ b/src/main/java/quotagateway/server/GracefulShutdown.java
@@ -27,7 +27,10 @@
    */
   private static final long RESPONSE_GRACE_MS = 300;
 
-  /** The longest deadline that the delay before SIGKILL allows for. */
+  /**
+   * Upper bound for the longest deadline when the wait for responses is computed. The delay before
+   * SIGKILL does not grow with deadlines beyond it.
+   */
   private static final double MAX_AWAITED_DEADLINE_MS = 3_000;
 
   /**
--- a/src/main/java/quotagateway/server/ServeCommand.java
+++ b/src/main/java/quotagateway/server/ServeCommand.java
@@ -42,7 +42,7 @@
 
   /**
    * Installs the signal handlers and warms up before clients are accepted, so that no accepted
-   * request is lost to a signal.
+   * request is lost to a signal or served late by cold code.
    */
   private static void installHandlersAndWarmUp(
       GatewayServer server, Path file, GatewayConfig config) throws IOException {
--- a/src/main/java/quotagateway/server/UpgradeCoordinator.java
+++ b/src/main/java/quotagateway/server/UpgradeCoordinator.java
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Acquires a lock to tell other processes that this one has reached the state. A failure is
-   * logged.
+   * Acquires a lock to tell other processes that this one has reached the state. An I/O error is
+   * logged; if all locks are held already, this process gets none.
    */
   void announce() {
     for (int slot = 0; slot < MAX_PROCESSES && ownSlot == NO_SLOT; slot++) {
--- a/src/main/java/quotagateway/server/WarmUp.java
+++ b/src/main/java/quotagateway/server/WarmUp.java
@@ -93,8 +93,7 @@
       serveRequests(clock.now() + timeLimitMs);
     } catch (RuntimeException e) {
       // Either a bug, or settings for which no valid request can be built. Clients use another
-      // gateway
-      // instance, so startup continues with code that is less warm.
+      // gateway instance, so startup continues with code that is less warm.
       LOG.log(Level.WARNING, "warm-up failed served=" + servedRequests, e);
     }
     return servedRequests;
