--- a/src/test/java/quotagateway/scale/IncidentSweep.java
+++ b/src/test/java/quotagateway/scale/IncidentSweep.java
@@ -30,7 +30,8 @@
   private static final double DISCOVERY_SILENT_MS = 600_000;
 
   /**
-   * Interval between replacements of backends: ten times the target's rate relative to the fleet.
+   * Interval between replacements of backends, which continue during an incident. The rate per
+   * backend is ten times that of the target.
    */
   private static final double REPLACEMENT_INTERVAL_MS = 110_000;
 
--- a/src/test/java/quotagateway/server/DiscoveryTest.java
+++ b/src/test/java/quotagateway/server/DiscoveryTest.java
@@ -236,8 +236,9 @@
   }
 
   /**
-   * Watches are retried at short intervals, however many have failed while the discovery agent was
-   * unavailable, so that an update arrives within the second that a draining endpoint has.
+   * The discovery agent closes the first 14 watches, and the gateway must retry within 500 ms on
+   * average. A draining endpoint leaves 1 s for its last requests; if the backoff grew with each
+   * failure, the gateway would learn of the draining too late after the agent returns.
    */
   @Test
   void resumesWatchSoonAfterAgentReturns() throws Exception {
--- a/src/test/java/quotagateway/server/ReloadSignalTest.java
+++ b/src/test/java/quotagateway/server/ReloadSignalTest.java
@@ -115,8 +115,8 @@
   }
 
   private static String launcher() throws IOException {
-    for (String expectedLine : Files.readAllLines(Path.of("deploy/balancer.toml"))) {
-      Matcher matcher = RUN_COMMAND.matcher(expectedLine);
+    for (String line : Files.readAllLines(Path.of("deploy/balancer.toml"))) {
+      Matcher matcher = RUN_COMMAND.matcher(line);
       if (matcher.matches()) {
         return matcher.group(1);
       }
--- a/src/test/java/quotagateway/server/ReloadTest.java
+++ b/src/test/java/quotagateway/server/ReloadTest.java
@@ -48,8 +48,9 @@
   }
 
   /**
-   * Discovery and the counter move to other addresses, and the connections to the old ones close
-   * 1.5 s later. No request fails during the change, and the watch resumes from its last version.
+   * Discovery and the counter move to other addresses. The peers at the old addresses close their
+   * connections after 1.5 s (the fakes keep them open), so the gateway must move to the new ones.
+   * No request fails during the change, and the watch resumes from its last version.
    */
   @Test
   void changesDiscoveryAndCounterAddressesWithoutFailingRequests() throws Exception {
--- a/src/test/java/quotagateway/server/StreamingTest.java
+++ b/src/test/java/quotagateway/server/StreamingTest.java
@@ -317,7 +317,7 @@
    * counts from the end of the body.
    */
   @Test
-  void slowBodyWithinTheMinimumRateIsServed() throws Exception {
+  void slowBodyAboveTheMinimumRateIsServed() throws Exception {
     fixture.start();
     TestClient client = fixture.client();
     client.send(
@@ -415,7 +415,7 @@
   void http10ClientDetectsAbortedStreamedResponse() throws Exception {
     fixture.start();
     CountDownLatch clientHasRead = new CountDownLatch(1);
-    String request10 = TestRequests.get("r1", 3000).replace("HTTP/1.1", "HTTP/1.0");
+    String http10Request = TestRequests.get("r1", 3000).replace("HTTP/1.1", "HTTP/1.0");
     byte[] body = randomBytes(200_000);
     fixture.backend.responder =
         (request, out) -> {
@@ -424,7 +424,7 @@
           return true;
         };
     TestClient completeClient = fixture.client();
-    assertNull(completeClient.exchange(request10).header("Transfer-Encoding"));
+    assertNull(completeClient.exchange(http10Request).header("Transfer-Encoding"));
     assertEquals(body.length, completeClient.readRemainingByteCount());
     fixture.backend.responder =
         (request, out) -> {
@@ -434,7 +434,7 @@
           return false;
         };
     TestClient abortedClient = fixture.client();
-    abortedClient.exchange(request10);
+    abortedClient.exchange(http10Request);
     clientHasRead.countDown();
     assertThrows(IOException.class, () -> abortedClient.readRemainingByteCount());
   }
--- a/src/test/java/quotagateway/soak/HistoryChecker.java
+++ b/src/test/java/quotagateway/soak/HistoryChecker.java
@@ -7,7 +7,9 @@
 /** Checks the history of a run against the guarantees of the service. */
 final class HistoryChecker {
 
-  /** An attempt that starts later than this after its client disconnected is a violation. */
+  /**
+   * An attempt that reaches a backend later than this after its client disconnected is a violation.
+   */
   private static final double MAX_ATTEMPT_DELAY_AFTER_DISCONNECT_MS = 150;
 
   /** A gateway may close a connection that has been idle for at least this long. */
--- a/src/test/java/quotagateway/soak/HistoryCheckerTest.java
+++ b/src/test/java/quotagateway/soak/HistoryCheckerTest.java
@@ -151,7 +151,7 @@
   }
 
   @Test
-  void levelFallsBelowSlackWhenHardLimitIsExceeded() {
+  void oneRequestBeyondBurstAndSlackExceedsTheHardLimit() {
     HardLimitRule limit = new HardLimitRule();
     int units = (int) (HardLimitRule.BURST_UNITS + HardLimitRule.SLACK_UNITS);
     for (int i = 0; i < units; i++) {
--- a/src/test/java/quotagateway/soak/SoakDiscovery.java
+++ b/src/test/java/quotagateway/soak/SoakDiscovery.java
@@ -16,10 +16,13 @@
  */
 final class SoakDiscovery implements Closeable {
 
-  /** Gateways are assumed to have been notified of a change at the latest after this time. */
+  /**
+   * Time that gateways have for a change made during a disruption of discovery, or within this time
+   * after its end. A removal ends all watches, so it counts as a disruption that ends at once.
+   */
   private static final double MAX_NOTIFICATION_DELAY_MS = 6_000;
 
-  /** A change sent on an open watch must be in effect after this time. */
+  /** Time that gateways have for any other change, which is sent on their open watches. */
   private static final double MAX_APPLY_DELAY_MS = 1_000;
 
   /** The version of the endpoint list with which the gateways start. */
@@ -140,8 +143,9 @@
   }
 
   /**
-   * Postpones the times by which gateways must know of a change. A change that a disruption may
-   * have held back is assumed to be known {@link #MAX_NOTIFICATION_DELAY_MS} after its end.
+   * Postpones the times from which attempts at closed backends are violations. At the start and at
+   * the end of a disruption, each such time that is still to come is set to {@link
+   * #MAX_NOTIFICATION_DELAY_MS} from now, since the disruption may have held the change back.
    */
   private void postponeClosedSpans(boolean disrupted) {
     disruptedUntilMs =
--- a/src/test/java/quotagateway/soak/SoakGateway.java
+++ b/src/test/java/quotagateway/soak/SoakGateway.java
@@ -35,7 +35,10 @@
   /** SIGKILL is sent no earlier than this after SIGTERM. */
   private static final long MIN_TERM_TO_KILL_MS = DEADLINE_MS + 700;
 
-  /** Clients keep opening connections for this long after SIGTERM. */
+  /**
+   * Clients keep opening connections for this long after SIGTERM. In an upgrade they don't stop, as
+   * the new process accepts connections at the same address.
+   */
   private static final double CONNECTIONS_AFTER_TERM_MS = 300;
 
   /** Clients notice the end of their connections to a killed process within this time. */
@@ -128,7 +131,7 @@
     return process;
   }
 
-  /** Returns the faults found, which no step or fault of a peer excuses. */
+  /** Returns the faults of the gateway, none of which a step or a peer's failure excuses. */
   List<String> faults() {
     return faults;
   }
